--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -407,8 +407,12 @@
         }
         let (safe, once) = (class.effect == Repeats::Safe, class.effect == Repeats::Unsafe);
         let window = if let Repeats::Keyed { window, .. } = class.effect { Some(window) } else { None };
-        request.remaining = request.remaining.saturating_sub(MARGIN);
-        request.remaining = request.remaining.min(self.end.saturating_sub(now)).max(1_000);
+        request.remaining = request.remaining.saturating_sub(MARGIN).min(self.end.saturating_sub(now));
+        // It waited for earlier commands of its connection until its time was over: nothing is begun for it.
+        if request.remaining == 0 {
+            return self.answer(id, request.class, Verdict::Refused { retry_after: 0 });
+        }
+        request.remaining = request.remaining.max(1_000);
         let deadline = now + request.remaining;
         let class = request.class;
         let held = Held { class, work, deadline, attempts: 0, safe, once, window, ran: None };
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,16 +1,20 @@
 //! The fronts: each turns what clients say into requests for the core, and verdicts into answers. What they
-//! have in common is the [`Lobby`]: connections, their queues of commands, cancels and closing. A front's own
-//! way of talking is its [`Talk`].
+//! have in common is the [`Lobby`]: connections, their [`Pipeline`]s of commands, cancels and closing. A front's
+//! own way of talking is its [`Protocol`].
 
+mod pipeline;
 pub mod platform;
 pub mod postgres;
+#[cfg(test)]
+mod tests;
 pub mod unit;
 
 use crate::core::{Arrival, Verdict};
 use crate::pg::{self, Malformed, Opening};
 use crate::store::Change;
 use crate::{Micros, Request, RequestId};
-use std::collections::{BTreeMap, HashSet, VecDeque};
+use pipeline::{Access, Pipeline, Queued};
+use std::collections::{BTreeMap, HashSet};
 use std::ops::Range;
 
 /// A connection may be closed to make room when it has been idle this long, or has asked for nothing for this
@@ -18,6 +22,10 @@
 const IDLE: Micros = 2_000_000;
 const SILENT: Micros = 200_000;
 
+/// Bytes of finished replies of one connection that may wait for an earlier one before no further command of it
+/// begins behind an unfinished one.
+const REORDERED_BYTES: usize = 160 * 1024;
+
 /// The number of a client connection, never used twice.
 pub type ClientId = u64;
 
@@ -85,6 +93,8 @@
 pub struct Ask {
     /// The class.
     pub class: usize,
+    /// It changes data.
+    pub writes: bool,
     /// The group.
     pub group: u32,
     /// The session, 0 for none.
@@ -101,14 +111,20 @@
     pub work: Work,
 }
 
+impl Ask {
+    fn access(&self) -> Access {
+        Access { writes: self.writes, group: self.group, session: self.session }
+    }
+}
+
 /// What a command comes to.
-pub enum Step<C> {
+pub enum Step<P: Protocol + ?Sized> {
     /// It waits for the proxy to be ready.
-    Wait(C),
+    Wait(P::Command),
     /// It is answered with this at once.
     Say(Vec<u8>),
     /// It is a request.
-    Ask(Ask),
+    Ask(Ask, P::Context),
 }
 
 /// Whether the front layer may send clients.
@@ -123,26 +139,32 @@
 }
 
 /// A front's own way of talking.
-pub trait Talk {
+pub trait Protocol {
     /// A command, as the reader hands it over.
     type Command;
     /// What a connection keeps from command to command.
     type Session: Default;
+    /// What is kept of a request until its final answer.
+    type Context;
     /// When the command's last byte was read.
     fn read_at(command: &Self::Command) -> Micros;
+    /// A command can be looked at only when these earlier ones of its connection have been answered.
+    fn must_wait(_command: &Self::Command, _unfinished: &[&Self::Context]) -> bool {
+        false
+    }
     /// Takes a connection's next command.
-    fn start(
-        &mut self,
-        session: &mut Self::Session,
-        command: Self::Command,
-        service: Service,
-    ) -> Step<Self::Command>;
+    fn start(&mut self, session: &mut Self::Session, command: Self::Command, service: Service) -> Step<Self>;
     /// What the store is to note since the last call.
     fn notes(&mut self) -> Vec<Change> {
         Vec::new()
     }
-    /// The answer of the request that [`Talk::start`] asked for, up to ReadyForQuery.
-    fn finish(&mut self, session: &mut Self::Session, verdict: Verdict<Answer>) -> Vec<u8>;
+    /// The answer of the request that [`Protocol::start`] asked for, up to ReadyForQuery.
+    fn finish(
+        &mut self,
+        session: &mut Self::Session,
+        context: Self::Context,
+        verdict: Verdict<Answer>,
+    ) -> Vec<u8>;
 }
 
 /// Hands out request numbers to both fronts, and remembers whose they are.
@@ -177,31 +199,33 @@
     }
 }
 
-struct Client<T: Talk> {
+struct Client<P: Protocol> {
     secret: u32,
     /// It has asked for something that a member serves.
     asked: bool,
-    queue: VecDeque<T::Command>,
-    busy: Option<RequestId>,
-    /// When it came, or its last answer was given: the time of a request that waited its turn counts from
-    /// there.
+    pipeline: Pipeline<P>,
+    /// When it came, or its last answer was given.
     free_at: Micros,
-    session: T::Session,
+    session: P::Session,
 }
 
 /// The connections of a front.
-pub struct Lobby<T: Talk> {
-    talk: T,
-    clients: BTreeMap<ClientId, Client<T>>,
+pub struct Lobby<P: Protocol> {
+    talk: P,
+    clients: BTreeMap<ClientId, Client<P>>,
     service: Service,
     /// Connections are closed between requests.
     closing: bool,
+    /// Bytes of replies that wait for those of earlier commands, over all clients, and the most there may be.
+    reordered: usize,
+    most_reordered: usize,
 }
 
-impl<T: Talk> Lobby<T> {
-    /// A front without connections.
-    pub fn new(talk: T) -> Self {
-        Lobby { talk, clients: BTreeMap::new(), service: Service::Starting, closing: false }
+impl<P: Protocol> Lobby<P> {
+    /// A front without connections, of whose finished replies so many bytes may wait for earlier ones.
+    pub fn new(talk: P, most_reordered: usize) -> Self {
+        let (clients, service) = (BTreeMap::new(), Service::Starting);
+        Lobby { talk, clients, service, closing: false, reordered: 0, most_reordered }
     }
 
     /// The proxy can serve, or is taken out of service or back: commands that waited for that go on.
@@ -233,7 +257,7 @@
     /// The connection that can best be closed to make room: one that has said nothing, or the one that was
     /// idle longest, if that is long enough. With how well it can be closed.
     pub fn idlest(&self, now: Micros) -> Option<(bool, Micros, ClientId)> {
-        let idle = self.clients.iter().filter(|(_, c)| c.busy.is_none() && c.queue.is_empty());
+        let idle = self.clients.iter().filter(|(_, c)| c.pipeline.is_empty());
         let long = idle.filter_map(|(id, c)| {
             let idle = now.saturating_sub(c.free_at);
             let enough = idle >= if c.asked { IDLE } else { SILENT };
@@ -246,7 +270,7 @@
     /// from which it may be closed.
     pub fn kept(&self) -> (usize, Option<(Micros, ClientId)>) {
         let asked = self.clients.iter().filter(|(_, c)| c.asked);
-        let idle = asked.clone().filter(|(_, c)| c.busy.is_none() && c.queue.is_empty());
+        let idle = asked.clone().filter(|(_, c)| c.pipeline.is_empty());
         (asked.count(), idle.map(|(id, c)| (c.free_at + IDLE, *id)).min())
     }
 
@@ -263,11 +287,11 @@
     }
 
     /// Takes what a client said.
-    pub fn said(&mut self, desk: &mut Desk, now: Micros, id: ClientId, said: Said<T::Command>) -> Vec<Out> {
+    pub fn said(&mut self, desk: &mut Desk, now: Micros, id: ClientId, said: Said<P::Command>) -> Vec<Out> {
         let mut out = Vec::new();
         if let Said::Connected { secret } = said {
-            let (queue, session) = (VecDeque::new(), T::Session::default());
-            let client = Client { secret, asked: false, queue, busy: None, free_at: now, session };
+            let (pipeline, session) = (Pipeline::default(), P::Session::default());
+            let client = Client { secret, asked: false, pipeline, free_at: now, session };
             self.clients.insert(id, client);
             return out;
         }
@@ -288,7 +312,7 @@
             }
             Said::Opening(Opening::Cancel { .. }) => {}
             Said::Command(command) => {
-                client.queue.push_back(command);
+                client.pipeline.push(command);
                 self.next(desk, now, id, &mut out);
                 self.close_if_idle(id, &mut out);
             }
@@ -311,65 +335,99 @@
         verdict: Verdict<Answer>,
     ) -> Vec<Out> {
         let mut out = Vec::new();
-        let Some(client) = self.clients.get_mut(&id).filter(|c| c.busy == Some(request)) else { return out };
-        (client.busy, client.free_at) = (None, now);
-        out.push(Out::Write(id, self.talk.finish(&mut client.session, verdict)));
-        out.push(Out::Credit(id));
+        let Some(client) = self.clients.get_mut(&id) else { return out };
+        let Some(index) = client.pipeline.position(request) else { return out };
+        // Guards against replies that fill the memory behind one that does not come.
+        let verdict = match verdict {
+            Verdict::Served(answer)
+                if index > 0 && self.reordered + answer.bytes.len() > self.most_reordered =>
+            {
+                Verdict::Failed { ran: true }
+            }
+            verdict => verdict,
+        };
+        let commit = if let Verdict::Served(answer) = &verdict { answer.commit } else { None };
+        let (talk, session) = (&mut self.talk, &mut client.session);
+        let before = client.pipeline.buffered();
+        client.pipeline.finish(index, commit, |context| talk.finish(session, context, verdict));
+        self.reordered += client.pipeline.buffered() - before;
         self.next(desk, now, id, &mut out);
         self.close_if_idle(id, &mut out);
         out
     }
 
-    /// Starts the client's next command where none is under way. Those behind it wait their turn: on a
-    /// connection, answers arrive in the order of its commands.
+    /// Moves a client's commands on: looks at those that have come, lets go of the replies whose turn it is, and
+    /// begins what may begin. On a connection, answers arrive in the order of its commands.
     fn next(&mut self, desk: &mut Desk, now: Micros, id: ClientId, out: &mut Vec<Out>) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        while client.busy.is_none()
-            && let Some(command) = client.queue.pop_front()
-        {
-            let since = T::read_at(&command).max(client.free_at);
-            let step = self.talk.start(&mut client.session, command, self.service);
-            out.extend(self.talk.notes().into_iter().map(Out::Note));
+        let before = client.pipeline.buffered();
+        let mut requests = Vec::new();
+        loop {
+            Self::plan(&mut self.talk, client, self.service, out);
+            // Before any request is handed on: its answer may come at once, and belongs behind these.
+            while let Some(reply) = client.pipeline.next_reply(now) {
+                client.free_at = now;
+                out.push(Out::Write(id, reply));
+                out.push(Out::Credit(id));
+            }
+            let crowded = self.reordered >= self.most_reordered / 2;
+            if !Self::begin(client, desk, now, id, crowded, &mut requests) {
+                break;
+            }
+        }
+        self.reordered = self.reordered + client.pipeline.buffered() - before;
+        out.extend(requests.into_iter().map(Out::Take));
+    }
+
+    /// Looks at the commands that have come, in their order.
+    fn plan(talk: &mut P, client: &mut Client<P>, service: Service, out: &mut Vec<Out>) {
+        while let Some(Queued { index, command, unfinished }) = client.pipeline.next_queued() {
+            if P::must_wait(&command, &unfinished) {
+                return client.pipeline.put_back(index, command);
+            }
+            let step = talk.start(&mut client.session, command, service);
+            out.extend(talk.notes().into_iter().map(Out::Note));
             match step {
-                Step::Wait(command) => {
-                    client.queue.push_front(command);
-                    return;
-                }
-                Step::Say(bytes) => {
-                    out.push(Out::Write(id, bytes));
-                    out.push(Out::Credit(id));
-                }
-                Step::Ask(ask) => {
-                    let Ask { class, group, session, after, repeat, name, wait, work } = ask;
-                    // Guards against an answer that would be taken for another request's.
-                    let Some(request) = desk.open(id, name) else {
-                        let mut bytes = Vec::new();
-                        let why = "a request of this id is open";
-                        pg::put_error(&mut bytes, "ERROR", pg::PROTOCOL_VIOLATION, why, None);
-                        pg::put_ready(&mut bytes);
-                        out.push(Out::Write(id, bytes));
-                        out.push(Out::Credit(id));
-                        continue;
-                    };
-                    (client.busy, client.asked) = (Some(request), true);
-                    let request = Request {
-                        id: request,
-                        class,
-                        group,
-                        session,
-                        tenant: 0,
-                        since_write: after.map(|after| now.saturating_sub(after)),
-                        remaining: wait.saturating_sub(now.saturating_sub(since)),
-                        repeat,
-                    };
-                    out.push(Out::Take(Arrival { request, work: work.into() }));
-                }
+                Step::Wait(command) => return client.pipeline.put_back(index, command),
+                Step::Say(reply) => client.pipeline.reply(index, reply),
+                Step::Ask(ask, context) => client.pipeline.defer(index, ask, context),
             }
         }
     }
 
+    /// Begins the requests whose turn it is; `true` if one of them was answered here, so that more may follow.
+    fn begin(
+        client: &mut Client<P>,
+        desk: &mut Desk,
+        now: Micros,
+        id: ClientId,
+        crowded: bool,
+        requests: &mut Vec<Arrival<Work>>,
+    ) -> bool {
+        let (mut from, mut answered) = (0, false);
+        loop {
+            let only_first = crowded || client.pipeline.buffered() >= REORDERED_BYTES;
+            let Some(index) = client.pipeline.next_ready(from, only_first) else { return answered };
+            from = index + 1;
+            let Some(mut ready) = client.pipeline.ready(index) else { continue };
+            // Guards against an answer that would be taken for another request's.
+            let Some(request) = desk.open(id, std::mem::take(&mut ready.ask.name)) else {
+                let mut bytes = Vec::new();
+                let why = "a request of this id is open";
+                pg::put_error(&mut bytes, "ERROR", pg::PROTOCOL_VIOLATION, why, None);
+                pg::put_ready(&mut bytes);
+                client.pipeline.reply(index, bytes);
+                answered = true;
+                continue;
+            };
+            client.pipeline.run(&ready, request);
+            client.asked = true;
+            requests.push(arrival(request, now, ready.read_at, ready.ask));
+        }
+    }
+
     fn close_if_idle(&mut self, id: ClientId, out: &mut Vec<Out>) {
-        let idle = self.clients.get(&id).is_some_and(|c| c.busy.is_none() && c.queue.is_empty());
+        let idle = self.clients.get(&id).is_some_and(|c| c.pipeline.is_empty());
         if self.closing && idle {
             out.push(Out::Retire(id));
         }
@@ -377,7 +435,8 @@
 
     fn gone(&mut self, desk: &mut Desk, id: ClientId, out: &mut Vec<Out>) {
         if let Some(client) = self.clients.remove(&id) {
-            if let Some(request) = client.busy {
+            self.reordered -= client.pipeline.buffered();
+            for request in client.pipeline.running() {
                 desk.close(request);
                 out.push(Out::Left(request));
             }
@@ -393,10 +452,11 @@
         self.gone(desk, id, out);
     }
 
+    /// Calls off the first command that is not answered: in PostgreSQL, the one that runs.
     fn cancel(&mut self, desk: &mut Desk, now: Micros, process: u32, secret: u32, out: &mut Vec<Out>) {
         let found = self.clients.iter().find(|(id, c)| **id as u32 == process && c.secret == secret);
         if let Some((&id, client)) = found
-            && let Some(request) = client.busy
+            && let Some(request) = client.pipeline.first_running()
         {
             desk.close(request);
             out.push(Out::Left(request));
@@ -405,6 +465,22 @@
     }
 }
 
+/// A request as the core takes it. Its time counts from when its last byte was read, also where it had to wait for
+/// earlier commands: its client counts from when it was sent.
+fn arrival(id: RequestId, now: Micros, read_at: Micros, ask: Ask) -> Arrival<Work> {
+    let request = Request {
+        id,
+        class: ask.class,
+        group: ask.group,
+        session: ask.session,
+        tenant: 0,
+        since_write: ask.after.map(|after| now.saturating_sub(after)),
+        remaining: ask.wait.saturating_sub(now.saturating_sub(read_at)),
+        repeat: ask.repeat,
+    };
+    Arrival { request, work: ask.work.into() }
+}
+
 /// Appends the error for a verdict that is not served, or the answer of one that is.
 pub fn put_verdict(out: &mut Vec<u8>, verdict: &Verdict<Answer>) {
     match verdict {
--- /dev/null
+++ b/src/front/pipeline.rs
@@ -0,0 +1,253 @@
+//! The commands of one client connection that are read and not answered yet.
+//!
+//! Commands run side by side where PostgreSQL's order allows it, and their replies leave in the order of the
+//! commands. `docs/design-pipelining.md` says which pairs may overlap, and why.
+
+use super::{Ask, Protocol};
+use crate::{Micros, RequestId};
+use std::collections::VecDeque;
+
+/// What a command does to its group's data, as far as the order of commands goes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Access {
+    /// It changes data.
+    pub writes: bool,
+    /// The group that it concerns.
+    pub group: u32,
+    /// The session, 0 where it is not known.
+    pub session: u64,
+}
+
+impl Access {
+    /// This command may not begin before an earlier one of its connection has ended. A read sees what an earlier
+    /// write wrote, writes keep their order, and a read does not see a later write of its own session.
+    fn must_follow(&self, earlier: &Access) -> bool {
+        let same_session = self.session == earlier.session || self.session == 0 || earlier.session == 0;
+        self.group == earlier.group && (earlier.writes || (self.writes && same_session))
+    }
+}
+
+enum Stage<P: Protocol> {
+    /// Read, and not looked at yet.
+    Queued(P::Command),
+    /// It waits for earlier commands.
+    Deferred(Box<Ask>, P::Context),
+    /// The core has it.
+    Running(RequestId, P::Context),
+    /// Its reply waits for those of earlier commands.
+    Finished(Vec<u8>),
+}
+
+struct Entry<P: Protocol> {
+    read_at: Micros,
+    access: Option<Access>,
+    /// The commit of a write that has been served.
+    commit: Option<Micros>,
+    stage: Stage<P>,
+}
+
+/// A write of this connection whose reply has left.
+struct Commit {
+    access: Access,
+    position: Micros,
+    replied_at: Micros,
+}
+
+impl<P: Protocol> Entry<P> {
+    fn finished(&self) -> bool {
+        matches!(self.stage, Stage::Finished(_))
+    }
+
+    fn request(&self) -> Option<RequestId> {
+        match self.stage {
+            Stage::Running(request, _) => Some(request),
+            _ => None,
+        }
+    }
+
+    fn buffered(&self) -> usize {
+        match &self.stage {
+            Stage::Finished(reply) => reply.len(),
+            _ => 0,
+        }
+    }
+}
+
+/// Commits that a connection remembers: as many as there can be writes beside a read in one pipeline.
+const COMMITS: usize = 8;
+
+/// A command that may begin now.
+pub struct Ready {
+    /// Which entry it is.
+    index: usize,
+    /// When its last byte was read.
+    pub read_at: Micros,
+    /// What it asks of the core.
+    pub ask: Ask,
+}
+
+/// A command that is to be looked at.
+pub struct Queued<'a, P: Protocol> {
+    /// Which entry it is.
+    pub index: usize,
+    /// The command.
+    pub command: P::Command,
+    /// What is kept of the unfinished requests before it.
+    pub unfinished: Vec<&'a P::Context>,
+}
+
+/// The commands of a connection, the first one read at the front.
+pub struct Pipeline<P: Protocol> {
+    entries: VecDeque<Entry<P>>,
+    commits: VecDeque<Commit>,
+}
+
+impl<P: Protocol> Default for Pipeline<P> {
+    fn default() -> Self {
+        Pipeline { entries: VecDeque::new(), commits: VecDeque::new() }
+    }
+}
+
+impl<P: Protocol> Pipeline<P> {
+    /// No command is owed a reply.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// Appends a command.
+    pub fn push(&mut self, command: P::Command) {
+        let read_at = P::read_at(&command);
+        self.entries.push_back(Entry { read_at, access: None, commit: None, stage: Stage::Queued(command) });
+    }
+
+    /// Takes the first command that is not looked at yet, with the contexts of the unfinished ones before it.
+    pub fn next_queued(&mut self) -> Option<Queued<'_, P>> {
+        let index = self.entries.iter().position(|entry| matches!(entry.stage, Stage::Queued(_)))?;
+        let stage = std::mem::replace(&mut self.entries[index].stage, Stage::Finished(Vec::new()));
+        let Stage::Queued(command) = stage else { return None };
+        let earlier = self.entries.range(..index).filter_map(|entry| match &entry.stage {
+            Stage::Deferred(_, context) | Stage::Running(_, context) => Some(context),
+            Stage::Queued(_) | Stage::Finished(_) => None,
+        });
+        Some(Queued { index, command, unfinished: earlier.collect() })
+    }
+
+    /// Puts a command back that can't be looked at yet.
+    pub fn put_back(&mut self, index: usize, command: P::Command) {
+        self.entries[index].stage = Stage::Queued(command);
+    }
+
+    /// A command is answered without the core.
+    pub fn reply(&mut self, index: usize, reply: Vec<u8>) {
+        self.entries[index].stage = Stage::Finished(reply);
+    }
+
+    /// A command is a request; it begins once the order of commands allows it.
+    pub fn defer(&mut self, index: usize, ask: Ask, context: P::Context) {
+        self.entries[index].access = Some(ask.access());
+        self.entries[index].stage = Stage::Deferred(Box::new(ask), context);
+    }
+
+    /// The first command from `from` on that may begin. With `only_first`, none begins behind an unfinished one.
+    pub fn next_ready(&self, from: usize, only_first: bool) -> Option<usize> {
+        (from..self.entries.len()).find(|index| {
+            let entry = &self.entries[*index];
+            let Some(access) = entry.access.filter(|_| matches!(entry.stage, Stage::Deferred(..))) else {
+                return false;
+            };
+            let mut unfinished = self.entries.range(..*index).filter(|earlier| !earlier.finished());
+            !unfinished.any(|earlier| {
+                only_first || earlier.access.as_ref().is_some_and(|earlier| access.must_follow(earlier))
+            })
+        })
+    }
+
+    /// What the command asks; it stays where it is until [`Pipeline::run`] or [`Pipeline::reply`].
+    pub fn ready(&mut self, index: usize) -> Option<Ready> {
+        let commit = self.commit_to_see(index);
+        let entry = &mut self.entries[index];
+        match std::mem::replace(&mut entry.stage, Stage::Finished(Vec::new())) {
+            Stage::Deferred(mut ask, context) => {
+                let read_at = entry.read_at;
+                entry.stage = Stage::Running(0, context);
+                ask.after = ask.after.max(commit);
+                Some(Ready { index, read_at, ask: *ask })
+            }
+            stage => {
+                entry.stage = stage;
+                None
+            }
+        }
+    }
+
+    /// The latest commit before a read that its client may not have been told of when it sent the read, or that is
+    /// of the read's own session.
+    fn commit_to_see(&self, index: usize) -> Option<Micros> {
+        let entry = &self.entries[index];
+        let read = entry.access.filter(|access| !access.writes)?;
+        let told = self.commits.iter().filter(|commit| {
+            let own = commit.access.session == read.session;
+            commit.access.group == read.group && (own || entry.read_at <= commit.replied_at)
+        });
+        let untold = self
+            .entries
+            .range(..index)
+            .filter(|earlier| earlier.access.is_some_and(|access| access.group == read.group));
+        let untold = untold.filter_map(|earlier| earlier.commit);
+        told.map(|commit| commit.position).chain(untold).max()
+    }
+
+    /// The core has the command as this request.
+    pub fn run(&mut self, ready: &Ready, request: RequestId) {
+        if let Stage::Running(number, _) = &mut self.entries[ready.index].stage {
+            *number = request;
+        }
+    }
+
+    /// Where a request stands.
+    pub fn position(&self, request: RequestId) -> Option<usize> {
+        self.entries.iter().position(|entry| entry.request() == Some(request))
+    }
+
+    /// A request has its final answer, of which `reply` makes the client's; `commit` is that of a served write.
+    pub fn finish(
+        &mut self,
+        index: usize,
+        commit: Option<Micros>,
+        reply: impl FnOnce(P::Context) -> Vec<u8>,
+    ) {
+        let entry = &mut self.entries[index];
+        entry.commit = commit.filter(|_| entry.access.is_some_and(|access| access.writes));
+        if let Stage::Running(_, context) = std::mem::replace(&mut entry.stage, Stage::Finished(Vec::new())) {
+            entry.stage = Stage::Finished(reply(context));
+        }
+    }
+
+    /// Takes the first reply, if every command before it has been answered.
+    pub fn next_reply(&mut self, now: Micros) -> Option<Vec<u8>> {
+        let entry = self.entries.pop_front_if(|entry| entry.finished())?;
+        if let Some((access, position)) = entry.access.zip(entry.commit) {
+            self.commits.truncate(COMMITS - 1);
+            self.commits.push_front(Commit { access, position, replied_at: now });
+        }
+        match entry.stage {
+            Stage::Finished(reply) => Some(reply),
+            _ => None,
+        }
+    }
+
+    /// Bytes of replies that wait for those of earlier commands.
+    pub fn buffered(&self) -> usize {
+        self.entries.iter().map(Entry::buffered).sum()
+    }
+
+    /// Requests that the core has, the first command's at the front.
+    pub fn running(&self) -> impl Iterator<Item = RequestId> {
+        self.entries.iter().filter_map(Entry::request)
+    }
+
+    /// The request of the first command that the core has and is not answered.
+    pub fn first_running(&self) -> Option<RequestId> {
+        self.running().next()
+    }
+}
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's front: simple queries, one statement each, described by the comment that they carry.
 
-use super::{Answer, Ask, Service, Step, Talk, Work, put_verdict};
+use super::{Answer, Ask, Protocol, Service, Step, Work, put_verdict};
 use crate::core::Verdict;
 use crate::net::clock::from_unix_ms;
 use crate::pg::{self, statement};
@@ -39,7 +39,8 @@
         let fields = statement::fields(text);
         let name = fields.class.ok_or("the comment names no class")?;
         let class = settings.class(name).ok_or("unknown class")?;
-        let word = if settings.classes[class].need == Need::Write { "insert" } else { "select" };
+        let writes = settings.classes[class].need == Need::Write;
+        let word = if writes { "insert" } else { "select" };
         if statement::first_word(text) != word {
             return Err("the statement does not fit its class");
         }
@@ -50,6 +51,7 @@
         }
         let ask = Ask {
             class,
+            writes,
             group: fields.group.ok_or("the comment holds no cluster, or one that is no number")?,
             session: fields.key.map(statement::session).ok_or("the statement holds no key")?,
             after: fields.after.map(from_unix_ms),
@@ -66,15 +68,16 @@
 #[derive(Default)]
 pub struct Platform;
 
-impl Talk for Platform {
+impl Protocol for Platform {
     type Command = Query;
     type Session = ();
+    type Context = ();
 
     fn read_at(query: &Query) -> Micros {
         query.at
     }
 
-    fn start(&mut self, (): &mut (), query: Query, service: Service) -> Step<Query> {
+    fn start(&mut self, (): &mut (), query: Query, service: Service) -> Step<Self> {
         let mut bytes = Vec::new();
         match query.fields {
             Ok(Asked::Empty) if service == Service::Starting => return Step::Wait(query),
@@ -85,14 +88,15 @@
             Ok(Asked::Empty) => pg::put(&mut bytes, b'I', &[]),
             Err(why) => pg::put_error(&mut bytes, "ERROR", pg::PROTOCOL_VIOLATION, why, None),
             Ok(Asked::Request(ask, place)) => {
-                return Step::Ask(Ask { work: Work::Simple { text: query.text, wait: Some(place) }, ..*ask });
+                let work = Work::Simple { text: query.text, wait: Some(place) };
+                return Step::Ask(Ask { work, ..*ask }, ());
             }
         }
         pg::put_ready(&mut bytes);
         Step::Say(bytes)
     }
 
-    fn finish(&mut self, (): &mut (), verdict: Verdict<Answer>) -> Vec<u8> {
+    fn finish(&mut self, (): &mut (), (): (), verdict: Verdict<Answer>) -> Vec<u8> {
         let mut bytes = Vec::new();
         put_verdict(&mut bytes, &verdict);
         pg::put_ready(&mut bytes);
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -6,7 +6,7 @@
 //! further one, as the implicit transaction has ended at the member.
 
 use super::unit::{Part, Prepared, Unit};
-use super::{Answer, Ask, Service, Step, Talk, Work, put_verdict};
+use super::{Answer, Ask, Protocol, Service, Step, Work, put_verdict};
 use crate::core::Verdict;
 use crate::net::clock::from_unix_ms;
 use crate::pg::{self, statement};
@@ -95,10 +95,17 @@
     flushed: bool,
 }
 
+/// A statement that a unit prepares.
+struct Parsed {
+    name: Vec<u8>,
+    prepared: Arc<Prepared>,
+    /// What stood under this name.
+    before: Option<Known>,
+}
+
 /// What is kept of a request until its answer.
-struct Open {
-    /// Names prepared, with what stood there before.
-    parsed: Vec<(Vec<u8>, Option<Known>)>,
+pub struct Open {
+    parsed: Vec<Parsed>,
     key: u64,
     end: u8,
 }
@@ -112,7 +119,6 @@
     skipping: bool,
     /// The unit has executed something before a Flush.
     executed: bool,
-    open: Option<Open>,
 }
 
 type Refusal = (&'static str, String);
@@ -208,8 +214,10 @@
         }
         let strictest = used.iter().max_by_key(|k| self.strictness(k.class)).unwrap_or(first);
         let after = used.iter().filter_map(|k| k.after).max();
+        let writes = |known: &Known| self.settings.classes[known.class].need == Need::Write;
         Ok(Ask {
             class: strictest.class,
+            writes: used.iter().any(writes),
             group: first.group,
             session: key,
             after: after.max(self.commits.get(&key).copied()),
@@ -221,7 +229,7 @@
         })
     }
 
-    fn simple(&self, session: &mut Session, message: &[u8]) -> Result<Step<Batch>, Refusal> {
+    fn simple(&self, session: &mut Session, message: &[u8]) -> Result<Step<Self>, Refusal> {
         let Some((text, [])) = pg::cstr(pg::body(message)) else { return malformed() };
         if text.trim_ascii().is_empty() {
             let mut bytes = Vec::new();
@@ -233,18 +241,18 @@
         let key = known.key;
         let wait = statement::fields(text).wait.map(|w| w.1);
         let ask = self.ask(&[known], key, Work::Simple { text: text.to_vec(), wait })?;
-        session.open = Some(Open { parsed: Vec::new(), key, end: b'Q' });
-        Ok(Step::Ask(ask))
+        session.end_unit();
+        Ok(Step::Ask(ask, Open { parsed: Vec::new(), key, end: b'Q' }))
     }
 
-    fn unit(&mut self, session: &mut Session, batch: &Batch) -> Result<Step<Batch>, Refusal> {
+    fn unit(&mut self, session: &mut Session, batch: &Batch) -> Result<Step<Self>, Refusal> {
         let (mut parts, mut used, mut key) = (Vec::new(), Vec::new(), 0);
         let mut open = Open { parsed: Vec::new(), key: 0, end: batch.end };
         let result = batch.messages.iter().try_for_each(|message| {
             self.message(session, message, &mut open, &mut parts, &mut used, &mut key)
         });
         if let Err(refusal) = result {
-            undo(session, open.parsed, 0);
+            session.undo(open.parsed, 0);
             return Err(refusal);
         }
         if used.is_empty() {
@@ -255,7 +263,7 @@
         }
         let executes = parts.iter().any(|p| matches!(p, Part::Execute { .. }));
         if executes && session.executed {
-            undo(session, open.parsed, 0);
+            session.undo(open.parsed, 0);
             return no(pg::NOT_SUPPORTED, "a further execute in a unit that was flushed after one");
         }
         session.executed |= executes;
@@ -263,8 +271,10 @@
         let careful = self.settings.classes[ask.class].effect != Effect::Safe;
         ask.work = Work::Unit(Unit { parts, careful });
         open.key = key;
-        session.open = Some(open);
-        Ok(Step::Ask(ask))
+        if batch.end != b'H' {
+            session.end_unit();
+        }
+        Ok(Step::Ask(ask, open))
     }
 
     fn message(
@@ -299,8 +309,9 @@
                 self.note(&known.prepared);
                 parts.push(Part::Parse(known.prepared.clone()));
                 used.push(known.clone());
+                let prepared = known.prepared.clone();
                 let before = session.statements.insert(name.to_vec(), known);
-                open.parsed.push((name.to_vec(), before));
+                open.parsed.push(Parsed { name: name.to_vec(), prepared, before });
             }
             b'B' => {
                 let Some((portal, rest)) = pg::cstr(body) else { return malformed() };
@@ -407,24 +418,53 @@
         if end == b'H' {
             session.portals.values_mut().for_each(|p| p.flushed = true);
         } else {
-            session.portals.clear();
-            (session.skipping, session.executed) = (false, false);
+            session.end_unit();
             pg::put_ready(&mut bytes);
         }
         bytes
     }
 }
 
-/// Takes back what a unit prepared beyond its first `kept` statements.
-fn undo(session: &mut Session, parsed: Vec<(Vec<u8>, Option<Known>)>, kept: usize) {
-    for (name, before) in parsed.into_iter().skip(kept).rev() {
-        match before {
-            Some(known) => drop(session.statements.insert(name, known)),
-            None => drop(session.statements.remove(&name)),
+impl Session {
+    /// What a Sync ends. The unit behind it may be looked at before this one is answered.
+    fn end_unit(&mut self) {
+        self.portals.clear();
+        (self.skipping, self.executed) = (false, false);
+    }
+
+    /// Takes back what a unit prepared beyond its first `kept` statements, but for names that a later unit has
+    /// prepared anew.
+    fn undo(&mut self, parsed: Vec<Parsed>, kept: usize) {
+        for Parsed { name, prepared, before } in parsed.into_iter().skip(kept).rev() {
+            if self.statements.get(&name).is_none_or(|known| !Arc::ptr_eq(&known.prepared, &prepared)) {
+                continue;
+            }
+            match before {
+                Some(known) => drop(self.statements.insert(name, known)),
+                None => drop(self.statements.remove(&name)),
+            }
         }
     }
 }
 
+/// The names of statements that a batch prepares, closes or rests on. Its own unnamed statement is its own matter.
+fn names_touched(batch: &Batch) -> Vec<&[u8]> {
+    let mut names = Vec::new();
+    let mut own_unnamed = false;
+    for message in &batch.messages {
+        let body = pg::body(message);
+        let name = match message.first() {
+            Some(b'P') => pg::cstr(body).map(|(name, _)| name),
+            Some(b'B') => pg::cstr(body).and_then(|(_, rest)| pg::cstr(rest)).map(|(name, _)| name),
+            Some(b'D' | b'C') => body.strip_prefix(b"S").and_then(pg::cstr).map(|(name, _)| name),
+            _ => None,
+        };
+        own_unnamed |= message.first() == Some(&b'P') && name == Some(b"");
+        names.extend(name.filter(|name| !name.is_empty() || !own_unnamed));
+    }
+    names
+}
+
 /// The parameters in what follows a Bind's names, if all of it is well formed.
 fn parameters(tail: &[u8]) -> Option<Vec<Option<&[u8]>>> {
     fn count(at: &mut &[u8]) -> Option<usize> {
@@ -454,15 +494,23 @@
     (at.len() == 2 * results).then_some(values)
 }
 
-impl Talk for Postgres {
+impl Protocol for Postgres {
     type Command = Batch;
     type Session = Session;
+    type Context = Open;
 
     fn read_at(batch: &Batch) -> Micros {
         batch.at
     }
 
-    fn start(&mut self, session: &mut Session, batch: Batch, service: Service) -> Step<Batch> {
+    /// A unit that rests on what an unfinished one prepares keeps its order, and so does all behind a Flush.
+    fn must_wait(batch: &Batch, unfinished: &[&Open]) -> bool {
+        let touched = names_touched(batch);
+        let prepares = |open: &&&Open| open.parsed.iter().any(|p| touched.contains(&&p.name[..]));
+        unfinished.iter().any(|open| open.end == b'H' || prepares(&open))
+    }
+
+    fn start(&mut self, session: &mut Session, batch: Batch, service: Service) -> Step<Self> {
         if session.skipping && batch.end != b'S' {
             return Step::Say(Vec::new());
         }
@@ -489,12 +537,11 @@
         std::mem::take(&mut self.news)
     }
 
-    fn finish(&mut self, session: &mut Session, verdict: Verdict<Answer>) -> Vec<u8> {
+    fn finish(&mut self, session: &mut Session, open: Open, verdict: Verdict<Answer>) -> Vec<u8> {
         let mut bytes = Vec::new();
         put_verdict(&mut bytes, &verdict);
-        let Some(open) = session.open.take() else { return bytes };
         let (parses, error) = tally(&bytes);
-        undo(session, open.parsed, if error { parses } else { usize::MAX });
+        session.undo(open.parsed, if error { parses } else { usize::MAX });
         session.skipping |= error && open.end == b'H';
         if let Verdict::Served(Answer { commit: Some(commit), .. }) = verdict
             && !error
@@ -509,7 +556,14 @@
                 self.commits.remove(&oldest);
             }
         }
-        self.end(session, open.end, bytes)
+        match open.end {
+            b'H' => self.end(session, open.end, bytes),
+            // A unit behind it may be under way: what this one's Sync ends was ended when it began.
+            _ => {
+                pg::put_ready(&mut bytes);
+                bytes
+            }
+        }
     }
 }
 
--- /dev/null
+++ b/src/front/tests.rs
@@ -0,0 +1,63 @@
+use super::platform::{Asked, Platform, Query};
+use super::*;
+
+const GROUP: u32 = 2;
+const CLIENT: ClientId = 16;
+
+fn query(id: u8) -> Said<Query> {
+    let ask = Ask {
+        class: 0,
+        writes: false,
+        group: GROUP,
+        session: 7,
+        after: None,
+        repeat: false,
+        name: vec![id],
+        wait: 1_000_000,
+        work: Work::Simple { text: Vec::new(), wait: None },
+    };
+    Said::Command(Query { at: 0, text: Vec::new(), fields: Ok(Asked::Request(Box::new(ask), 0..0)) })
+}
+
+fn taken(out: Vec<Out>) -> Vec<RequestId> {
+    let id = |out: Out| if let Out::Take(arrival) = out { Some(arrival.request.id) } else { None };
+    out.into_iter().filter_map(id).collect()
+}
+
+fn written(out: Vec<Out>) -> Vec<Vec<u8>> {
+    let bytes = |out: Out| if let Out::Write(_, bytes) = out { Some(bytes) } else { None };
+    out.into_iter().filter_map(bytes).collect()
+}
+
+fn served(length: usize) -> Verdict<Answer> {
+    Verdict::Served(Answer { bytes: vec![b'.'; length], commit: None })
+}
+
+#[test]
+fn a_reply_that_the_reorder_buffers_have_no_room_for_becomes_an_error() {
+    let (mut lobby, mut desk) = (Lobby::new(Platform, 1000), Desk::default());
+    lobby.said(&mut desk, 0, CLIENT, Said::Connected { secret: 1 });
+    let requests: Vec<_> =
+        (1..=3).flat_map(|id| taken(lobby.said(&mut desk, 0, CLIENT, query(id)))).collect();
+    assert_eq!(requests.len(), 3, "they run side by side");
+    assert!(written(lobby.answer(&mut desk, 1, CLIENT, requests[2], served(900))).is_empty());
+    assert!(written(lobby.answer(&mut desk, 2, CLIENT, requests[1], served(900))).is_empty());
+    let replies = written(lobby.answer(&mut desk, 3, CLIENT, requests[0], served(5000)));
+    assert_eq!(replies.len(), 3);
+    assert!(replies[0].len() > 5000, "the first one waits for nothing and needs no room");
+    assert!(replies[1].windows(5).any(|code| code == b"08007"));
+    assert!(replies[2].len() > 900);
+    assert_eq!(lobby.reordered, 0);
+}
+
+#[test]
+fn what_a_client_that_left_had_waiting_takes_no_room_any_more() {
+    let (mut lobby, mut desk) = (Lobby::new(Platform, 1000), Desk::default());
+    lobby.said(&mut desk, 0, CLIENT, Said::Connected { secret: 1 });
+    let requests: Vec<_> =
+        (1..=2).flat_map(|id| taken(lobby.said(&mut desk, 0, CLIENT, query(id)))).collect();
+    lobby.answer(&mut desk, 1, CLIENT, requests[1], served(900));
+    assert!(lobby.reordered >= 900);
+    lobby.said(&mut desk, 2, CLIENT, Said::Gone);
+    assert_eq!(lobby.reordered, 0);
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -147,8 +147,9 @@
         None => budget / 2,
     };
     let settings = Arc::new(config.settings.clone());
-    let postgres = extended.map(|listen| Postgres::new(listen, settings.clone()).map(Lobby::new));
+    let postgres = extended.map(|listen| Postgres::new(listen, settings.clone()));
     let postgres = postgres.transpose().map_err(std::io::Error::other)?;
+    let reordered = config.memory / 8;
     let core = Core::new(config.settings.clone(), config.seed, clock.now(), links);
     let (alive, written) = bounded(0);
     let memory = config.memory;
@@ -166,8 +167,8 @@
     let mut host = Host {
         clock,
         core,
-        platform: Lobby::new(Platform),
-        postgres,
+        platform: Lobby::new(Platform, reordered),
+        postgres: postgres.map(|postgres| Lobby::new(postgres, reordered)),
         desk: Desk::default(),
         settings,
         store,
--- a/tests/proxy/crossings.rs
+++ b/tests/proxy/crossings.rs
@@ -11,14 +11,14 @@
 
 /// The program with operators' calls, where only attempts open connections to members, which may take long to
 /// come up; `more` changes the configuration further.
-fn patient(more: &str) -> String {
+pub fn patient(more: &str) -> String {
     let edit = "s/\"probes\":true/\"probes\":false,\"dial_timeout_us\":10000000/";
     format!(
         "sed -i '{edit};{more}' \"$GW_CONFIG\"; export GW_OPS=127.0.0.1:0; exec \"$0\" serve --postgres \"$1\""
     )
 }
 
-fn told(proxy: &Proxy, figure: &str) {
+pub fn told(proxy: &Proxy, figure: &str) {
     let begun = Instant::now();
     while !proxy.control("GET", "counters").1.contains(figure) {
         assert!(begun.elapsed() < Duration::from_secs(10), "{figure} never comes");
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -6,5 +6,6 @@
 mod daemon;
 mod extended;
 mod operations;
+mod pipelining;
 mod platform;
 mod rig;
--- a/tests/proxy/rig.rs
+++ b/tests/proxy/rig.rs
@@ -4,6 +4,7 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -32,6 +33,10 @@
     ServeThenDrop,
     /// Answers, then closes the idle connection.
     ServeAndClose,
+    /// Answers with this value.
+    Value(&'static str),
+    /// Takes the request, and answers with this value once it is released.
+    Hold(&'static str),
 }
 
 #[derive(Default)]
@@ -52,6 +57,10 @@
     pub ended: Arc<Mutex<Receiver<&'static str>>>,
     /// Greetings are held back.
     held: Arc<(Mutex<bool>, Condvar)>,
+    /// Answers that may be given of those that are held.
+    released: Arc<(Mutex<usize>, Condvar)>,
+    /// Milliseconds by which its data is behind.
+    lag: Arc<AtomicU64>,
 }
 
 pub fn now_ms() -> u64 {
@@ -88,6 +97,8 @@
             seen: Arc::default(),
             ended: Arc::new(Mutex::new(ended)),
             held: Arc::default(),
+            released: Arc::default(),
+            lag: Arc::default(),
         };
         let at = server.clone();
         std::thread::spawn(move || {
@@ -113,6 +124,21 @@
         self.held.1.notify_all();
     }
 
+    /// Lets go of so many answers that are held.
+    pub fn release(&self, answers: usize) {
+        *self.released.0.lock().unwrap() += answers;
+        self.released.1.notify_all();
+    }
+
+    /// Its data is behind by so many milliseconds from now on.
+    pub fn lag(&self, millis: u64) {
+        self.lag.store(millis, Ordering::SeqCst);
+    }
+
+    fn position(&self) -> u64 {
+        now_ms() - self.lag.load(Ordering::SeqCst)
+    }
+
     pub fn plan(&self, does: &[Does]) {
         self.seen.lock().unwrap().plan.extend(does);
     }
@@ -165,7 +191,7 @@
             let mut seen = self.seen.lock().unwrap();
             if tag == b'Q' && cstr(&body).0 == "SHOW health" {
                 drop(seen);
-                let report = format!("x0={:.3},x1={}", now_ms() as f64 / 1e3, u8::from(self.primary));
+                let report = format!("x0={:.3},x1={}", self.position() as f64 / 1e3, u8::from(self.primary));
                 self.row(&mut out, report.as_bytes());
                 self.ready(&mut out);
                 stream.write_all(&std::mem::take(&mut out)).ok()?;
@@ -201,6 +227,14 @@
                     while message(&mut stream).is_some() {}
                     return None;
                 }
+                Does::Hold(_) if tag == b'Q' || tag == b'E' => {
+                    let _ = words.send("hold");
+                    let mut released = self.released.0.lock().unwrap();
+                    while *released == 0 {
+                        released = self.released.1.wait(released).unwrap();
+                    }
+                    *released -= 1;
+                }
                 Does::Reset(at) if at == tag => return None,
                 Does::HalfAnswer if tag == b'Q' || tag == b'E' => {
                     out.extend(b"D\0\0\0\x20half");
@@ -211,13 +245,14 @@
                 }
                 _ => {}
             }
+            let value = if let Does::Value(value) | Does::Hold(value) = act { value } else { "value" };
             match (tag, error) {
                 (b'Q' | b'E', Some(code)) if !failed => {
                     put(&mut out, b'E', format!("SERROR\0C{code}\0Mplanned\0\0").as_bytes());
                     failed = true;
                 }
                 _ if failed => {}
-                (b'Q', _) => self.row(&mut out, b"value"),
+                (b'Q', _) => self.row(&mut out, value.as_bytes()),
                 (b'P', _) => {
                     prepared.insert(first, cstr(cstr(&body).1).0);
                     put(&mut out, b'1', &[]);
@@ -235,7 +270,8 @@
                     put(&mut out, b'n', &[]);
                 }
                 (b'E', _) => {
-                    put(&mut out, b'D', &[&[0, 1, 0, 0, 0, 5][..], b"value"].concat());
+                    let length = (value.len() as u32).to_be_bytes();
+                    put(&mut out, b'D', &[&[0, 1][..], &length, value.as_bytes()].concat());
                     put(&mut out, b'C', b"DONE\0");
                 }
                 (b'C', _) => put(&mut out, b'3', &[]),
@@ -271,7 +307,7 @@
     fn ready(&self, out: &mut Vec<u8>) {
         let role = if self.primary { "off" } else { "on" };
         put(out, b'S', format!("recovery\0{role}\0").as_bytes());
-        put(out, b'S', format!("lsn_ms\0{}\0", now_ms()).as_bytes());
+        put(out, b'S', format!("lsn_ms\0{}\0", self.position()).as_bytes());
         put(out, b'Z', b"I");
     }
 }
