--- a/src/balance.rs
+++ b/src/balance.rs
@@ -4,7 +4,7 @@
 //! out at each member and sends a read to the group's replica with the fewest, ties in turn; writes and reads
 //! of the latest data go to the member last heard as primary. What departs from it is marked "Departure".
 
-use crate::interface::*;
+use crate::{interface::*, random::RandomSource};
 use std::collections::BTreeMap;
 
 const TICK_BATCHES: u64 = 4; // Batches between two runs of the periodic work (held requests, probes).
@@ -74,10 +74,10 @@
 
 #[derive(Default)]
 struct Server {
-    id: ServerId,
+    id: EndpointId,
     group: GroupId,
     zone: u32,
-    listed: Listed,
+    listed: EndpointState,
     drained: bool, // It has been listed as draining since it was last in service.
     vouched: bool, // It stood in the first list, or has answered.
     hint: bool,
@@ -142,12 +142,12 @@
 #[derive(Default)]
 pub struct Router {
     cfg: Settings,
-    seed: u64,
+    random: RandomSource,
     now: Micros,
     tick_due: Micros,
     stalled: Micros, // When this router last came back from standing still.
     servers: Vec<Server>,
-    index: BTreeMap<ServerId, usize>,
+    index: BTreeMap<EndpointId, usize>,
     groups: BTreeMap<GroupId, Group>,
     requests: BTreeMap<RequestId, Pending>,
     commits: BTreeMap<u64, (GroupId, Micros)>,
@@ -179,7 +179,7 @@
             unchecked: settings.when_behind == WhenBehind::Answers,
             tenant_rate: vec![(0.0, now); settings.quotas.len()],
             cfg: settings,
-            seed,
+            random: RandomSource::new(seed),
             now,
             born: now,
             base,
@@ -196,7 +196,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.tick_due == 0 {
-            let after = 1 + self.random(self.tick_span());
+            let after = 1 + self.random.below(self.tick_span());
             self.tick_due = self.now + after;
             out.push(Action::Timer { token: TICK, after });
             out.extend(self.cfg.list_on_request.then_some(Action::Subscribe));
@@ -204,11 +204,11 @@
             (self.stalled, self.tick_due) = (self.now, self.now);
         }
         match event {
-            Event::List { full, members } => self.on_list(full, members, out),
-            Event::ListFailed => out.push(Action::Timer { token: ASK, after: ASK_AGAIN }),
+            Event::EndpointUpdate { full, members } => self.on_list(full, members, out),
+            Event::EndpointListFailed => out.push(Action::Timer { token: ASK, after: ASK_AGAIN }),
             Event::Timer(ASK) => out.push(Action::Subscribe),
             Event::Request(req) => self.on_request(req, out),
-            Event::Outcome(ended) => self.on_outcome(ended, out),
+            Event::AttemptEnded(ended) => self.on_outcome(ended, out),
             Event::Probed { server, answered, report } => {
                 if let Some(&s) = self.index.get(&server) {
                     (self.servers[s].probing, self.servers[s].silent) = (false, !answered);
@@ -232,29 +232,18 @@
 
     /// How many members the list names, and how many of them are avoided now.
     pub fn members(&self) -> (usize, usize) {
-        let listed = self.servers.iter().filter(|v| v.listed != Listed::Gone);
-        let avoided = listed.clone().filter(|v| v.aside || v.down || v.listed == Listed::Draining);
+        let listed = self.servers.iter().filter(|v| v.listed != EndpointState::Gone);
+        let avoided = listed.clone().filter(|v| v.aside || v.down || v.listed == EndpointState::Draining);
         (listed.count(), avoided.count())
     }
 
-    fn random(&mut self, below: u64) -> u64 {
-        self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let z = (self.seed ^ (self.seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (z ^ (z >> 31)) % below.max(1)
-    }
-
-    fn chance(&mut self) -> f64 {
-        self.random(u64::from(u32::MAX)) as f64 / f64::from(u32::MAX)
-    }
-
     fn tick_span(&self) -> Micros {
         (self.cfg.resolution * TICK_BATCHES).max(TICK_MIN)
     }
 
-    fn on_list(&mut self, full: bool, members: Vec<Member>, out: &mut Vec<Action>) {
+    fn on_list(&mut self, full: bool, members: Vec<EndpointEntry>, out: &mut Vec<Action>) {
         for s in self.servers.iter_mut().filter(|s| full && !members.iter().any(|m| m.server == s.id)) {
-            s.listed = Listed::Gone;
+            s.listed = EndpointState::Gone;
         }
         let (first, now, mut named) = (self.servers.is_empty(), self.now, Vec::new());
         for m in members {
@@ -262,7 +251,7 @@
                 Some(&s) => s,
                 None => {
                     // The place of one that is forgotten is used again: members may come and go for ever.
-                    let gone = |v: &Server| v.listed == Listed::Gone && now > v.last_answer + FORGET;
+                    let gone = |v: &Server| v.listed == EndpointState::Gone && now > v.last_answer + FORGET;
                     let s = self.servers.iter().position(|v| gone(v) && v.out.is_empty());
                     let s = s.unwrap_or(self.servers.len());
                     self.servers.resize_with(self.servers.len().max(s + 1), Server::default);
@@ -271,8 +260,8 @@
                         g.members.retain(|m| *m != s);
                         g.primary = g.primary.filter(|p| *p != s);
                     }
-                    let probe_at = now + self.random(PROBE_MIN * Micros::from(self.cfg.instances));
-                    let turn = self.random(TURN_START);
+                    let probe_at = now + self.random.below(PROBE_MIN * Micros::from(self.cfg.instances));
+                    let turn = self.random.below(TURN_START);
                     // A trial comes first where it costs no time: where trials reach all members in a second.
                     let trials = decay(self.rate.0, self.rate.1, now) * TRIAL_SHARE;
                     let doubted = !first && (m.started == 0 || trials > self.servers.len() as f64);
@@ -308,7 +297,8 @@
                 named.push(m.group);
             }
             (v.listed, v.hint, v.zone) = (m.listed, m.primary_hint, m.zone);
-            v.drained = m.listed == Listed::Draining || (v.drained && m.listed != Listed::Ready);
+            v.drained =
+                m.listed == EndpointState::Draining || (v.drained && m.listed != EndpointState::Ready);
         }
         let usable: Vec<_> = (0..self.servers.len()).filter(|s| self.usable(*s)).collect();
         self.members = usable.len() as f64;
@@ -318,7 +308,7 @@
     }
 
     /// A report is as old as it says; a primary's position is the time of its report.
-    fn on_report(&mut self, s: usize, report: Report) {
+    fn on_report(&mut self, s: usize, report: LoadReport) {
         if let Some(position) = report.position {
             self.on_position(s, position);
             if let Some(role) = report.role {
@@ -378,7 +368,7 @@
     fn usable(&self, s: usize) -> bool {
         let v = &self.servers[s];
         let doubted = self.cfg.only_draining_binds && !v.drained && v.vouched && !v.down;
-        v.listed == Listed::Ready || (v.listed == Listed::Gone && doubted)
+        v.listed == EndpointState::Ready || (v.listed == EndpointState::Gone && doubted)
     }
 
     /// Departure: a member whose failures stand out is set aside and taken back by single trials. Guards
@@ -394,7 +384,7 @@
             let log = || Action::Log(format!("member {:012x} set aside: {why}", v.id.0));
             out.extend((!v.aside).then(log));
             v.aside = true;
-            self.servers[s].trial_at = now + TRIAL_WAIT + self.random(TRIAL_WAIT);
+            self.servers[s].trial_at = now + TRIAL_WAIT + self.random.below(TRIAL_WAIT);
         } else if v.aside && v.fault <= FAULT_LIMIT / 2.0 + self.fault_all {
             v.aside = false;
         } else if bad == 0.0 {
@@ -404,7 +394,7 @@
 
     fn on_request(&mut self, req: Request, out: &mut Vec<Action>) {
         let now = self.now;
-        let luck = self.chance();
+        let luck = self.random.fraction();
         self.rate = (decay(self.rate.0, self.rate.1, now) + 1e6 / RATE_SPAN, now);
         self.retries = (self.retries + RETRY_SHARE).min((self.rate.0 * RETRY_SHARE).max(1.0));
         self.trials = (self.trials + TRIAL_SHARE).min(1.0);
@@ -420,9 +410,11 @@
             }
         }
         let need = match class.need {
-            Need::Latest => now,
-            Need::OwnWrites if self.cfg.remember_commits => self.commits.get(&req.session).map_or(0, |c| c.1),
-            Need::OwnWrites => req.since_write.map_or(0, |ago| now.saturating_sub(ago)),
+            Requirement::Latest => now,
+            Requirement::ReadYourWrites if self.cfg.remember_commits => {
+                self.commits.get(&req.session).map_or(0, |c| c.1)
+            }
+            Requirement::ReadYourWrites => req.since_write.map_or(0, |ago| now.saturating_sub(ago)),
             _ => 0,
         };
         let (id, deadline, aim_at) = (req.id, now + req.remaining, now + class.aim.min(req.remaining));
@@ -435,10 +427,10 @@
     fn advance(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(p) = self.requests.get(&id) else { return };
         let class = self.cfg.classes[p.req.class].clone();
-        let window = match class.effect {
-            Effect::Safe => f64::INFINITY,
-            Effect::Keyed { window, .. } => window as f64 * WINDOW_USED,
-            Effect::Unsafe => 0.0,
+        let window = match class.idempotency {
+            Idempotency::Idempotent => f64::INFINITY,
+            Idempotency::Keyed { window, .. } => window as f64 * WINDOW_USED,
+            Idempotency::AtMostOnce => 0.0,
         };
         let may_send = p.ran.is_none_or(|ran| ((self.now - ran) as f64) < window);
         let end = if class.late_share > 0.0 { p.deadline } else { p.aim_at };
@@ -448,7 +440,7 @@
             return self.give_up(id, out);
         }
         let choice = match class.need {
-            Need::Write | Need::Latest => self.choose_primary(id),
+            Requirement::Write | Requirement::Latest => self.choose_primary(id),
             _ => self.choose_replica(id, out),
         };
         match choice {
@@ -493,7 +485,7 @@
             return self.rest(id);
         }
         // Where members do not check, reads leave the search to writes and probes.
-        let blind = self.unchecked && self.cfg.classes[class].need == Need::Latest;
+        let blind = self.unchecked && self.cfg.classes[class].need == Requirement::Latest;
         if blind || (p.missed == 0 && self.now < group.round_at) {
             return Choice::Hold;
         }
@@ -542,7 +534,7 @@
         open.retain(|s| self.usable(*s) && !p.tried.contains(s));
         let any_well = self.groups[&p.req.group].members.iter().any(|s| self.well(*s));
         if p.attempts == 0
-            && self.cfg.classes[index].effect == Effect::Safe
+            && self.cfg.classes[index].idempotency == Idempotency::Idempotent
             && any_well
             && self.trials >= 1.0
             && let Some(s) = open.iter().copied().find(|s| self.trial_due(*s) && self.may_answer(p, *s))
@@ -582,7 +574,7 @@
     /// The position that a read needs, 0 for none.
     fn need(&self, p: &Pending) -> Micros {
         match self.cfg.classes[p.req.class].need {
-            Need::Recent(bound) => self.now.saturating_sub(bound),
+            Requirement::BoundedStaleness(bound) => self.now.saturating_sub(bound),
             _ => p.need,
         }
     }
@@ -606,7 +598,7 @@
         let well = |s: &usize| self.well(*s) && group.primary != Some(*s);
         let gathers = group.members.iter().copied().filter(well).min_by_key(|s| self.servers[*s].id);
         let gathers = gathers.filter(|_| (0..self.base.len()).any(|c| self.long(c)));
-        let linked = |s: &&usize| self.now < self.servers[**s].used + self.cfg.conn_idle * USED / 100;
+        let linked = |s: &&usize| self.now < self.servers[**s].used + self.cfg.idle_timeout * USED / 100;
         let linked: Vec<_> = open.iter().filter(|s| group.primary != Some(**s) && linked(s)).collect();
         let mut best = None;
         for &s in open {
@@ -639,7 +631,8 @@
         let class = &self.cfg.classes[p.req.class];
         let top = self.cfg.classes.iter().zip(&self.base).map(|(c, b)| c.worth / b.0).fold(0.0, f64::max);
         // Writes rank by what is left of their own worth, as they can go nowhere but to the primary.
-        let best = if class.need == Need::Write { class.worth / self.base[p.req.class].0 } else { top };
+        let best =
+            if class.need == Requirement::Write { class.worth / self.base[p.req.class].0 } else { top };
         let rank = (p.worth / self.base[p.req.class].0 / best.max(1e-12)).clamp(0.0, 1.0).sqrt();
         // A primary is kept for what only it can do: all else ranks lower there.
         let rank = if self.part(s) > self.bound(p.req.class) { rank * ROOM_CHEAP } else { rank };
@@ -685,7 +678,7 @@
         let asked = (asked / self.groups.len() as f64).max(self.each()).max(1e-12);
         let credit = if credit { self.cold_rate(s, bound) / asked * base + work.min(0.0) } else { 0.0 };
         let stake = work.max(credit).clamp(0.0, base);
-        let won = stake >= base * self.chance();
+        let won = stake >= base * self.random.fraction();
         let left = (work - stake).max(-base) + if won { base } else { 0.0 };
         self.servers[s].cold_work[bound] = (left, self.now);
         won
@@ -693,7 +686,7 @@
 
     fn long(&self, class: usize) -> bool {
         let lightest = self.base.iter().map(|b| b.0).fold(f64::INFINITY, f64::min);
-        self.cfg.classes[class].need == Need::Any && self.base[class].0 > LONG * lightest
+        self.cfg.classes[class].need == Requirement::Any && self.base[class].0 > LONG * lightest
     }
 
     /// Cold by the list, without connections, or back from that so lately that the list may not say so yet.
@@ -705,7 +698,7 @@
 
     /// 1 for a class that only the primary can serve.
     fn bound(&self, class: usize) -> usize {
-        usize::from(matches!(self.cfg.classes[class].need, Need::Write | Need::Latest))
+        usize::from(matches!(self.cfg.classes[class].need, Requirement::Write | Requirement::Latest))
     }
 
     fn cold_rate(&self, s: usize, bound: usize) -> f64 {
@@ -747,10 +740,10 @@
         let p = self.requests.get_mut(&id).expect("just found");
         let (class, base) = (&self.cfg.classes[class], self.base[class].0);
         let end = if class.late_share > 0.0 || now >= p.aim_at { p.deadline } else { p.aim_at };
-        let most = match class.effect {
-            _ if search && class.effect != Effect::Unsafe => base * TRIAL_TIME,
-            Effect::Keyed { window, .. } => (window as f64 * WINDOW_TRY).max(KEYED_TIME * base),
-            Effect::Safe | Effect::Unsafe => f64::INFINITY,
+        let most = match class.idempotency {
+            _ if search && class.idempotency != Idempotency::AtMostOnce => base * TRIAL_TIME,
+            Idempotency::Keyed { window, .. } => (window as f64 * WINDOW_TRY).max(KEYED_TIME * base),
+            Idempotency::Idempotent | Idempotency::AtMostOnce => f64::INFINITY,
         };
         let (timeout, attempt) = ((end - now).min(most as Micros), p.attempts);
         (p.attempts, p.held, p.flying) = (attempt + 1, None, Some(attempt));
@@ -768,8 +761,11 @@
     /// data that was fresh enough when a member was picked, and a primary that is none any more.
     fn begins(&self, p: &Pending, s: usize) -> Micros {
         match (self.cfg.classes[p.req.class].need, self.part(s)) {
-            (Need::Any | Need::Write, _) | (Need::OwnWrites | Need::Latest, 0) => Micros::MAX,
-            (Need::Recent(bound), 0) => (self.servers[s].position + bound).saturating_sub(self.now),
+            (Requirement::Any | Requirement::Write, _)
+            | (Requirement::ReadYourWrites | Requirement::Latest, 0) => Micros::MAX,
+            (Requirement::BoundedStaleness(bound), 0) => {
+                (self.servers[s].position + bound).saturating_sub(self.now)
+            }
             _ => NOTICE / 2,
         }
     }
@@ -777,12 +773,13 @@
     /// The final answer of a request that is given up, at once.
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(p) = self.requests.get(&id) else { return };
-        let Class { effect, aim, .. } = self.cfg.classes[p.req.class];
-        let anywhere = matches!(effect, Effect::Safe | Effect::Keyed { anywhere: true, .. });
+        let Class { idempotency, aim, .. } = self.cfg.classes[p.req.class];
+        let anywhere =
+            matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { anywhere: true, .. });
         if anywhere || (p.ran.is_none() && p.flying.is_none()) {
-            let wait = aim / 2 + self.random(aim / 2);
+            let wait = aim / 2 + self.random.below(aim / 2);
             let retry_after = if self.cfg.retry_after { wait.min(self.cfg.max_retry_after) } else { 0 };
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Reject { request: id, retry_after });
         } else {
             out.push(Action::Fail(id));
         }
@@ -798,8 +795,9 @@
         }
     }
 
-    fn on_outcome(&mut self, ended: Ended, out: &mut Vec<Action>) {
-        let Ended { request: id, attempt, server, outcome, elapsed, note, finished, report } = ended;
+    fn on_outcome(&mut self, ended: AttemptResult, out: &mut Vec<Action>) {
+        let AttemptResult { request: id, attempt, server, outcome, elapsed, metadata, finished, report } =
+            ended;
         let Some(&s) = self.index.get(&server) else { return };
         let now = self.now;
         let mine = |o: &Out| o.request == id && o.attempt == attempt;
@@ -809,16 +807,16 @@
         let before = self.groups.get(&group_id).and_then(|g| g.primary);
         let need = self.cfg.classes[o.class].need;
         let silent = self.servers[s].last_answer < o.sent && o.sent >= self.stalled;
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Miss) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::NotServable) {
             self.servers[s].last_answer = now;
             if outcome != Outcome::Error {
                 self.heard(s);
             }
         }
-        if let Some(role) = note.role {
+        if let Some(role) = metadata.role {
             self.on_role(s, role, now);
         }
-        if let Some(position) = note.position {
+        if let Some(position) = metadata.position {
             self.on_position(s, position);
         }
         self.on_report(s, report);
@@ -836,7 +834,7 @@
                 // Guards against taking a few broken connections for the end of the process.
                 let v = &mut self.servers[s];
                 v.broken_at = if v.broken_at == 0 { now } else { v.broken_at };
-                let dead = v.listed != Listed::Ready || now > v.broken_at + DEAD_AFTER;
+                let dead = v.listed != EndpointState::Ready || now > v.broken_at + DEAD_AFTER;
                 v.down |= dead && outcome == Outcome::ConnectFailed;
                 let gain = if v.down { TRIAL_GAIN } else { gain };
                 self.fault(s, 1.0, gain, "no connection", out);
@@ -846,13 +844,13 @@
             Outcome::TimedOut | Outcome::Full => {
                 self.took(s, o, elapsed, false);
                 if silent {
-                    self.servers[s].down |= self.servers[s].listed == Listed::Gone;
+                    self.servers[s].down |= self.servers[s].listed == EndpointState::Gone;
                     self.fault(s, 1.0, gain, "no answer", out);
                 }
             }
-            Outcome::Miss if need != Need::Write => {
+            Outcome::NotServable if need != Requirement::Write => {
                 let wanted = match need {
-                    Need::Recent(bound) => o.sent.saturating_sub(bound),
+                    Requirement::BoundedStaleness(bound) => o.sent.saturating_sub(bound),
                     _ => self.requests.get(&id).map_or(0, |p| p.need),
                 };
                 // Of a request that is over, nobody knows any more what it wanted.
@@ -861,7 +859,7 @@
                     (v.lag, v.position_at) = (v.lag.max(now.saturating_sub(wanted) as f64), now);
                 }
             }
-            Outcome::Miss => {
+            Outcome::NotServable => {
                 self.servers[s].replica_at = now;
                 if let Some(g) = self.groups.get_mut(&group_id)
                     && g.primary == Some(s)
@@ -873,21 +871,21 @@
         }
         if let Some(p) = self.requests.get_mut(&id) {
             p.flying = None;
-            let commit = outcome == Outcome::Ok && need == Need::Write && self.cfg.remember_commits;
+            let commit = outcome == Outcome::Ok && need == Requirement::Write && self.cfg.remember_commits;
             if commit && p.req.session != 0 {
-                self.commits.insert(p.req.session, (group_id, note.position.unwrap_or(now)));
+                self.commits.insert(p.req.session, (group_id, metadata.position.unwrap_or(now)));
             }
-            use Outcome::{ConnectFailed, Full, Miss, Moot};
-            if !matches!(outcome, Full | ConnectFailed | Moot | Miss) {
+            use Outcome::{ConnectFailed, Full, NeverSent, NotServable};
+            if !matches!(outcome, Full | ConnectFailed | NeverSent | NotServable) {
                 p.ran = Some(p.ran.unwrap_or(o.sent).min(o.sent));
             }
-            if outcome != Outcome::Error || !matches!(need, Need::Write | Need::Latest) {
+            if outcome != Outcome::Error || !matches!(need, Requirement::Write | Requirement::Latest) {
                 p.tried.push(s);
             }
             // Guards against lost writes, which are not sent again, using up the retries of reads.
-            let over = p.ran.is_some() && self.cfg.classes[o.class].effect == Effect::Unsafe;
+            let over = p.ran.is_some() && self.cfg.classes[o.class].idempotency == Idempotency::AtMostOnce;
             let usual = if outcome == Outcome::Full { 1.0 } else { (elapsed as f64 / base).min(1.0) };
-            let cost = if over || matches!(outcome, Miss | Moot) { 0.0 } else { usual };
+            let cost = if over || matches!(outcome, NotServable | NeverSent) { 0.0 } else { usual };
             if finished {
                 self.finish(id, out);
             } else if self.retries < cost {
@@ -981,7 +979,7 @@
         for s in 0..all {
             let v = &self.servers[s];
             let bound = v.drained || !v.vouched || !self.cfg.only_draining_binds;
-            if v.probing || now < v.probe_at || (v.listed != Listed::Ready && bound) {
+            if v.probing || now < v.probe_at || (v.listed != EndpointState::Ready && bound) {
                 continue;
             }
             let group = &self.groups[&v.group];
@@ -992,7 +990,7 @@
             if hurry == 1 && now < v.position_at + span {
                 continue; // Answers have told the same lately.
             }
-            self.servers[s].probe_at = now + span - span / 8 + self.random(span / 4);
+            self.servers[s].probe_at = now + span - span / 8 + self.random.below(span / 4);
             self.ask(s, out);
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -10,8 +10,8 @@
 pub use pool::LinkId;
 
 use crate::{
-    Action, Effect as Repeats, Ended, Event, Listed, Member, Micros, Note, Outcome, Report, RequestId,
-    Router, ServerId, Settings,
+    Action, AttemptResult, EndpointEntry, EndpointId, EndpointState, Event, Idempotency, LoadReport, Micros,
+    Outcome, RequestId, ResponseMetadata, Router, Settings,
 };
 use pool::Pool;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -73,9 +73,9 @@
     /// Exactly as the protocol's table classifies it.
     pub outcome: Outcome,
     /// What the answer says of the member.
-    pub note: Note,
+    pub metadata: ResponseMetadata,
     /// The report that came with it.
-    pub report: Report,
+    pub report: LoadReport,
     /// What goes to the client, if served.
     pub answer: Option<A>,
 }
@@ -83,7 +83,7 @@
 impl<A> Ending<A> {
     /// An ending that tells nothing but its outcome.
     pub fn plain(outcome: Outcome) -> Self {
-        Ending { outcome, note: Note::default(), report: Report::default(), answer: None }
+        Ending { outcome, metadata: ResponseMetadata::default(), report: LoadReport::default(), answer: None }
     }
 }
 
@@ -98,7 +98,7 @@
         /// The entries are the whole list.
         full: bool,
         /// The entries, with where each is reached.
-        members: Vec<(Member, SocketAddr)>,
+        members: Vec<(EndpointEntry, SocketAddr)>,
     },
     /// A link has ended its job.
     Ended {
@@ -207,7 +207,7 @@
     link: LinkId,
     /// The link was idle before.
     reused: bool,
-    server: ServerId,
+    server: EndpointId,
     sent: Micros,
     purpose: Purpose,
     /// It is being abandoned, for this reason.
@@ -329,10 +329,11 @@
                 self.pool.listed(now, full, &members, close);
                 let (mut out, mut stay) = (BTreeSet::new(), BTreeSet::new());
                 for (m, _) in &members {
-                    let _ = if m.listed == Listed::Ready { &mut stay } else { &mut out }.insert(m.server);
+                    let _ =
+                        if m.listed == EndpointState::Ready { &mut stay } else { &mut out }.insert(m.server);
                 }
                 let members = members.into_iter().map(|(m, _)| m).collect();
-                self.tell(now, Event::List { full, members });
+                self.tell(now, Event::EndpointUpdate { full, members });
                 self.recall(|_, r| out.contains(&r.server) || (full && !stay.contains(&r.server)));
             }
             Input::Ended { link, job, ending, open } => {
@@ -388,7 +389,7 @@
                 Alarm::Deadline(request) => self.overdue(now, request),
                 Alarm::Sweep => {
                     self.timers.set(now + SWEEP, Alarm::Sweep);
-                    let old = now.saturating_sub(self.settings.conn_idle * IDLE_KEPT / 100);
+                    let old = now.saturating_sub(self.settings.idle_timeout * IDLE_KEPT / 100);
                     self.pool.retire(old, &mut |link| self.effects.push(Effect::Close(link)));
                 }
             }
@@ -402,11 +403,13 @@
             return;
         };
         self.tally.taken += 1;
-        if self.requests.len() >= self.settings.most_held {
+        if self.requests.len() >= self.settings.max_pending {
             return self.answer(id, request.class, Verdict::Refused { retry_after: 0 });
         }
-        let (safe, once) = (class.effect == Repeats::Safe, class.effect == Repeats::Unsafe);
-        let window = if let Repeats::Keyed { window, .. } = class.effect { Some(window) } else { None };
+        let (safe, once) =
+            (class.idempotency == Idempotency::Idempotent, class.idempotency == Idempotency::AtMostOnce);
+        let window =
+            if let Idempotency::Keyed { window, .. } = class.idempotency { Some(window) } else { None };
         request.remaining = request.remaining.saturating_sub(MARGIN).min(self.end.saturating_sub(now));
         // It waited for earlier commands of its connection until its time was over: nothing is begun for it.
         if request.remaining == 0 {
@@ -456,7 +459,7 @@
                     Action::Send { request, server, timeout, within } => {
                         todo.extend(self.send(now, request, server, timeout, within));
                     }
-                    Action::Refuse { request, retry_after } => {
+                    Action::Reject { request, retry_after } => {
                         if let Some(held) = self.requests.remove(&request) {
                             self.answer(request, held.class, Verdict::Refused { retry_after });
                         }
@@ -479,7 +482,7 @@
                             todo.push_back(Event::Probed {
                                 server,
                                 answered: false,
-                                report: Report::default(),
+                                report: LoadReport::default(),
                             });
                         }
                     }
@@ -496,7 +499,7 @@
         &mut self,
         now: Micros,
         request: RequestId,
-        server: ServerId,
+        server: EndpointId,
         timeout: Micros,
         within: Micros,
     ) -> Option<Event> {
@@ -525,15 +528,15 @@
                 return None;
             }
         }
-        Some(Event::Outcome(Ended {
+        Some(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             server,
-            outcome: Outcome::Moot,
+            outcome: Outcome::NeverSent,
             elapsed: 0,
-            note: Note::default(),
+            metadata: ResponseMetadata::default(),
             finished: false,
-            report: Report::default(),
+            report: LoadReport::default(),
         }))
     }
 
@@ -541,7 +544,7 @@
     fn start(
         &mut self,
         now: Micros,
-        server: ServerId,
+        server: EndpointId,
         purpose: Purpose,
         wait: Micros,
         what: impl FnOnce(Option<Micros>) -> Job<W>,
@@ -582,7 +585,7 @@
         // before that is one that could not be reached.
         let outcome = match why {
             Outcome::TimedOut if !sent && !open => Outcome::ConnectFailed,
-            _ if !sent => Outcome::Moot,
+            _ if !sent => Outcome::NeverSent,
             _ => why,
         };
         self.settle(now, job, Ending::plain(outcome));
@@ -590,21 +593,22 @@
 
     fn settle(&mut self, now: Micros, job: JobId, ending: Ending<A>) {
         let Some(Running { server, sent, purpose, reused, .. }) = self.jobs.remove(&job) else { return };
-        let Ending { outcome, mut note, mut report, answer } = ending;
+        let Ending { outcome, mut metadata, mut report, answer } = ending;
         // Guards against a position that no member can have yet: it would pass for fresh for ever.
         let known = |position: &Micros| *position <= now + AHEAD;
-        (note.position, report.position) = (note.position.filter(known), report.position.filter(known));
+        (metadata.position, report.position) =
+            (metadata.position.filter(known), report.position.filter(known));
         let Purpose::Attempt { request, attempt } = purpose else {
             let answered = outcome == Outcome::Ok;
             return self.tell(now, Event::Probed { server, answered, report });
         };
         if let Some(held) = self.requests.get_mut(&request) {
-            use Outcome::{ConnectFailed, Full, Miss, Moot};
-            if !matches!(outcome, ConnectFailed | Full | Miss | Moot) {
+            use Outcome::{ConnectFailed, Full, NeverSent, NotServable};
+            if !matches!(outcome, ConnectFailed | Full | NotServable | NeverSent) {
                 held.ran = Some(held.ran.unwrap_or(sent).min(sent));
             }
             // An answer that tells nothing of the member is the statement's own error.
-            if matches!(outcome, Outcome::Ok | Moot)
+            if matches!(outcome, Outcome::Ok | NeverSent)
                 && let Some(answer) = answer
             {
                 let class = held.class;
@@ -617,7 +621,7 @@
         if outcome == Outcome::Reset && reused && elapsed < AT_ONCE {
             self.doubt = now + DOUBT;
         }
-        let ended = Ended { request, attempt, server, outcome, elapsed, note, finished, report };
-        self.tell(now, Event::Outcome(ended));
+        let ended = AttemptResult { request, attempt, server, outcome, elapsed, metadata, finished, report };
+        self.tell(now, Event::AttemptEnded(ended));
     }
 }
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,6 +1,6 @@
 //! The books of the pool: which links there are to which member, and which of them are idle.
 
-use crate::{Listed, Member, Micros, ServerId};
+use crate::{EndpointEntry, EndpointId, EndpointState, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 pub type LinkId = u64;
 
 struct Link {
-    server: ServerId,
+    server: EndpointId,
     address: SocketAddr,
     /// Idle, since then.
     idle: Option<Micros>,
@@ -33,7 +33,7 @@
     most: usize,
     last: LinkId,
     links: BTreeMap<LinkId, Link>,
-    places: BTreeMap<ServerId, Place>,
+    places: BTreeMap<EndpointId, Place>,
 }
 
 /// A link to use, and one to close for it.
@@ -57,7 +57,7 @@
         &mut self,
         now: Micros,
         full: bool,
-        members: &[(Member, SocketAddr)],
+        members: &[(EndpointEntry, SocketAddr)],
         close: &mut dyn FnMut(LinkId),
     ) {
         for (member, address) in members {
@@ -65,7 +65,7 @@
         }
         for (server, place) in &mut self.places {
             let entry = members.iter().find(|(m, _)| m.server == *server);
-            let out = entry.map_or(full, |(m, _)| m.listed != Listed::Ready);
+            let out = entry.map_or(full, |(m, _)| m.listed != EndpointState::Ready);
             let links = &self.links;
             place.idle.retain(|link| {
                 let keep = !out && links.get(link).is_some_and(|l| Some(l.address) == place.address);
@@ -79,7 +79,7 @@
         // while they do, as a list may be wrong.
         for (server, place) in &mut self.places {
             match members.iter().find(|(m, _)| m.server == *server) {
-                Some((member, _)) if member.listed != Listed::Gone => place.gone = None,
+                Some((member, _)) if member.listed != EndpointState::Gone => place.gone = None,
                 None if !full => {}
                 _ => place.gone = place.gone.or(Some(now)),
             }
@@ -88,7 +88,7 @@
     }
 
     /// The warmest idle link, or a new one where there is room.
-    pub fn take(&mut self, server: ServerId) -> Taken {
+    pub fn take(&mut self, server: EndpointId) -> Taken {
         let none = Taken { link: None, idle: None, evicted: None };
         let Some(place) = self.places.get_mut(&server) else { return none };
         if let Some(link) = place.idle.pop() {
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,30 +1,31 @@
 //! Crossings that only the order of inputs decides: each is stepped through the reducer by hand.
 
 use super::*;
-use crate::{Class, Need, Note, Role, WhenBehind};
+use crate::{Class, Requirement, ResponseMetadata, Role, WhenBehind};
 
 const MS: Micros = 1000;
 const START: Micros = 1_000_000 * MS;
 
 type Effects = Vec<Effect<(), ()>>;
 
-fn class(need: Need, effect: Repeats) -> Class {
-    Class { need, effect, aim: 400 * MS, deadline: 2000 * MS, worth: 1.0, late_share: 0.5 }
+fn class(need: Requirement, idempotency: Idempotency) -> Class {
+    Class { need, idempotency, aim: 400 * MS, deadline: 2000 * MS, worth: 1.0, late_share: 0.5 }
 }
 
-fn member(n: u64, listed: Listed) -> (Member, SocketAddr) {
-    let member = Member { server: ServerId(n), group: 1, zone: 0, listed, primary_hint: n == 1, started: 0 };
+fn member(n: u64, listed: EndpointState) -> (EndpointEntry, SocketAddr) {
+    let member =
+        EndpointEntry { server: EndpointId(n), group: 1, zone: 0, listed, primary_hint: n == 1, started: 0 };
     (member, SocketAddr::from(([127, 0, 0, 1], n as u16)))
 }
 
 /// A core with members 1, the primary, and 2; classes: 0 bounded reads, 1 keyed writes, 2 unsafe writes.
 fn core(cancel: bool) -> Core<(), ()> {
-    let keyed = Repeats::Keyed { anywhere: true, window: 300 * MS };
+    let keyed = Idempotency::Keyed { anywhere: true, window: 300 * MS };
     let settings = Settings {
         classes: vec![
-            class(Need::Recent(200 * MS), Repeats::Safe),
-            class(Need::Write, keyed),
-            class(Need::Write, Repeats::Unsafe),
+            class(Requirement::BoundedStaleness(200 * MS), Idempotency::Idempotent),
+            class(Requirement::Write, keyed),
+            class(Requirement::Write, Idempotency::AtMostOnce),
         ],
         when_behind: WhenBehind::Answers,
         probes: false,
@@ -32,7 +33,7 @@
         ..Settings::default()
     };
     let mut core = Core::new(settings, 7, START, 8);
-    let members = vec![member(1, Listed::Ready), member(2, Listed::Ready)];
+    let members = vec![member(1, EndpointState::Ready), member(2, EndpointState::Ready)];
     core.step(START, Input::List { full: true, members });
     core
 }
@@ -61,9 +62,9 @@
 }
 
 fn ended(link: LinkId, job: JobId, outcome: Outcome, role: Role, position: Micros) -> Input<(), ()> {
-    let note = Note { role: Some(role), position: Some(position) };
+    let metadata = ResponseMetadata { role: Some(role), position: Some(position) };
     let answer = (outcome == Outcome::Ok).then_some(());
-    let ending = Ending { outcome, note, report: Report::default(), answer };
+    let ending = Ending { outcome, metadata, report: LoadReport::default(), answer };
     Input::Ended { link, job, ending, open: true }
 }
 
@@ -84,7 +85,11 @@
         let (link, job, _) = carried(&ask(&mut core, START, 1, 2));
         core.step(START + MS, ended(link, job, Outcome::Ok, Role::Primary, START));
         let (_, job, _) = carried(&ask(&mut core, START + 2 * MS, 2, 2));
-        let members = if full { vec![member(2, Listed::Ready)] } else { vec![member(1, Listed::Draining)] };
+        let members = if full {
+            vec![member(2, EndpointState::Ready)]
+        } else {
+            vec![member(1, EndpointState::Draining)]
+        };
         assert_eq!(recalled(&core.step(START + 3 * MS, Input::List { full, members })), [job]);
         let after = core.step(START + 3 * MS, Input::Abandoned { job, sent: false, open: true });
         assert!(!after.iter().any(|e| matches!(e, Effect::Answer { .. })), "it goes on: {full}");
@@ -97,7 +102,7 @@
     // Member 2 is heard as a replica whose data is 150 ms old.
     let first = ask(&mut core, START, 1, 2);
     let (link, job, _) = carried(&first);
-    let more = core.step(START, ended(link, job, Outcome::Miss, Role::Replica, START - 150 * MS));
+    let more = core.step(START, ended(link, job, Outcome::NotServable, Role::Replica, START - 150 * MS));
     let (link, job, _) = carried(&more);
     core.step(START + MS, ended(link, job, Outcome::Ok, Role::Primary, START));
     let (_, job, within) = carried(&ask(&mut core, START + 10 * MS, 2, 0));
@@ -136,7 +141,7 @@
 fn a_link_to_where_its_member_was_is_not_used_again() {
     let mut core = core(true);
     let (link, job, _) = carried(&ask(&mut core, START, 1, 2));
-    let (moved, _) = member(1, Listed::Ready);
+    let (moved, _) = member(1, EndpointState::Ready);
     let there = SocketAddr::from(([127, 0, 0, 1], 99));
     core.step(START + MS, Input::List { full: false, members: vec![(moved, there)] });
     let end = core.step(START + 2 * MS, ended(link, job, Outcome::Ok, Role::Primary, START));
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -4,7 +4,7 @@
 use crate::core::Verdict;
 use crate::net::clock::from_unix_ms;
 use crate::pg::{self, statement};
-use crate::{Micros, Need, Settings};
+use crate::{Micros, Requirement, Settings};
 use std::ops::Range;
 
 /// The longest `id`, and the longest `d` in milliseconds.
@@ -39,7 +39,7 @@
         let fields = statement::fields(text);
         let name = fields.class.ok_or("the comment names no class")?;
         let class = settings.class(name).ok_or("unknown class")?;
-        let writes = settings.classes[class].need == Need::Write;
+        let writes = settings.classes[class].need == Requirement::Write;
         let word = if writes { "insert" } else { "select" };
         if statement::first_word(text) != word {
             return Err("the statement does not fit its class");
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -11,7 +11,7 @@
 use crate::net::clock::from_unix_ms;
 use crate::pg::{self, statement};
 use crate::store::{Change, Statement};
-use crate::{Effect, Micros, Need, Settings};
+use crate::{Idempotency, Micros, Requirement, Settings};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -176,7 +176,7 @@
         };
         let Some(class) = class else { return no(pg::PROTOCOL_VIOLATION, "unknown class") };
         // Guards against a change that is declared as a read, and would then be repeated.
-        if writes && word != "with" && self.settings.classes[class].need != Need::Write {
+        if writes && word != "with" && self.settings.classes[class].need != Requirement::Write {
             return no(pg::NOT_SUPPORTED, format!("{word} in a class that is not for writes"));
         }
         Ok(Known {
@@ -192,17 +192,17 @@
 
     fn strictness(&self, class: usize) -> (u8, u8) {
         let class = &self.settings.classes[class];
-        let effect = match class.effect {
-            Effect::Safe => 0,
-            Effect::Keyed { .. } => 1,
-            Effect::Unsafe => 2,
+        let effect = match class.idempotency {
+            Idempotency::Idempotent => 0,
+            Idempotency::Keyed { .. } => 1,
+            Idempotency::AtMostOnce => 2,
         };
         let need = match class.need {
-            Need::Any => 0,
-            Need::Recent(_) => 1,
-            Need::OwnWrites => 2,
-            Need::Latest => 3,
-            Need::Write => 4,
+            Requirement::Any => 0,
+            Requirement::BoundedStaleness(_) => 1,
+            Requirement::ReadYourWrites => 2,
+            Requirement::Latest => 3,
+            Requirement::Write => 4,
         };
         (effect, need)
     }
@@ -214,7 +214,7 @@
         }
         let strictest = used.iter().max_by_key(|k| self.strictness(k.class)).unwrap_or(first);
         let after = used.iter().filter_map(|k| k.after).max();
-        let writes = |known: &Known| self.settings.classes[known.class].need == Need::Write;
+        let writes = |known: &Known| self.settings.classes[known.class].need == Requirement::Write;
         Ok(Ask {
             class: strictest.class,
             writes: used.iter().any(writes),
@@ -268,7 +268,7 @@
         }
         session.executed |= executes;
         let mut ask = self.ask(&used, key, Work::Simple { text: Vec::new(), wait: None })?;
-        let careful = self.settings.classes[ask.class].effect != Effect::Safe;
+        let careful = self.settings.classes[ask.class].idempotency != Idempotency::Idempotent;
         ask.work = Work::Unit(Unit { parts, careful });
         open.key = key;
         if batch.end != b'H' {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -12,28 +12,28 @@
 
 /// A server of the store. The value carries no meaning beyond identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerId(pub u64);
+pub struct EndpointId(pub u64);
 
 /// What a class of requests needs from the member that serves it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Requirement {
     /// A write: only the primary takes it.
     Write,
     /// A read of everything written before it arrived.
     Latest,
     /// A read of everything its own session has written.
-    OwnWrites,
+    ReadYourWrites,
     /// A read of data no older than this when it is sent.
-    Recent(Micros),
+    BoundedStaleness(Micros),
     /// A read that any member may serve.
     Any,
 }
 
 /// How often a request of a class may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats are harmless.
-    Safe,
+    Idempotent,
     /// It carries a key; the stated circle of servers drops repeats for `window`.
     Keyed {
         /// Whether every server drops repeats, or only the group that got the first attempt.
@@ -42,16 +42,16 @@
         window: Micros,
     },
     /// It must run at most once.
-    Unsafe,
+    AtMostOnce,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// What it needs of the serving member.
-    pub need: Need,
+    pub need: Requirement,
     /// How often it may take effect.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// An answer within this earns the full worth.
     pub aim: Micros,
     /// How long a client waits in all.
@@ -124,16 +124,16 @@
     /// The time from which the simulator's wire counts positions.
     pub positions_from: Micros,
     /// A connection that is not up within this has failed.
-    pub dial_timeout: Micros,
+    pub connect_timeout: Micros,
     /// A member closes a connection that was idle for this long.
-    pub conn_idle: Micros,
+    pub idle_timeout: Micros,
     /// The most requests that one router may hold open.
-    pub most_held: usize,
+    pub max_pending: usize,
 }
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// In service.
     Ready,
     /// Finishing its work; nothing new may be sent.
@@ -145,15 +145,15 @@
 
 /// One entry of the server list.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct EndpointEntry {
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// Its group.
     pub group: GroupId,
     /// Its zone.
     pub zone: u32,
     /// Whether it is in service.
-    pub listed: Listed,
+    pub listed: EndpointState,
     /// Whether the list takes it for the primary; late and sometimes wrong.
     pub primary_hint: bool,
     /// Its last start, 0 for long ago.
@@ -171,7 +171,7 @@
 
 /// What an answer says of the member that gave it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Note {
+pub struct ResponseMetadata {
     /// Its role when it answered.
     pub role: Option<Role>,
     /// The time up to which it has all commits; for a write that went through, the time of its commit.
@@ -180,7 +180,7 @@
 
 /// What a member reported of itself, as of some time ago.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Its role.
     pub role: Option<Role>,
     /// The time up to which it had all commits.
@@ -205,9 +205,9 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NeverSent,
     /// Turned away untouched: not the primary, or too far behind.
-    Miss,
+    NotServable,
 }
 
 /// A client request.
@@ -233,49 +233,49 @@
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
     /// The attempt, counted from 0.
     pub attempt: u32,
     /// The server it was sent to.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
     /// The time since its send.
     pub elapsed: Micros,
     /// What the answer says of the member.
-    pub note: Note,
+    pub metadata: ResponseMetadata,
     /// The request has had its final answer.
     pub finished: bool,
     /// The report that came with the answer, if any.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// Something that happened.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the server list.
-    List {
+    EndpointUpdate {
         /// The entries are the whole list: a server not among them is gone.
         full: bool,
         /// The entries.
-        members: Vec<Member>,
+        members: Vec<EndpointEntry>,
     },
     /// A call for the list failed; the old one stays.
-    ListFailed,
+    EndpointListFailed,
     /// A request came in; it is owed one final answer.
     Request(Request),
     /// An attempt ended.
-    Outcome(Ended),
+    AttemptEnded(AttemptResult),
     /// A probe ended.
     Probed {
         /// The server.
-        server: ServerId,
+        server: EndpointId,
         /// Whether it answered.
         answered: bool,
         /// Its report.
-        report: Report,
+        report: LoadReport,
     },
     /// The client left; nothing more is owed.
     ClientLeft(RequestId),
@@ -291,14 +291,14 @@
         /// The request.
         request: RequestId,
         /// Where to.
-        server: ServerId,
+        server: EndpointId,
         /// Its time-out.
         timeout: Micros,
         /// It must begin within this, [`Micros::MAX`] for any time: else it is never sent.
         within: Micros,
     },
     /// Final answer: not served, trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When to come back; 0 for no advice.
@@ -314,7 +314,7 @@
         attempt: u32,
     },
     /// Ask a server for its report.
-    Probe(ServerId),
+    Probe(EndpointId),
     /// Set a timer.
     Timer {
         /// Handed back when it comes due.
@@ -355,9 +355,9 @@
             class_names: Vec::new(),
             report_fields: Vec::new(),
             positions_from: 0,
-            dial_timeout: 250_000,
-            conn_idle: 15_000_000,
-            most_held: 40_000,
+            connect_timeout: 250_000,
+            idle_timeout: 15_000_000,
+            max_pending: 40_000,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,12 +10,12 @@
 //! let settings = Settings {
 //!     classes: vec![
 //!         Class {
-//!             need: Need::Any, effect: Effect::Safe,
+//!             need: Requirement::Any, idempotency: Idempotency::Idempotent,
 //!             aim: 200_000, deadline: 800_000, worth: 1.0, late_share: 0.0,
 //!         },
 //!         Class {
-//!             need: Need::Write,
-//!             effect: Effect::Keyed { anywhere: false, window: 2_000_000 },
+//!             need: Requirement::Write,
+//!             idempotency: Idempotency::Keyed { anywhere: false, window: 2_000_000 },
 //!             aim: 400_000, deadline: 3_000_000, worth: 4.0, late_share: 0.5,
 //!         },
 //!     ],
@@ -25,11 +25,11 @@
 //! let mut actions = Vec::new();
 //!
 //! // The list names two members; nothing is known of their roles yet but a hint.
-//! let member = |n, primary_hint| Member {
-//!     server: ServerId(n), group: 1, zone: 0, listed: Listed::Ready, primary_hint, started: 0,
+//! let member = |n, primary_hint| EndpointEntry {
+//!     server: EndpointId(n), group: 1, zone: 0, listed: EndpointState::Ready, primary_hint, started: 0,
 //! };
 //! let members = vec![member(1, true), member(2, false)];
-//! router.handle(0, Event::List { full: true, members }, &mut actions);
+//! router.handle(0, Event::EndpointUpdate { full: true, members }, &mut actions);
 //! let token = |a: &Action| if let Action::Timer { token, .. } = a { Some(*token) } else { None };
 //! let wake = actions.iter().find_map(token);
 //!
@@ -39,17 +39,17 @@
 //! };
 //! actions.clear();
 //! router.handle(5_000, Event::Request(ask(1, 1)), &mut actions);
-//! assert!(matches!(actions[0], Action::Send { request: 1, server: ServerId(1), .. }));
-//! router.handle(30_000, Event::Outcome(Ended {
-//!     request: 1, attempt: 0, server: ServerId(1), outcome: Outcome::Ok, elapsed: 25_000,
-//!     note: Note { role: Some(Role::Primary), position: Some(29_000) },
-//!     finished: true, report: Report::default(),
+//! assert!(matches!(actions[0], Action::Send { request: 1, server: EndpointId(1), .. }));
+//! router.handle(30_000, Event::AttemptEnded(AttemptResult {
+//!     request: 1, attempt: 0, server: EndpointId(1), outcome: Outcome::Ok, elapsed: 25_000,
+//!     metadata: ResponseMetadata { role: Some(Role::Primary), position: Some(29_000) },
+//!     finished: true, report: LoadReport::default(),
 //! }), &mut actions);
 //!
 //! // Reads go to the replica with the fewest pending.
 //! actions.clear();
 //! router.handle(35_000, Event::Request(ask(2, 0)), &mut actions);
-//! assert!(matches!(actions[0], Action::Send { request: 2, server: ServerId(2), .. }));
+//! assert!(matches!(actions[0], Action::Send { request: 2, server: EndpointId(2), .. }));
 //!
 //! // The router's timer drives probes and held requests.
 //! actions.clear();
@@ -64,6 +64,7 @@
 mod interface;
 mod net;
 mod pg;
+mod random;
 pub mod store;
 pub mod syslog;
 pub mod wire;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,7 +3,7 @@
 use super::clock::from_unix_ms;
 use super::{Message, Messages, spawn};
 use crate::pg::statement::hash;
-use crate::{Listed, Member, ServerId};
+use crate::{EndpointEntry, EndpointId, EndpointState};
 use serde::{Deserialize, Serialize};
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -82,16 +82,16 @@
     }
 
     /// As the core takes it. Entries whose endpoint is no address are left out.
-    pub fn members(&self) -> Vec<(Member, SocketAddr)> {
+    pub fn members(&self) -> Vec<(EndpointEntry, SocketAddr)> {
         let entry = |t: &Target| {
             let listed = match t.state.as_str() {
-                "SERVING" => Listed::Ready,
-                "DRAINING" => Listed::Draining,
-                _ => Listed::Gone,
+                "SERVING" => EndpointState::Ready,
+                "DRAINING" => EndpointState::Draining,
+                _ => EndpointState::Gone,
             };
             let gone = SocketAddr::from(([127, 0, 0, 1], 0));
-            let address = t.endpoint.parse().ok().or((listed == Listed::Gone).then_some(gone))?;
-            let member = Member {
+            let address = t.endpoint.parse().ok().or((listed == EndpointState::Gone).then_some(gone))?;
+            let member = EndpointEntry {
                 server: server_id(&t.uid),
                 group: t.pod_group,
                 zone: 0,
@@ -106,8 +106,8 @@
 }
 
 /// The same for the same `uid`, at every proxy and after every restart.
-pub fn server_id(uid: &str) -> ServerId {
-    ServerId(hash(uid.as_bytes()) & 0xffff_ffff_ffff)
+pub fn server_id(uid: &str) -> EndpointId {
+    EndpointId(hash(uid.as_bytes()) & 0xffff_ffff_ffff)
 }
 
 /// The number of a watch: the loop takes news of the newest only.
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -6,7 +6,7 @@
 use crate::front::unit::{Catalogue, Progress, Script, Unit};
 use crate::front::{Answer, Work, millis};
 use crate::pg::{self, Frames};
-use crate::{Micros, Note, Outcome, Report, Role};
+use crate::{LoadReport, Micros, Outcome, ResponseMetadata, Role};
 use crossbeam_channel::{Sender, bounded};
 use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -284,8 +284,9 @@
         let end = Instant::now() + self.dial;
         let failed = Outcome::ConnectFailed;
         // Guards against taking the proxy's own want of descriptors for the member's fault.
-        let cause =
-            |e: std::io::Error| if OUT_OF_FILES.contains(&e.raw_os_error()) { Outcome::Moot } else { failed };
+        let cause = |e: std::io::Error| {
+            if OUT_OF_FILES.contains(&e.raw_os_error()) { Outcome::NeverSent } else { failed }
+        };
         let stream = TcpStream::connect_timeout(&self.address, self.dial).map_err(cause)?;
         let _ = stream.set_nodelay(true);
         (&stream).write_all(&pg::startup(USER, DATABASE)).map_err(|_| failed)?;
@@ -376,14 +377,14 @@
 /// What a job's replies told of the member.
 #[derive(Default)]
 struct Heard {
-    note: Note,
-    report: Report,
+    metadata: ResponseMetadata,
+    report: LoadReport,
 }
 
 impl Heard {
     fn ending(self, outcome: Outcome, bytes: Vec<u8>) -> Ending<Answer> {
-        let answer = Some(Answer { bytes, commit: self.note.position });
-        Ending { outcome, note: self.note, report: self.report, answer }
+        let answer = Some(Answer { bytes, commit: self.metadata.position });
+        Ending { outcome, metadata: self.metadata, report: self.report, answer }
     }
 }
 
@@ -402,7 +403,7 @@
             },
         };
         if self.late() {
-            return Some(Reply { ending: Ending::plain(Outcome::Moot), open: true });
+            return Some(Reply { ending: Ending::plain(Outcome::NeverSent), open: true });
         }
         if !step(self.state, WAITING, SENDING) {
             return None;
@@ -477,7 +478,7 @@
                 }
                 (b'Z', b'C' | b'E') => {
                     let outcome = match error.as_deref() {
-                        Some(code) if is_the_statements(code) => Outcome::Moot,
+                        Some(code) if is_the_statements(code) => Outcome::NeverSent,
                         Some(code) => outcome_of(Some(code)),
                         None => Outcome::Ok,
                     };
@@ -505,7 +506,7 @@
         let executes = unit.executes();
         let ahead = unit.careful || !executes;
         if self.late() {
-            return Some(Reply { ending: Ending::plain(Outcome::Moot), open: true });
+            return Some(Reply { ending: Ending::plain(Outcome::NeverSent), open: true });
         }
         // Before the script is made: it takes for prepared what it is about to prepare.
         if !step(self.state, WAITING, if ahead { PREFACE } else { SENDING }) {
@@ -521,7 +522,7 @@
             let _ = self.stream.set_read_timeout(None);
             if taken && self.late() {
                 // The member is at rest before its Execute: the connection is of no further use.
-                return Some(Reply::plain(Outcome::Moot));
+                return Some(Reply::plain(Outcome::NeverSent));
             }
             if !taken || (script.error.is_none() && executes && !step(self.state, PREFACE, SENDING)) {
                 return Some(Reply::plain(Outcome::ConnectFailed));
@@ -548,7 +549,7 @@
                 }
                 Progress::Ready => {
                     let outcome = match script.error.as_deref() {
-                        Some(code) if is_the_statements(code) => Outcome::Moot,
+                        Some(code) if is_the_statements(code) => Outcome::NeverSent,
                         Some(code) => outcome_of(Some(code)),
                         None => Outcome::Ok,
                     };
@@ -604,14 +605,14 @@
 /// The protocol's table, for errors.
 fn outcome_of(code: Option<&[u8]>) -> Outcome {
     match code {
-        Some(b"25006" | b"72000") => Outcome::Miss,
+        Some(b"25006" | b"72000") => Outcome::NotServable,
         Some(b"53300") => Outcome::Full,
         _ => Outcome::Error,
     }
 }
 
 fn parameter(body: &[u8], heard: &mut Heard) {
-    let Heard { note, report } = heard;
+    let Heard { metadata, report } = heard;
     if !pg::well_formed(b'S', body) {
         return;
     }
@@ -619,13 +620,13 @@
     let Some((value, _)) = pg::cstr(rest) else { return };
     match name {
         b"recovery" => {
-            note.role = match value {
+            metadata.role = match value {
                 b"off" => Some(Role::Primary),
                 b"on" => Some(Role::Replica),
                 _ => None,
             }
         }
-        b"lsn_ms" => note.position = pg::statement::number(value).filter(|ms| *ms > 0).map(from_unix_ms),
+        b"lsn_ms" => metadata.position = pg::statement::number(value).filter(|ms| *ms > 0).map(from_unix_ms),
         b"health" => *report = report_of(value),
         _ => {}
     }
@@ -633,9 +634,9 @@
 
 /// A load report: `x0` is a position as Unix time in seconds, unlike those beside answers; `x1` is 1 from a
 /// primary. One that can't be read whole tells nothing.
-fn report_of(text: &[u8]) -> Report {
+fn report_of(text: &[u8]) -> LoadReport {
     let read = || {
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for pair in std::str::from_utf8(text).ok()?.split(',') {
             let (name, value) = pair.split_once('=')?;
             let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite())?;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -544,7 +544,7 @@
         for effect in self.core.step(now, input) {
             match effect {
                 Effect::Open { link, address } => {
-                    let dial = Duration::from_micros(self.settings.dial_timeout);
+                    let dial = Duration::from_micros(self.settings.connect_timeout);
                     let messages = self.messages.clone();
                     let handle = link::Handle::open(link, address, dial, messages, &self.workers);
                     self.links.insert(link, handle);
@@ -554,7 +554,7 @@
                     // Guards against taking the proxy's own want of threads for the member's fault.
                     if !carried {
                         tracing::warn!("no thread for another job");
-                        let ending = crate::core::Ending::plain(crate::Outcome::Moot);
+                        let ending = crate::core::Ending::plain(crate::Outcome::NeverSent);
                         self.links.remove(&link);
                         self.core(now, Input::Ended { link, job, ending, open: false });
                         self.core(now, Input::Closed(link));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -53,8 +53,8 @@
     fn f32(&mut self) -> Result<f64, WireError> {
         Ok(f64::from(f32::from_bits(self.u32()?)))
     }
-    fn server(&mut self) -> Result<ServerId, WireError> {
-        Ok(ServerId(self.uint(6)?))
+    fn server(&mut self) -> Result<EndpointId, WireError> {
+        Ok(EndpointId(self.uint(6)?))
     }
     fn floats(&mut self) -> Result<Vec<f64>, WireError> {
         let n = self.u8()?;
@@ -92,15 +92,15 @@
 }
 
 fn dial_timeout_us() -> u64 {
-    Settings::default().dial_timeout
+    Settings::default().connect_timeout
 }
 
 fn conn_idle_us() -> u64 {
-    Settings::default().conn_idle
+    Settings::default().idle_timeout
 }
 
 fn most_held() -> usize {
-    Settings::default().most_held
+    Settings::default().max_pending
 }
 
 #[derive(Deserialize)]
@@ -149,7 +149,7 @@
     #[serde(default = "conn_idle_us")]
     conn_idle_us: u64,
     #[serde(default = "most_held")]
-    most_held: usize,
+    max_pending: usize,
     #[serde(default)]
     max_retry_after_us: u64,
     #[serde(default)]
@@ -194,22 +194,24 @@
         let mut classes = Vec::new();
         for (i, c) in conf.request_classes.iter().enumerate() {
             let need = match fam.freshness.get(i).map(String::as_str) {
-                Some("update") => Need::Write,
-                Some("latest") => Need::Latest,
-                Some("own_writes") => Need::OwnWrites,
-                Some("recent") => Need::Recent(fam.class_bound_us.get(i).copied().unwrap_or(0)),
-                Some("loose") => Need::Any,
+                Some("update") => Requirement::Write,
+                Some("latest") => Requirement::Latest,
+                Some("own_writes") => Requirement::ReadYourWrites,
+                Some("recent") => {
+                    Requirement::BoundedStaleness(fam.class_bound_us.get(i).copied().unwrap_or(0))
+                }
+                Some("loose") => Requirement::Any,
                 other => return bad(format!("freshness of class {i} is {other:?}")),
             };
             let effect = match c.effect.as_str() {
-                "safe" => Effect::Safe,
-                "keyed" => Effect::Keyed { anywhere: c.key_scope == "all", window: c.window_us },
-                "unsafe" => Effect::Unsafe,
+                "safe" => Idempotency::Idempotent,
+                "keyed" => Idempotency::Keyed { anywhere: c.key_scope == "all", window: c.window_us },
+                "unsafe" => Idempotency::AtMostOnce,
                 other => return bad(format!("effect of class {i} is {other:?}")),
             };
             classes.push(Class {
                 need,
-                effect,
+                idempotency: effect,
                 aim: c.aim_us,
                 deadline: c.deadline_us,
                 worth: c.credit,
@@ -245,9 +247,9 @@
             class_names: conf.request_classes.into_iter().map(|c| c.name).collect(),
             report_fields: conf.stats.fields,
             positions_from: fam.counted_from_us,
-            dial_timeout: conf.limits.dial_timeout_us,
-            conn_idle: conf.limits.conn_idle_us,
-            most_held: conf.limits.most_held,
+            connect_timeout: conf.limits.dial_timeout_us,
+            idle_timeout: conf.limits.conn_idle_us,
+            max_pending: conf.limits.max_pending,
         })
     }
 }
@@ -260,8 +262,8 @@
 }
 
 impl Dialect {
-    fn report(&self, values: &[f64]) -> Report {
-        let mut report = Report::default();
+    fn report(&self, values: &[f64]) -> LoadReport {
+        let mut report = LoadReport::default();
         for (name, &v) in self.fields.iter().zip(values) {
             match name.as_str() {
                 "x0" => report.position = Some(self.zero.saturating_add((v * 1e6) as u64)),
@@ -271,14 +273,14 @@
         }
         report
     }
-    fn note(&self, stamp: u32) -> Note {
+    fn metadata(&self, stamp: u32) -> ResponseMetadata {
         let role = match stamp % 4 {
             1 => Some(Role::Primary),
             2 => Some(Role::Replica),
             _ => None,
         };
         let ms = u64::from(stamp / 4);
-        Note { role, position: (ms > 0).then_some(self.zero + ms * 1000) }
+        ResponseMetadata { role, position: (ms > 0).then_some(self.zero + ms * 1000) }
     }
 }
 
@@ -291,8 +293,8 @@
         521 => Outcome::ConnectFailed,
         520 => Outcome::Reset,
         444 => Outcome::Cancelled,
-        409 => Outcome::Moot,
-        204 => Outcome::Miss,
+        409 => Outcome::NeverSent,
+        204 => Outcome::NotServable,
         other => return bad(format!("status {other} is unknown")),
     })
 }
@@ -306,7 +308,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    pages: BTreeMap<u8, Vec<Member>>,
+    pages: BTreeMap<u8, Vec<EndpointEntry>>,
     /// What was skipped or dropped since the caller last took it.
     pub warnings: Vec<String>,
 }
@@ -374,11 +376,11 @@
     }
 }
 
-fn row(r: &mut Fields<'_>) -> Result<Member, WireError> {
+fn row(r: &mut Fields<'_>) -> Result<EndpointEntry, WireError> {
     let listed = match r.u8()? {
-        0 => Listed::Gone,
-        1 => Listed::Ready,
-        2 => Listed::Draining,
+        0 => EndpointState::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
         other => return bad(format!("readiness {other} is unknown")),
     };
     let _kind = r.u8()?;
@@ -388,14 +390,14 @@
     let _power = r.f32()?;
     let started = r.u64()?;
     let zone = u32::from(r.u8()?);
-    Ok(Member { server, group, zone, listed, primary_hint, started })
+    Ok(EndpointEntry { server, group, zone, listed, primary_hint, started })
 }
 
 fn event(
     code: u8,
     r: &mut Fields<'_>,
     dialect: &Dialect,
-    pages: &BTreeMap<u8, Vec<Member>>,
+    pages: &BTreeMap<u8, Vec<EndpointEntry>>,
 ) -> Result<Option<Event>, WireError> {
     Ok(Some(match code {
         17 => Event::Timer(r.u32()?),
@@ -412,10 +414,19 @@
             let attempt = u32::from(r.u8()?);
             let outcome = status(r.u16()?)?;
             let server = r.server()?;
-            let note = dialect.note(r.u32()?);
+            let metadata = dialect.metadata(r.u32()?);
             let finished = r.u8()? != 0;
             let report = dialect.report(&r.floats()?);
-            Event::Outcome(Ended { request, attempt, server, outcome, elapsed, note, finished, report })
+            Event::AttemptEnded(AttemptResult {
+                request,
+                attempt,
+                server,
+                outcome,
+                elapsed,
+                metadata,
+                finished,
+                report,
+            })
         }
         23 => {
             let id = r.u32()?;
@@ -436,12 +447,12 @@
             let _generation = r.u64()?;
             let page = r.u8()?;
             if how == 3 {
-                return Ok(Some(Event::ListFailed));
+                return Ok(Some(Event::EndpointListFailed));
             }
             let Some(members) = pages.get(&page) else {
                 return bad(format!("list {page} was never set up"));
             };
-            Event::List { full: how != 0, members: members.clone() }
+            Event::EndpointUpdate { full: how != 0, members: members.clone() }
         }
         _ => return Ok(None),
     }))
@@ -451,7 +462,7 @@
     let at = out.len();
     out.extend([0; 5]);
     out.extend(id.to_be_bytes());
-    let server = |out: &mut Vec<u8>, s: &ServerId| out.extend(&s.0.to_be_bytes()[2..]);
+    let server = |out: &mut Vec<u8>, s: &EndpointId| out.extend(&s.0.to_be_bytes()[2..]);
     let span = |t: &Micros| u32::try_from(*t).unwrap_or(u32::MAX).to_be_bytes();
     let code = match action {
         Action::Send { request, server: to, timeout, .. } => {
@@ -460,7 +471,7 @@
             out.extend(span(timeout));
             16
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Reject { request, retry_after } => {
             out.extend(request.to_be_bytes());
             out.extend(span(retry_after));
             17
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,21 +12,21 @@
 pub const RECENT: usize = 4;
 pub const UNSAFE: usize = 5;
 
-pub fn class(need: Need, effect: Effect) -> Class {
-    Class { need, effect, aim: 400 * MS, deadline: 2000 * MS, worth: 1.0, late_share: 0.5 }
+pub fn class(need: Requirement, idempotency: Idempotency) -> Class {
+    Class { need, idempotency, aim: 400 * MS, deadline: 2000 * MS, worth: 1.0, late_share: 0.5 }
 }
 
 pub fn settings() -> Settings {
-    let keyed = Effect::Keyed { anywhere: false, window: 2000 * MS };
+    let keyed = Idempotency::Keyed { anywhere: false, window: 2000 * MS };
     Settings {
         resolution: 5 * MS,
         classes: vec![
-            class(Need::Any, Effect::Safe),
-            class(Need::Write, keyed),
-            class(Need::Latest, Effect::Safe),
-            class(Need::OwnWrites, Effect::Safe),
-            class(Need::Recent(800 * MS), Effect::Safe),
-            class(Need::Write, Effect::Unsafe),
+            class(Requirement::Any, Idempotency::Idempotent),
+            class(Requirement::Write, keyed),
+            class(Requirement::Latest, Idempotency::Idempotent),
+            class(Requirement::ReadYourWrites, Idempotency::Idempotent),
+            class(Requirement::BoundedStaleness(800 * MS), Idempotency::Idempotent),
+            class(Requirement::Write, Idempotency::AtMostOnce),
         ],
         when_behind: WhenBehind::Waits(50 * MS),
         cold_from: 0.2,
@@ -36,8 +36,15 @@
     }
 }
 
-pub fn member(n: u64) -> Member {
-    Member { server: ServerId(n), group: 1, zone: 0, listed: Listed::Ready, primary_hint: false, started: 0 }
+pub fn member(n: u64) -> EndpointEntry {
+    EndpointEntry {
+        server: EndpointId(n),
+        group: 1,
+        zone: 0,
+        listed: EndpointState::Ready,
+        primary_hint: false,
+        started: 0,
+    }
 }
 
 pub fn request(id: u32, class: usize) -> Request {
@@ -69,7 +76,7 @@
     fn seeded(settings: Settings, n: u64, seed: u64) -> Rig {
         let now = 1_000_000 * MS;
         let mut rig = Rig { router: Router::new(settings, seed, now), now, log: Vec::new(), tick: None };
-        rig.event(Event::List { full: true, members: (1..=n).map(member).collect() });
+        rig.event(Event::EndpointUpdate { full: true, members: (1..=n).map(member).collect() });
         rig
     }
 
@@ -100,8 +107,8 @@
     }
 
     pub fn report(&mut self, n: u64, role: Role, position: Micros) {
-        let report = Report { role: Some(role), position: Some(position) };
-        self.event(Event::Probed { server: ServerId(n), answered: true, report });
+        let report = LoadReport { role: Some(role), position: Some(position) };
+        self.event(Event::Probed { server: EndpointId(n), answered: true, report });
     }
 
     /// Lets time pass, with the router's timers coming due on the way.
@@ -130,21 +137,24 @@
         role: Option<Role>,
     ) -> Vec<Action> {
         let ended = ended(id, attempt, n, outcome);
-        self.event(Event::Outcome(Ended { note: Note { role, position: None }, ..ended }))
+        self.event(Event::AttemptEnded(AttemptResult {
+            metadata: ResponseMetadata { role, position: None },
+            ..ended
+        }))
     }
 }
 
 /// The end of an attempt after 20 ms, without a note.
-pub fn ended(id: u32, attempt: u32, n: u64, outcome: Outcome) -> Ended {
-    Ended {
+pub fn ended(id: u32, attempt: u32, n: u64, outcome: Outcome) -> AttemptResult {
+    AttemptResult {
         request: id,
         attempt,
-        server: ServerId(n),
+        server: EndpointId(n),
         outcome,
         elapsed: 20 * MS,
-        note: Note::default(),
+        metadata: ResponseMetadata::default(),
         finished: outcome == Outcome::Ok,
-        report: Report::default(),
+        report: LoadReport::default(),
     }
 }
 
@@ -160,7 +170,7 @@
 }
 
 pub fn refused(actions: &[Action], id: u32) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: u32) -> bool {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -113,7 +113,7 @@
         }
         while let Some((at, old)) = lost.first().copied().filter(|(at, _)| at + 2000 * MS <= rig.now) {
             let elapsed = rig.now - at;
-            rig.event(Event::Outcome(Ended { elapsed, ..ended(old, 0, 1, Outcome::TimedOut) }));
+            rig.event(Event::AttemptEnded(AttemptResult { elapsed, ..ended(old, 0, 1, Outcome::TimedOut) }));
             lost.remove(0);
         }
     }
@@ -197,14 +197,18 @@
     let own = |id| Event::Request(Request { since_write: Some(500 * MS), ..request(id, OWN) });
     assert_eq!(sent(&rig.event(own(1))), Some(2));
     rig.now += 60 * MS;
-    assert_eq!(sent(&rig.end(1, 0, 2, Outcome::Miss, Some(Role::Replica))), Some(1));
+    assert_eq!(sent(&rig.end(1, 0, 2, Outcome::NotServable, Some(Role::Replica))), Some(1));
     assert_eq!(sent(&rig.event(own(2))), Some(1), "the next one is not sent there");
 }
 
 #[test]
 fn long_reads_of_all_routers_gather_at_one_replica() {
     let mut settings = settings();
-    settings.classes.push(Class { aim: 6000 * MS, deadline: 9000 * MS, ..class(Need::Any, Effect::Safe) });
+    settings.classes.push(Class {
+        aim: 6000 * MS,
+        deadline: 9000 * MS,
+        ..class(Requirement::Any, Idempotency::Idempotent)
+    });
     let long = settings.classes.len() - 1;
     for before in 0..4 {
         let mut rig = Rig::known(settings.clone(), 4);
@@ -217,7 +221,7 @@
 
 /// Connections that never last: ties go in turn among all.
 fn in_turn() -> Settings {
-    Settings { conn_idle: 0, ..settings() }
+    Settings { idle_timeout: 0, ..settings() }
 }
 
 /// The work sent to a member by many routers with a read each now and then, in unloaded times of one read.
@@ -252,8 +256,8 @@
     let warm = sent_by_many(|_| {}, 3);
     let cold = sent_by_many(
         |rig| {
-            let started = Member { started: rig.now, ..member(3) };
-            rig.event(Event::List { full: false, members: vec![started] });
+            let started = EndpointEntry { started: rig.now, ..member(3) };
+            rig.event(Event::EndpointUpdate { full: false, members: vec![started] });
         },
         3,
     );
@@ -263,8 +267,8 @@
 
 /// The list says that this member has just started, and whether it is the primary.
 fn started_anew(rig: &mut Rig, n: u64, primary_hint: bool) {
-    let started = Member { started: rig.now, primary_hint, ..member(n) };
-    rig.event(Event::List { full: false, members: vec![started] });
+    let started = EndpointEntry { started: rig.now, primary_hint, ..member(n) };
+    rig.event(Event::EndpointUpdate { full: false, members: vec![started] });
 }
 
 #[test]
@@ -351,8 +355,8 @@
         let mut attempt = 0;
         while let Some(to) = sent(&actions) {
             rig.now += MS / 2;
-            let full = Ended { elapsed: MS / 2, ..ended(id, attempt, to, Outcome::Full) };
-            actions = rig.event(Event::Outcome(full));
+            let full = AttemptResult { elapsed: MS / 2, ..ended(id, attempt, to, Outcome::Full) };
+            actions = rig.event(Event::AttemptEnded(full));
             attempt += 1;
         }
     }
@@ -360,34 +364,34 @@
     assert!(knocks <= 40, "{knocks} for 30 requests");
 }
 
-fn listed(rig: &mut Rig, n: u64, listed: Listed) {
-    rig.event(Event::List { full: false, members: vec![Member { listed, ..member(n) }] });
+fn listed(rig: &mut Rig, n: u64, listed: EndpointState) {
+    rig.event(Event::EndpointUpdate { full: false, members: vec![EndpointEntry { listed, ..member(n) }] });
 }
 
 #[test]
 fn where_only_draining_binds_a_member_called_gone_is_used_while_it_answers() {
     let lenient = Settings { only_draining_binds: true, ..settings() };
     let mut rig = Rig::known(lenient.clone(), 4);
-    rig.event(Event::List { full: true, members: Vec::new() });
+    rig.event(Event::EndpointUpdate { full: true, members: Vec::new() });
     serve(&mut rig, 1..40, 0, Outcome::Ok);
     assert_eq!((1..=4).map(|n| sends(&rig.log, n)).sum::<usize>(), 39, "an empty list costs nothing");
     assert_eq!(sent(&rig.ask(50, WRITE)), Some(1), "nor does it cost the primary");
-    listed(&mut rig, 3, Listed::Draining);
-    rig.event(Event::List { full: true, members: Vec::new() });
+    listed(&mut rig, 3, EndpointState::Draining);
+    rig.event(Event::EndpointUpdate { full: true, members: Vec::new() });
     rig.log.clear();
     serve(&mut rig, 60..100, 0, Outcome::Ok);
     assert_eq!(sends(&rig.log, 3), 0, "one that has drained stays out of bounds");
     let at_dead = serve(&mut rig, 100..200, 4, Outcome::ConnectFailed);
     assert!(at_dead <= 1, "one that is truly gone costs one attempt, not {at_dead}");
     let mut strict = Rig::known(settings(), 4);
-    strict.event(Event::List { full: true, members: Vec::new() });
+    strict.event(Event::EndpointUpdate { full: true, members: Vec::new() });
     assert!(refused(&strict.ask(1, ANY), 1), "where being gone binds too, the rule is kept");
 }
 
 #[test]
 fn a_member_that_does_not_exist_costs_few_attempts() {
     let mut fresh = Rig::known(settings(), 4);
-    listed(&mut fresh, 5, Listed::Ready);
+    listed(&mut fresh, 5, EndpointState::Ready);
     let at_ghost = serve(&mut fresh, 1..40, 5, Outcome::Error);
     assert!(at_ghost <= 1, "{at_ghost} of 39");
 }
@@ -412,8 +416,8 @@
         let mut rig = Rig::known_by(settings(), 4, n);
         taken_by(&mut rig, 1..100, 1..=4);
         let started = rig.now;
-        let members = (5..=12).map(|n| Member { started, ..member(n) }).collect();
-        rig.event(Event::List { full: false, members });
+        let members = (5..=12).map(|n| EndpointEntry { started, ..member(n) }).collect();
+        rig.event(Event::EndpointUpdate { full: false, members });
         taken_by(&mut rig, 100..190, 5..=12);
         taken_by(&mut rig, 200..220, 5..=12)
     };
@@ -443,12 +447,15 @@
         let to = sent(&rig.ask(id, ANY)).unwrap();
         rig.end(id, 0, to, Outcome::Ok, None);
     }
-    rig.event(Event::List { full: false, members: vec![Member { started: rig.now, ..member(5) }] });
+    rig.event(Event::EndpointUpdate {
+        full: false,
+        members: vec![EndpointEntry { started: rig.now, ..member(5) }],
+    });
     rig.pass(9500 * MS);
     (2000..2300).for_each(|id| drop(rig.ask(id, ANY)));
     rig.log.clear();
     let started = rig.now - 9000 * MS;
-    rig.event(Event::List { full: false, members: vec![Member { started, ..member(6) }] });
+    rig.event(Event::EndpointUpdate { full: false, members: vec![EndpointEntry { started, ..member(6) }] });
     (3000..3040).for_each(|id| drop(rig.ask(id, ANY)));
     assert!(sends(&rig.log, 6) <= 1, "{} sent before its first answer", sends(&rig.log, 6));
 }
@@ -458,8 +465,8 @@
 fn a_router_that_has_just_started_uses_cold_members() {
     let mut rig = Rig::known(settings(), 4);
     let started = rig.now;
-    let members = (1..=4).map(|n| Member { started, ..member(n) }).collect();
-    rig.event(Event::List { full: true, members });
+    let members = (1..=4).map(|n| EndpointEntry { started, ..member(n) }).collect();
+    rig.event(Event::EndpointUpdate { full: true, members });
     rig.pass(5000 * MS);
     let taken = taken_by(&mut rig, 1..40, 1..=4);
     assert!(taken >= 5, "{taken} of 39");
@@ -474,7 +481,7 @@
     let fresh = Request { since_write: Some(500 * MS), ..request(1, OWN) };
     let to = sent(&rig.event(Event::Request(fresh))).unwrap();
     rig.event(Event::ClientLeft(1));
-    rig.end(1, 0, to, Outcome::Miss, None);
+    rig.end(1, 0, to, Outcome::NotServable, None);
     let usual = Request { since_write: Some(500 * MS), ..request(2, OWN) };
     let again = [2, 3].map(|id| sent(&rig.event(Event::Request(Request { id, ..usual.clone() }))));
     assert!(again.contains(&Some(to)), "{again:?}");
@@ -483,7 +490,7 @@
 #[test]
 fn a_member_added_later_is_taken_in_by_its_first_good_answer() {
     let mut rig = Rig::known(settings(), 2);
-    listed(&mut rig, 3, Listed::Ready);
+    listed(&mut rig, 3, EndpointState::Ready);
     serve(&mut rig, 1..60, 0, Outcome::Ok);
     assert!(sends(&rig.log, 3) >= 15, "{} of 60", sends(&rig.log, 3));
 }
@@ -498,14 +505,14 @@
 fn a_router_that_has_just_started_probes_in_no_hurry_where_the_list_names_a_primary() {
     let [told, untold] = [true, false].map(|primary_hint| {
         let mut rig = Rig::new(settings(), 4);
-        let hinted = Member { primary_hint, ..member(1) };
-        rig.event(Event::List { full: false, members: vec![hinted] });
+        let hinted = EndpointEntry { primary_hint, ..member(1) };
+        rig.event(Event::EndpointUpdate { full: false, members: vec![hinted] });
         for _ in 0..100 {
             // Probes time out: nothing is learnt of roles.
             rig.pass(100 * MS);
             (1..=4).for_each(|n| {
-                let report = Report::default();
-                rig.event(Event::Probed { server: ServerId(n), answered: false, report });
+                let report = LoadReport::default();
+                rig.event(Event::Probed { server: EndpointId(n), answered: false, report });
             });
             rig.event(Event::Request(request(rig.log.len() as u32, ANY)));
         }
@@ -522,10 +529,14 @@
         for id in 1..200 {
             rig.pass(50 * MS);
             let Some(to) = sent(&rig.ask(id, ANY)) else { continue };
-            let note = Note { role: None, position: tells.then_some(rig.now) };
-            rig.event(Event::Outcome(Ended { note, ..ended(id, 0, to, Outcome::Ok) }));
+            let metadata = ResponseMetadata { role: None, position: tells.then_some(rig.now) };
+            rig.event(Event::AttemptEnded(AttemptResult { metadata, ..ended(id, 0, to, Outcome::Ok) }));
             rig.report(1, Role::Primary, rig.now);
-            rig.event(Event::Probed { server: ServerId(2), answered: false, report: Report::default() });
+            rig.event(Event::Probed {
+                server: EndpointId(2),
+                answered: false,
+                report: LoadReport::default(),
+            });
         }
         probes(&rig)
     });
@@ -536,8 +547,8 @@
 fn failed_probes_do_not_set_a_member_aside_that_serves() {
     let mut rig = Rig::known(settings(), 3);
     for _ in 0..20 {
-        let report = Report::default();
-        rig.event(Event::Probed { server: ServerId(3), answered: false, report });
+        let report = LoadReport::default();
+        rig.event(Event::Probed { server: EndpointId(3), answered: false, report });
     }
     serve(&mut rig, 1..41, 0, Outcome::Ok);
     assert!(sends(&rig.log, 3) >= 15, "{} of 40", sends(&rig.log, 3));
@@ -571,8 +582,8 @@
 #[test]
 fn a_restart_of_the_primary_clears_the_belief() {
     let mut rig = Rig::known(settings(), 3);
-    let back = Member { started: rig.now, ..member(1) };
-    rig.event(Event::List { full: false, members: vec![back] });
+    let back = EndpointEntry { started: rig.now, ..member(1) };
+    rig.event(Event::EndpointUpdate { full: false, members: vec![back] });
     assert_ne!(sent(&rig.ask(1, WRITE)), Some(1), "it comes back as a replica, and cold");
 }
 
@@ -593,16 +604,16 @@
 #[test]
 fn odd_events_do_no_harm() {
     let mut rig = Rig::known(settings(), 2);
-    rig.event(Event::List { full: false, members: vec![member(1), member(1)] });
+    rig.event(Event::EndpointUpdate { full: false, members: vec![member(1), member(1)] });
     rig.end(77, 0, 1, Outcome::Ok, None);
     rig.end(77, 0, 99, Outcome::Ok, None);
     rig.event(Event::ClientLeft(77));
     rig.event(Event::Timer(12345));
-    rig.event(Event::ListFailed);
+    rig.event(Event::EndpointListFailed);
     let to = sent(&rig.ask(1, ANY)).unwrap();
     rig.event(Event::ClientLeft(1));
     assert!(rig.end(1, 0, to, Outcome::TimedOut, None).is_empty(), "it is finished");
-    rig.event(Event::List { full: true, members: Vec::new() });
+    rig.event(Event::EndpointUpdate { full: true, members: Vec::new() });
     assert!(refused(&rig.ask(2, ANY), 2), "all are gone");
     assert!(refused(&rig.event(Event::Request(Request { group: 9, ..request(3, WRITE) })), 3));
     assert!(failed(&rig.ask(4, 99), 4), "a class that is not in the settings");
@@ -614,7 +625,7 @@
 fn a_failed_call_for_the_list_is_repeated_after_a_while() {
     let mut router = Router::new(Settings { list_on_request: true, ..settings() }, 3, 0);
     let mut out = Vec::new();
-    router.handle(0, Event::ListFailed, &mut out);
+    router.handle(0, Event::EndpointListFailed, &mut out);
     assert_eq!(out.iter().filter(|a| **a == Action::Subscribe).count(), 1, "the one of the start");
     let Some(Action::Timer { token, after }) = out.last().cloned() else { panic!("{out:?}") };
     assert!(after >= 500 * MS);
@@ -640,16 +651,16 @@
 #[test]
 fn a_group_seen_once_in_seconds_is_spared_after_a_few_waits() {
     let mut rig = Rig::known(settings(), 3);
-    let other = |n| Member { group: 2, ..member(n) };
-    rig.event(Event::List { full: false, members: (11..=13).map(other).collect() });
+    let other = |n| EndpointEntry { group: 2, ..member(n) };
+    rig.event(Event::EndpointUpdate { full: false, members: (11..=13).map(other).collect() });
     (11..=13).for_each(|s| rig.report(s, if s == 11 { Role::Primary } else { Role::Replica }, rig.now));
     let ask = |rig: &mut Rig, id: u32, group, elapsed| {
         let actions = rig.event(Event::Request(Request { group, ..request(id, ANY) }));
         let to = sent(&actions);
         to.map(|to| {
             rig.pass(elapsed);
-            let took = Ended { elapsed, ..ended(id, 0, to, Outcome::Ok) };
-            rig.event(Event::Outcome(took))
+            let took = AttemptResult { elapsed, ..ended(id, 0, to, Outcome::Ok) };
+            rig.event(Event::AttemptEnded(took))
         });
         to.is_some()
     };
@@ -689,7 +700,7 @@
         rig.pass(100 * MS);
         let to = sent(&rig.ask(10 * id, UNSAFE)).unwrap();
         let lost = ended(10 * id, 0, to, Outcome::Reset);
-        let after = rig.event(Event::Outcome(Ended { elapsed: 300 * MS, ..lost }));
+        let after = rig.event(Event::AttemptEnded(AttemptResult { elapsed: 300 * MS, ..lost }));
         assert!(failed(&after, 10 * id), "{id}");
         // Five reads earn one retry; the first needs it, and takes its whole time for it.
         for read in 1..=5 {
@@ -699,7 +710,7 @@
                 continue;
             }
             let lost = ended(10 * id + read, 0, to, Outcome::Reset);
-            let after = rig.event(Event::Outcome(Ended { elapsed: 300 * MS, ..lost }));
+            let after = rig.event(Event::AttemptEnded(AttemptResult { elapsed: 300 * MS, ..lost }));
             let again = sent(&after).unwrap_or_else(|| panic!("read {id} is not tried again: {after:?}"));
             rig.end(10 * id + read, 1, again, Outcome::Ok, None);
         }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -59,18 +59,18 @@
                 queue.push(Reverse((now + dice.gap(rate), n, Happens::Comes)));
             }
             Happens::Told => {
-                let started = Member { started: starts, primary_hint: cold == 1, ..member(cold) };
-                rig.event(Event::List { full: false, members: vec![started] });
+                let started = EndpointEntry { started: starts, primary_hint: cold == 1, ..member(cold) };
+                rig.event(Event::EndpointUpdate { full: false, members: vec![started] });
             }
             Happens::Ends { id, attempt, server, sent, served } => {
                 let role = if server == 1 { Role::Primary } else { Role::Replica };
-                let note = Note { role: Some(role), position: None };
-                let (outcome, note) = match served {
-                    true => (Outcome::Ok, note),
-                    false => (Outcome::TimedOut, Note::default()),
+                let metadata = ResponseMetadata { role: Some(role), position: None };
+                let (outcome, metadata) = match served {
+                    true => (Outcome::Ok, metadata),
+                    false => (Outcome::TimedOut, ResponseMetadata::default()),
                 };
                 let ended = ended(id, attempt, server, outcome);
-                rig.event(Event::Outcome(Ended { note, elapsed: now - sent, ..ended }));
+                rig.event(Event::AttemptEnded(AttemptResult { metadata, elapsed: now - sent, ..ended }));
             }
         }
         // Also what timers sent on the way.
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -46,10 +46,10 @@
     let mut asked = vec![sent(&rig.ask(1, WRITE)).unwrap()];
     for attempt in 0..2 {
         let at = *asked.last().unwrap();
-        asked.push(sent(&rig.end(1, attempt, at, Outcome::Miss, Some(Role::Replica))).unwrap());
+        asked.push(sent(&rig.end(1, attempt, at, Outcome::NotServable, Some(Role::Replica))).unwrap());
     }
     let last = asked[2];
-    assert_eq!(sent(&rig.end(1, 2, last, Outcome::Miss, Some(Role::Replica))), None, "held");
+    assert_eq!(sent(&rig.end(1, 2, last, Outcome::NotServable, Some(Role::Replica))), None, "held");
     asked.sort();
     assert_eq!(asked, [1, 2, 3]);
     let later = rig.pass(300 * MS);
@@ -64,13 +64,13 @@
     let end = rig.now + 2000 * MS;
     while rig.now < end {
         if let Some(to) = sent(&actions) {
-            actions = rig.end(1, attempt, to, Outcome::Miss, Some(Role::Replica));
+            actions = rig.end(1, attempt, to, Outcome::NotServable, Some(Role::Replica));
             attempt += 1;
         } else {
             actions = rig.pass(20 * MS);
         }
     }
-    let finals = rig.log.iter().filter(|a| matches!(a, Action::Refuse { request: 1, .. } | Action::Fail(1)));
+    let finals = rig.log.iter().filter(|a| matches!(a, Action::Reject { request: 1, .. } | Action::Fail(1)));
     assert_eq!(finals.count(), 1);
     assert!(refused(&rig.log, 1), "nothing ran, so it is refused");
 }
@@ -88,7 +88,7 @@
     let mut rig = Rig::known(settings(), 3);
     assert_eq!(sent(&rig.ask(1, WRITE)), Some(1));
     rig.now += 5 * MS;
-    let next = sent(&rig.end(1, 0, 1, Outcome::Miss, Some(Role::Replica)));
+    let next = sent(&rig.end(1, 0, 1, Outcome::NotServable, Some(Role::Replica)));
     assert!(matches!(next, Some(2 | 3)));
 }
 
@@ -96,8 +96,8 @@
 fn a_read_missed_at_one_replica_tries_the_next_then_the_primary() {
     let mut rig = Rig::known(settings(), 3);
     let first = sent(&rig.ask(1, ANY)).unwrap();
-    let second = sent(&rig.end(1, 0, first, Outcome::Miss, Some(Role::Replica))).unwrap();
-    let third = sent(&rig.end(1, 1, second, Outcome::Miss, Some(Role::Replica))).unwrap();
+    let second = sent(&rig.end(1, 0, first, Outcome::NotServable, Some(Role::Replica))).unwrap();
+    let third = sent(&rig.end(1, 1, second, Outcome::NotServable, Some(Role::Replica))).unwrap();
     assert_eq!((first + second, third), (5, 1));
 }
 
@@ -110,7 +110,7 @@
     while rig.now < end {
         rig.now += 2 * MS;
         actions = match sent(&actions) {
-            Some(to) => rig.end(1, attempt, to, Outcome::Miss, None),
+            Some(to) => rig.end(1, attempt, to, Outcome::NotServable, None),
             None => rig.pass(3 * MS),
         };
         attempt = rig.log.iter().filter(|a| matches!(a, Action::Send { .. })).count() as u32 - 1;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -32,7 +32,7 @@
 }
 
 fn never_ran(o: Outcome) -> bool {
-    matches!(o, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+    matches!(o, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::NotServable)
 }
 
 impl Checker {
@@ -44,12 +44,12 @@
         for a in actions {
             match a {
                 Action::Send { request, server, .. } => self.send(now, *request, server.0),
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let r = self.requests.get_mut(request).expect("a known request");
                     let ran = r.attempts.iter().any(|t| t.ended.is_none_or(|o| !never_ran(o)));
                     let anywhere = matches!(
-                        self.settings.classes[r.class].effect,
-                        Effect::Safe | Effect::Keyed { anywhere: true, .. }
+                        self.settings.classes[r.class].idempotency,
+                        Idempotency::Idempotent | Idempotency::Keyed { anywhere: true, .. }
                     );
                     if ran && !anywhere {
                         self.broken.push(format!("request {request} refused though it may have run"));
@@ -89,9 +89,9 @@
         }
         let ran = r.attempts.iter().filter(|t| t.ended.is_none_or(|o| !never_ran(o)));
         let first = ran.map(|t| t.sent).min();
-        match (class.effect, first) {
-            (Effect::Unsafe, Some(_)) => self.broken.push(format!("unsafe request {id} repeated")),
-            (Effect::Keyed { window, .. }, Some(first)) if now > first + window => {
+        match (class.idempotency, first) {
+            (Idempotency::AtMostOnce, Some(_)) => self.broken.push(format!("unsafe request {id} repeated")),
+            (Idempotency::Keyed { window, .. }, Some(first)) if now > first + window => {
                 self.broken.push(format!("keyed request {id} repeated outside its window"));
             }
             _ => {}
@@ -135,15 +135,15 @@
             r.answered |= outcome == Outcome::Ok;
             let finished = r.answered;
             let role = if server == 1 { Role::Primary } else { Role::Replica };
-            let mut out = rig.event(Event::Outcome(Ended {
+            let mut out = rig.event(Event::AttemptEnded(AttemptResult {
                 request: id,
                 attempt,
-                server: ServerId(server),
+                server: EndpointId(server),
                 outcome,
                 elapsed,
-                note: Note { role: Some(role), position: None },
+                metadata: ResponseMetadata { role: Some(role), position: None },
                 finished,
-                report: Report::default(),
+                report: LoadReport::default(),
             }));
             meddle(&mut out);
             check.actions(now, &out);
@@ -161,13 +161,17 @@
         if dice.below(60) == 0 {
             let n = 1 + dice.below(4);
             let listed =
-                [Listed::Ready, Listed::Ready, Listed::Draining, Listed::Gone][dice.below(4) as usize];
+                [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
+                    [dice.below(4) as usize];
             match listed {
-                Listed::Ready => check.banned.remove(&n),
-                Listed::Gone if settings.only_draining_binds => None,
+                EndpointState::Ready => check.banned.remove(&n),
+                EndpointState::Gone if settings.only_draining_binds => None,
                 _ => Some(*check.banned.entry(n).or_insert(now)),
             };
-            all.push(rig.event(Event::List { full: false, members: vec![Member { listed, ..member(n) }] }));
+            all.push(rig.event(Event::EndpointUpdate {
+                full: false,
+                members: vec![EndpointEntry { listed, ..member(n) }],
+            }));
         }
         for mut actions in all {
             meddle(&mut actions);
@@ -192,14 +196,14 @@
             Action::Send { request, server, timeout, .. } => {
                 let r = &check.requests[request];
                 let attempt = r.attempts.len() as u32 - 1;
-                let write = settings.classes[r.class].need == Need::Write;
+                let write = settings.classes[r.class].need == Requirement::Write;
                 let (after, outcome) = match dice.below(12) {
-                    _ if write && server.0 != 1 => (2, Outcome::Miss),
+                    _ if write && server.0 != 1 => (2, Outcome::NotServable),
                     0 => (3, Outcome::Error),
                     1 => (1, Outcome::Full),
                     2 => (250, Outcome::ConnectFailed),
                     3 => (40, Outcome::Reset),
-                    4 => (50, Outcome::Miss),
+                    4 => (50, Outcome::NotServable),
                     5 | 6 => (1_000_000, Outcome::TimedOut),
                     _ => (10 + dice.below(100), Outcome::Ok),
                 };
@@ -223,7 +227,7 @@
     for seed in 1..=60 {
         for (anywhere, only_draining_binds) in [(false, false), (true, false), (false, true)] {
             let mut settings = Settings { only_draining_binds, ..settings() };
-            settings.classes[WRITE].effect = Effect::Keyed { anywhere, window: 700 * MS };
+            settings.classes[WRITE].idempotency = Idempotency::Keyed { anywhere, window: 700 * MS };
             let broken = play(seed, settings, &|_| {});
             assert!(broken.is_empty(), "seed {seed}: {broken:?}");
         }
@@ -232,7 +236,7 @@
 
 #[test]
 fn the_checker_sees_lost_answers() {
-    let lose = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Refuse { .. }));
+    let lose = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Reject { .. }));
     let broken: Vec<String> = (1..=10).flat_map(|seed| play(seed, settings(), &lose)).collect();
     assert!(broken.iter().any(|b| b.contains("never answered")), "{broken:?}");
 }
@@ -242,7 +246,7 @@
     let refuse = |actions: &mut Vec<Action>| {
         for a in actions {
             if let Action::Fail(request) = a {
-                *a = Action::Refuse { request: *request, retry_after: 0 };
+                *a = Action::Reject { request: *request, retry_after: 0 };
             }
         }
     };
@@ -255,7 +259,7 @@
     let divert = |actions: &mut Vec<Action>| {
         for a in actions {
             if let Action::Send { server, .. } = a {
-                *server = ServerId(2);
+                *server = EndpointId(2);
             }
         }
     };
@@ -267,7 +271,10 @@
 fn play_diverted(seed: u64, divert: &dyn Fn(&mut Vec<Action>)) -> Vec<String> {
     let mut rig = Rig::known(settings(), 3);
     let mut check = Checker::new(settings());
-    rig.event(Event::List { full: false, members: vec![Member { listed: Listed::Draining, ..member(2) }] });
+    rig.event(Event::EndpointUpdate {
+        full: false,
+        members: vec![EndpointEntry { listed: EndpointState::Draining, ..member(2) }],
+    });
     check.banned.insert(2, rig.now);
     rig.pass(DRAIN_GRACE + seed * MS);
     let r = Req { class: ANY, came: rig.now, deadline: rig.now, attempts: Vec::new(), answered: false };
@@ -282,8 +289,8 @@
 #[test]
 fn a_cold_member_gets_no_more_than_its_share() {
     let mut rig = Rig::known(settings(), 4);
-    let cold = Member { started: rig.now, ..member(4) };
-    rig.event(Event::List { full: false, members: vec![cold] });
+    let cold = EndpointEntry { started: rig.now, ..member(4) };
+    rig.event(Event::EndpointUpdate { full: false, members: vec![cold] });
     let mut counts = BTreeMap::new();
     for id in 1..=600 {
         rig.pass(5 * MS);
@@ -359,8 +366,8 @@
         probed(&actions).or_else(|| probed(&rig.log)).unwrap()
     };
     let answer = |rig: &mut Rig, s, age| {
-        let report = Report { role: Some(Role::Replica), position: Some(rig.now - age) };
-        sent(&rig.event(Event::Probed { server: ServerId(s), answered: true, report }))
+        let report = LoadReport { role: Some(Role::Replica), position: Some(rig.now - age) };
+        sent(&rig.event(Event::Probed { server: EndpointId(s), answered: true, report }))
     };
     let first = asked(&mut rig, 1);
     assert_ne!(first, 1, "the primary stands at the present");
@@ -375,7 +382,7 @@
     rig.log.clear();
     let third = asked(&mut rig, 4);
     assert_eq!(sent(&rig.pass(100 * MS)), Some(1), "no answer: the primary serves it soon");
-    let failed = Event::Probed { server: ServerId(third), answered: false, report: Report::default() };
+    let failed = Event::Probed { server: EndpointId(third), answered: false, report: LoadReport::default() };
     rig.event(failed);
     rig.log.clear();
     assert_ne!(asked(&mut rig, 5), third, "who did not answer is not the next to be asked");
@@ -434,9 +441,9 @@
         (0..5).map(|n| from + n * 500).map(round).min().unwrap()
     };
     let before = time(&mut rig, 10_000);
-    let gone = |n| Member { listed: Listed::Gone, ..member(n) };
+    let gone = |n| EndpointEntry { listed: EndpointState::Gone, ..member(n) };
     for n in 4..1_000 {
-        rig.event(Event::List { full: false, members: vec![gone(n - 1), member(n)] });
+        rig.event(Event::EndpointUpdate { full: false, members: vec![gone(n - 1), member(n)] });
         rig.report(n, Role::Replica, rig.now);
         rig.pass(11_000 * MS);
         let to = sent(&rig.ask(n as u32, ANY)).unwrap();
@@ -457,7 +464,7 @@
     let mut attempt = 0;
     for _ in 0..80 {
         while let Some(to) = sent(&actions) {
-            actions = rig.end(1, attempt, to, Outcome::Miss, Some(Role::Replica));
+            actions = rig.end(1, attempt, to, Outcome::NotServable, Some(Role::Replica));
             attempt += 1;
         }
         assert!(!failed(&actions, 1) && !refused(&actions, 1), "given up after {attempt} attempts");
@@ -478,7 +485,7 @@
     let mut attempt = 0;
     for _ in 0..150 {
         while let Some(to) = sent(&actions) {
-            let how = if to == 1 { Outcome::ConnectFailed } else { Outcome::Miss };
+            let how = if to == 1 { Outcome::ConnectFailed } else { Outcome::NotServable };
             actions = rig.end(1, attempt, to, how, None);
             attempt += 1;
         }
