--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's front: simple queries, one statement each, described by the comment that they carry.
 
 use super::{Answer, Ask, Protocol, Service, Step, Work, put_verdict};
+use crate::clock::from_unix_ms;
 use crate::core::Verdict;
-use crate::net::clock::from_unix_ms;
 use crate::pg::{self, statement};
 use crate::{Micros, Requirement, Settings};
 use std::ops::Range;
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -7,8 +7,8 @@
 
 use super::unit::{Part, Prepared, Unit};
 use super::{Answer, Ask, Protocol, Service, Step, Work, put_verdict};
+use crate::clock::from_unix_ms;
 use crate::core::Verdict;
-use crate::net::clock::from_unix_ms;
 use crate::pg::{self, statement};
 use crate::store::{Change, Statement};
 use crate::{Idempotency, Micros, Requirement, Settings};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,6 +58,7 @@
 //! ```
 
 mod balance;
+mod clock;
 mod config;
 mod core;
 mod front;
@@ -65,8 +66,10 @@
 mod net;
 mod pg;
 mod random;
+mod stable_hash;
 pub mod store;
 pub mod syslog;
+mod threads;
 pub mod wire;
 
 pub use balance::Router;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::clock::from_unix_ms;
 use super::{Message, Messages, spawn};
-use crate::pg::statement::hash;
+use crate::stable_hash::stable_hash;
 use crate::{EndpointEntry, EndpointId, EndpointState};
 use serde::{Deserialize, Serialize};
 use std::io::{Error, ErrorKind, Read, Result, Write};
@@ -107,7 +107,7 @@
 
 /// The same for the same `uid`, at every proxy and after every restart.
 pub fn server_id(uid: &str) -> EndpointId {
-    EndpointId(hash(uid.as_bytes()) & 0xffff_ffff_ffff)
+    EndpointId(stable_hash(uid.as_bytes()) & 0xffff_ffff_ffff)
 }
 
 /// The number of a watch: the loop takes news of the newest only.
@@ -156,7 +156,7 @@
                 // Guards against hundreds of proxies that call in step, and ever on, where discovery is short
                 // of room: the wait doubles while nothing is heard.
                 wait = if std::mem::take(&mut watcher.heard) { AGAIN } else { (wait * 2).min(AGAIN_MOST) };
-                turn = hash(&turn.to_be_bytes());
+                turn = stable_hash(&turn.to_be_bytes());
                 std::thread::sleep(wait * 3 / 4 + wait * (turn % 1000) as u32 / 2000);
             }
         })?;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,7 +2,6 @@
 //! asks for. The loop itself never blocks on a socket.
 
 pub mod client;
-pub mod clock;
 pub mod discovery;
 pub mod link;
 pub mod ops;
@@ -13,7 +12,7 @@
 use crate::front::postgres::{Batch, Listen, Postgres};
 use crate::front::{Answer, ClientId, Desk, Lobby, Out, Said, Service, Work};
 use crate::store::{Change, Replicas, State, Store};
-use crate::{Micros, Settings};
+use crate::{Micros, Settings, clock};
 use clock::Clock;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use discovery::{Watch, WatchId};
@@ -25,8 +24,6 @@
 
 /// Messages to the loop that may wait; whoever sends more waits.
 const UNREAD: usize = 1024;
-/// Threads need little: buffers are on the heap.
-const STACK: usize = 128 * 1024;
 /// Descriptors kept for the listener, discovery, logs and the like; with few, the part that these need at
 /// least.
 const SPARE: usize = 40;
@@ -92,10 +89,7 @@
 /// Where messages to the loop go.
 pub type Messages = Sender<Message>;
 
-/// Starts a thread with a small stack; fails where the system has none left.
-pub fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
-    std::thread::Builder::new().name(name.into()).stack_size(STACK).spawn(run).map(drop)
-}
+pub use crate::threads::spawn;
 
 /// The clients' socket: bound here, or held by the platform and inherited.
 pub fn listener(config: &Config) -> Result<TcpListener, String> {
@@ -467,7 +461,8 @@
         }
         let extended = handle.extended;
         self.clients.insert(id, handle);
-        let secret = crate::pg::statement::hash(&[self.seed.to_be_bytes(), id.to_be_bytes()].concat()) as u32;
+        let secret =
+            crate::stable_hash::stable_hash(&[self.seed.to_be_bytes(), id.to_be_bytes()].concat()) as u32;
         let outs = match &mut self.postgres {
             Some(postgres) if extended => postgres.said(&mut self.desk, now, id, Said::Connected { secret }),
             _ => self.platform.said(&mut self.desk, now, id, Said::Connected { secret }),
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,6 +1,7 @@
 //! What decisions need of a statement: the fields of its comment and its key, as slices of the text. All the
 //! rest goes on as the bytes that came.
 
+use crate::stable_hash::stable_hash;
 use std::ops::Range;
 
 /// The fields of a statement, as they stand in its text.
@@ -178,12 +179,7 @@
 /// The session that a key names: its hexadecimal value, or a hash of it; never 0, which means none.
 pub fn session(key: &[u8]) -> u64 {
     let hex = std::str::from_utf8(key).ok().filter(|k| k.len() <= 16);
-    hex.and_then(|k| u64::from_str_radix(k, 16).ok()).unwrap_or_else(|| hash(key)).max(1)
-}
-
-/// FNV-1a: stable over restarts and machines.
-pub fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3))
+    hex.and_then(|k| u64::from_str_radix(k, 16).ok()).unwrap_or_else(|| stable_hash(key)).max(1)
 }
 
 #[cfg(test)]
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -5,9 +5,9 @@
 mod disk;
 mod raft;
 
-use crate::net::clock::Clock;
+use crate::clock::Clock;
 use crate::net::discovery::List;
-use crate::net::spawn;
+use crate::threads::spawn;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use disk::Disk;
 use raft::{Input, Machine, Message, Output, Raft, ReplicaId, Saved};
--- a/src/syslog.rs
+++ b/src/syslog.rs
@@ -3,7 +3,7 @@
 //!
 //! Whoever logs never waits: each sink has a thread and a bounded queue of its own, and counts what it drops.
 
-use crate::net::spawn;
+use crate::threads::spawn;
 use crossbeam_channel::{Sender, bounded};
 use serde::Deserialize;
 use std::fmt::{Debug, Write as _};
