--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
 //! What the proxy is told at its start: `GW_CONFIG`, and what the other variables say in its place.
 
 use crate::Settings;
-use crate::net::discovery::List;
+use crate::endpoint_list::EndpointList;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -34,7 +34,7 @@
     pub memory: usize,
     /// The member list as this proxy last had it.
     #[serde(default)]
-    pub known: List,
+    pub known: EndpointList,
     /// What the decisions are told.
     pub settings: Settings,
     /// The same as it was written, for the store.
--- /dev/null
+++ b/src/endpoint_list.rs
@@ -0,0 +1,107 @@
+//! The endpoint list as discovery sends it, the configuration states it and the store keeps it.
+
+use crate::clock::from_unix_ms;
+use crate::stable_hash::stable_hash;
+use crate::{EndpointEntry, EndpointId, EndpointState};
+use serde::{Deserialize, Serialize};
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// State of an entry in a partial list that removes the endpoint.
+const STATE_DELETED: &str = "DELETED";
+/// State of an endpoint that takes requests.
+const STATE_SERVING: &str = "SERVING";
+/// State of an endpoint that finishes what it has and takes nothing new.
+const STATE_DRAINING: &str = "DRAINING";
+/// Value of `recovery` that a primary shows.
+const RECOVERY_OFF: &str = "off";
+/// Endpoint ids have 48 bits.
+const ENDPOINT_ID_MASK: u64 = 0xffff_ffff_ffff;
+/// Stands in where the address of an endpoint that is gone can't be read; nothing connects to it.
+const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+
+/// A list of endpoints: complete, or only the entries that have changed.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct EndpointList {
+    /// The revision; discovery raises it with every change.
+    #[serde(default, rename = "rev")]
+    pub revision: u64,
+    /// Whether the list is complete; otherwise it holds changes.
+    #[serde(default, rename = "all")]
+    pub complete: bool,
+    /// The entries.
+    #[serde(default, rename = "targets")]
+    pub endpoints: Vec<ListedEndpoint>,
+}
+
+/// An entry of an [`EndpointList`].
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct ListedEndpoint {
+    uid: String,
+    #[serde(rename = "endpoint")]
+    address: String,
+    #[serde(default, rename = "pod_group")]
+    group: u32,
+    state: String,
+    #[serde(default, rename = "boot_ms")]
+    started_unix_ms: f64,
+    #[serde(default)]
+    recovery: String,
+}
+
+impl EndpointList {
+    /// Applies an update: a complete list replaces this one, changes replace their entries.
+    pub fn merge(&mut self, update: EndpointList) {
+        if update.complete {
+            *self = update;
+            return;
+        }
+        self.revision = update.revision;
+        for changed in update.endpoints {
+            self.endpoints.retain(|endpoint| endpoint.uid != changed.uid);
+            if changed.state != STATE_DELETED {
+                self.endpoints.push(changed);
+            }
+        }
+    }
+
+    /// The entries as the core takes them. Entries whose address can't be read are left out.
+    pub fn members(&self) -> Vec<(EndpointEntry, SocketAddr)> {
+        self.endpoints.iter().filter_map(ListedEndpoint::member).collect()
+    }
+}
+
+impl ListedEndpoint {
+    fn member(&self) -> Option<(EndpointEntry, SocketAddr)> {
+        let listed = self.listed_state();
+        let address = match self.address.parse() {
+            Ok(address) => address,
+            Err(_) if listed == EndpointState::Gone => NO_ADDRESS,
+            Err(_) => return None,
+        };
+        let entry = EndpointEntry {
+            server: endpoint_id(&self.uid),
+            group: self.group,
+            zone: 0,
+            listed,
+            primary_hint: self.recovery == RECOVERY_OFF,
+            started: from_unix_ms(self.started_unix_ms.max(0.0) as u64),
+        };
+        Some((entry, address))
+    }
+
+    fn listed_state(&self) -> EndpointState {
+        match self.state.as_str() {
+            STATE_SERVING => EndpointState::Ready,
+            STATE_DRAINING => EndpointState::Draining,
+            _ => EndpointState::Gone,
+        }
+    }
+}
+
+/// The id of the endpoint with this `uid`: the same at every proxy and after every restart.
+fn endpoint_id(uid: &str) -> EndpointId {
+    EndpointId(stable_hash(uid.as_bytes()) & ENDPOINT_ID_MASK)
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -61,6 +61,7 @@
 mod clock;
 mod config;
 mod core;
+mod endpoint_list;
 mod front;
 mod interface;
 mod net;
--- /dev/null
+++ b/src/net/discovery/error.rs
@@ -0,0 +1,52 @@
+//! What can end a call to discovery.
+
+use std::io::ErrorKind;
+
+/// Why a call to discovery, or a watch, ended.
+#[derive(Debug, thiserror::Error)]
+pub enum DiscoveryError {
+    /// The connection failed, or a read or write on it timed out.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    /// The response has not advanced for too long.
+    #[error("timed out")]
+    TimedOut,
+    /// The stream ended within the response.
+    #[error("unexpected end of file")]
+    UnexpectedEnd,
+    /// The head of the response is not HTTP.
+    #[error(transparent)]
+    Head(#[from] httparse::Error),
+    /// The head of the response goes on and on.
+    #[error("headers too long")]
+    HeadTooLong,
+    /// The response has a status other than 200.
+    #[error("discovery answered {0:?}")]
+    Status(Option<u16>),
+    /// The stated length of the response is no number.
+    #[error("bad length")]
+    ContentLength,
+    /// The size of a chunk can't be read.
+    #[error("bad chunk")]
+    ChunkSize,
+    /// Something other than a JSON object stands in the response.
+    #[error("no JSON object")]
+    NotAnObject,
+    /// An object is longer than any list that is read.
+    #[error("list too long")]
+    ListTooLong,
+    /// An object is no endpoint list.
+    #[error(transparent)]
+    List(#[from] serde_json::Error),
+}
+
+impl DiscoveryError {
+    /// Whether the call ended because a time limit passed.
+    pub fn is_timeout(&self) -> bool {
+        match self {
+            DiscoveryError::Io(error) => matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
+            DiscoveryError::TimedOut => true,
+            _ => false,
+        }
+    }
+}
--- /dev/null
+++ b/src/net/discovery/mod.rs
@@ -0,0 +1,257 @@
+//! The discovery watch: keeps a connection to discovery open, and passes each update of the endpoint list on.
+//!
+//! A watch starts behind the revision that is known, and reconnects for as long as the proxy runs.
+
+mod backoff;
+mod error;
+mod http_response;
+mod object_stream;
+
+use crate::endpoint_list::EndpointList;
+use crate::threads::spawn;
+use backoff::Backoff;
+use error::DiscoveryError;
+use http_response::ResponseBody;
+use object_stream::{ObjectStream, StreamItem};
+use std::io::Write;
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::ops::ControlFlow;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+// An update counts as delivered in time 6 s after discovery had it and was reachable, and 6 s after a watch
+// fell silent. The longest way there is a silent watch, a delay, a connection that never comes up, a delay, a
+// call that hangs, and one more delay: 2.4 + 0.25 + 0.4 + 0.5 + 1 + 1 s.
+
+/// Discovery sends an empty line every 2 s: a watch on which no line has ended for longer is dead.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2400);
+/// The agent runs on this machine: a connection that is not up by then never comes up.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a call may take until the first complete list has arrived; the next call after one that hung may
+/// take twice as long. Guards against giving up on an overloaded discovery each time just before it answers.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
+const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
+const _: () = {
+    let first_delays = backoff::INITIAL_DELAY.as_millis() * 3;
+    let delays = (first_delays + backoff::MAX_DELAY.as_millis()) * 5 / 4;
+    let timeouts = SILENCE_TIMEOUT.as_millis() + CONNECT_TIMEOUT.as_millis() + CALL_TIMEOUT.as_millis();
+    assert!(timeouts + delays < 5700);
+};
+
+/// The number of a watch; a newer watch has a higher one.
+pub type WatchId = u64;
+
+/// An update of the endpoint list.
+pub struct WatchEvent {
+    /// The watch that received it.
+    pub watch: WatchId,
+    /// The complete list, or the entries that have changed.
+    pub endpoints: EndpointList,
+}
+
+/// Nobody takes watch events any more.
+pub struct ReceiverClosed;
+
+/// Where a watch sends its events; may block until there is room.
+pub type EventSink = Box<dyn Fn(WatchEvent) -> Result<(), ReceiverClosed> + Send>;
+
+/// A running watch. Dropping it ends the watch, whatever it waits for.
+pub struct Watch {
+    /// Its number.
+    pub id: WatchId,
+    /// Where discovery is.
+    pub address: SocketAddr,
+    connection: Arc<WatchConnection>,
+}
+
+impl Watch {
+    /// Starts a watch behind this revision, or, without one, with the complete list: revisions of another
+    /// discovery address mean nothing.
+    pub fn start(
+        id: WatchId,
+        address: SocketAddr,
+        revision: Option<u64>,
+        seed: u64,
+        events: EventSink,
+    ) -> std::io::Result<Watch> {
+        let connection = Arc::new(WatchConnection::default());
+        let watcher = Watcher {
+            id,
+            address,
+            revision,
+            received: false,
+            call_timeout: CALL_TIMEOUT,
+            events,
+            connection: connection.clone(),
+        };
+        spawn("discovery", move || watcher.run(Backoff::new(seed)))?;
+        Ok(Watch { id, address, connection })
+    }
+}
+
+impl Drop for Watch {
+    fn drop(&mut self) {
+        self.connection.cancel();
+    }
+}
+
+/// The present connection of a watch, shared by the watch's thread and its owner.
+#[derive(Default)]
+struct WatchConnection {
+    stream: Mutex<Option<TcpStream>>,
+    canceled: AtomicBool,
+}
+
+impl WatchConnection {
+    fn attach(&self, stream: TcpStream) {
+        *self.stream.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(stream);
+    }
+
+    fn cancel(&self) {
+        self.canceled.store(true, Ordering::SeqCst);
+        let slot = self.stream.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        if let Some(stream) = slot.as_ref() {
+            let _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+
+    fn is_canceled(&self) -> bool {
+        self.canceled.load(Ordering::SeqCst)
+    }
+}
+
+/// What a call asks for.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Call {
+    /// The complete list, once.
+    List,
+    /// All updates behind this revision, for as long as the connection lasts.
+    Watch { revision: u64 },
+}
+
+impl Call {
+    fn path(self) -> String {
+        match self {
+            Call::List => "/api/targets".into(),
+            Call::Watch { revision } => format!("/api/targets?stream=1&index={revision}"),
+        }
+    }
+
+    fn is_watch(self) -> bool {
+        matches!(self, Call::Watch { .. })
+    }
+}
+
+/// The state of the watch's thread.
+struct Watcher {
+    id: WatchId,
+    address: SocketAddr,
+    /// The revision of the last update; `None` before the first complete list.
+    revision: Option<u64>,
+    /// Discovery has sent something since the last delay.
+    received: bool,
+    /// How long a call may take until its first complete list has arrived.
+    call_timeout: Duration,
+    events: EventSink,
+    connection: Arc<WatchConnection>,
+}
+
+impl Watcher {
+    fn run(mut self, mut backoff: Backoff) {
+        while !self.connection.is_canceled() {
+            if let Err(error) = self.list_and_watch()
+                && !self.connection.is_canceled()
+            {
+                tracing::warn!(%error, "discovery watch ended");
+            }
+            let received = std::mem::take(&mut self.received);
+            std::thread::sleep(backoff.next_delay(received));
+        }
+    }
+
+    fn list_and_watch(&mut self) -> Result<(), DiscoveryError> {
+        if self.revision.is_none() {
+            self.call(Call::List)?;
+        }
+        let revision = self.revision.unwrap_or(0);
+        self.call(Call::Watch { revision })
+    }
+
+    /// Makes a call, and passes on what it returns.
+    fn call(&mut self, call: Call) -> Result<(), DiscoveryError> {
+        let stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
+        self.connection.attach(stream.try_clone()?);
+        // Guards against a watch that is canceled while the connection comes up: nobody would shut this
+        // connection down.
+        if self.connection.is_canceled() {
+            return Ok(());
+        }
+        stream.set_nodelay(true)?;
+        stream.set_write_timeout(Some(CALL_TIMEOUT))?;
+        let deadline = Instant::now() + self.call_timeout;
+        let request = format!("GET {} HTTP/1.1\r\nHost: {}\r\n\r\n", call.path(), self.address);
+        (&stream).write_all(request.as_bytes())?;
+        let result = self.read_response(&stream, deadline, call);
+        let hung = result.as_ref().is_err_and(DiscoveryError::is_timeout);
+        self.call_timeout =
+            if hung && !self.received { (self.call_timeout * 2).min(MAX_CALL_TIMEOUT) } else { CALL_TIMEOUT };
+        result
+    }
+
+    fn read_response(
+        &mut self,
+        stream: &TcpStream,
+        mut deadline: Instant,
+        call: Call,
+    ) -> Result<(), DiscoveryError> {
+        let mut body = ResponseBody::open(stream, deadline)?;
+        if call.is_watch() {
+            // Where nothing has changed, the first line may be the next empty one.
+            deadline = Instant::now() + SILENCE_TIMEOUT;
+        }
+        let mut objects = ObjectStream::default();
+        while let Some(bytes) = body.next(deadline)? {
+            // Guards against bytes that keep coming and never end a line.
+            let late = Instant::now() > deadline;
+            let mut advanced = false;
+            for byte in bytes {
+                let Some(item) = objects.push(byte)? else { continue };
+                if item == StreamItem::KeepAlive && !call.is_watch() {
+                    continue;
+                }
+                self.received = true;
+                advanced = true;
+                deadline = Instant::now() + SILENCE_TIMEOUT;
+                if self.deliver(item)?.is_break() || !call.is_watch() {
+                    return Ok(());
+                }
+            }
+            if late && !advanced {
+                return Err(DiscoveryError::TimedOut);
+            }
+        }
+        if call.is_watch() && !objects.is_within_object() {
+            Ok(())
+        } else {
+            Err(DiscoveryError::UnexpectedEnd)
+        }
+    }
+
+    /// Passes an update on; breaks if nobody takes it any more.
+    fn deliver(&mut self, item: StreamItem) -> Result<ControlFlow<()>, DiscoveryError> {
+        if self.connection.is_canceled() {
+            return Ok(ControlFlow::Break(()));
+        }
+        let StreamItem::Object(object) = item else { return Ok(ControlFlow::Continue(())) };
+        let endpoints: EndpointList = serde_json::from_slice(&object)?;
+        self.revision = Some(endpoints.revision);
+        match (self.events)(WatchEvent { watch: self.id, endpoints }) {
+            Ok(()) => Ok(ControlFlow::Continue(())),
+            Err(ReceiverClosed) => Ok(ControlFlow::Break(())),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/discovery/object_stream.rs
@@ -0,0 +1,60 @@
+//! Splits a stream of JSON objects into single objects.
+
+use super::error::DiscoveryError;
+
+/// The longest endpoint list that is read, in bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
+
+/// What a byte of the stream completes.
+#[derive(Debug, PartialEq, Eq)]
+pub enum StreamItem {
+    /// An empty line: the sender is alive and has nothing to say.
+    KeepAlive,
+    /// The text of an object.
+    Object(Vec<u8>),
+}
+
+/// Splits a stream of JSON objects, however they are broken into lines.
+#[derive(Default)]
+pub struct ObjectStream {
+    /// The object that has begun.
+    object: Vec<u8>,
+    /// How many braces of it are open.
+    depth: usize,
+    in_string: bool,
+    after_backslash: bool,
+}
+
+impl ObjectStream {
+    /// Whether an object has begun and is not complete.
+    pub fn is_within_object(&self) -> bool {
+        !self.object.is_empty()
+    }
+
+    /// Takes the next byte, and returns what it completes.
+    pub fn push(&mut self, byte: u8) -> Result<Option<StreamItem>, DiscoveryError> {
+        if self.depth == 0 && byte != b'{' {
+            return match byte {
+                b'\n' => Ok(Some(StreamItem::KeepAlive)),
+                _ if byte.is_ascii_whitespace() => Ok(None),
+                _ => Err(DiscoveryError::NotAnObject),
+            };
+        }
+        self.object.push(byte);
+        if self.object.len() > MAX_LIST_BYTES {
+            return Err(DiscoveryError::ListTooLong);
+        }
+        match byte {
+            _ if self.after_backslash => self.after_backslash = false,
+            b'\\' if self.in_string => self.after_backslash = true,
+            b'"' => self.in_string = !self.in_string,
+            b'{' if !self.in_string => self.depth += 1,
+            b'}' if !self.in_string => self.depth -= 1,
+            _ => {}
+        }
+        if self.depth > 0 {
+            return Ok(None);
+        }
+        Ok(Some(StreamItem::Object(std::mem::take(&mut self.object))))
+    }
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,6 +8,7 @@
 
 use crate::config::Config;
 use crate::core::{Core, Effect, Input, LinkId};
+use crate::endpoint_list::EndpointList;
 use crate::front::platform::{Platform, Query};
 use crate::front::postgres::{Batch, Listen, Postgres};
 use crate::front::{Answer, ClientId, Desk, Lobby, Out, Said, Service, Work};
@@ -15,7 +16,7 @@
 use crate::{Micros, Settings, clock};
 use clock::Clock;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
-use discovery::{Watch, WatchId};
+use discovery::{EventSink, ReceiverClosed, Watch, WatchEvent};
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use std::net::TcpListener;
@@ -66,12 +67,12 @@
 pub enum Message {
     /// For the core.
     Core(Input<Work, Answer>),
-    /// News of the member list, from this watch.
-    News(WatchId, discovery::List),
+    /// An update of the endpoint list.
+    Discovery(WatchEvent),
     /// SIGHUP: the configuration as the file has it now, or why it can't be used.
     Reload(Box<Result<Config, String>>),
     /// The member list as the store had it when this proxy last ran.
-    Stored(discovery::List),
+    Stored(EndpointList),
     /// A new connection.
     Accepted(ClientId, client::Handle),
     /// From a reader of the platform's front.
@@ -176,9 +177,15 @@
         sockets: config.sockets,
         seed: config.seed,
         ready_at: Some(clock.now() + READY_AFTER),
-        told: config.known.rev,
+        told: config.known.revision,
         before: None,
-        watch: Watch::start(0, config.discovery, Some(config.known.rev), config.seed, messages.clone())?,
+        watch: Watch::start(
+            0,
+            config.discovery,
+            Some(config.known.revision),
+            config.seed,
+            event_sink(messages.clone()),
+        )?,
         ending: None,
         stopped: None,
         inherited: config.listen_fd.is_some(),
@@ -202,6 +209,11 @@
     Ok(())
 }
 
+/// Sends what a watch receives to the loop.
+fn event_sink(messages: Messages) -> EventSink {
+    Box::new(move |event| messages.send(Message::Discovery(event)).map_err(|_| ReceiverClosed))
+}
+
 fn signals(messages: Messages) -> std::io::Result<()> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])?;
@@ -354,14 +366,14 @@
                 self.core(now, input);
             }
             Message::Reload(read) => self.reload(*read),
-            Message::News(watch, list) => {
+            Message::Discovery(WatchEvent { watch, endpoints: list }) => {
                 if watch == self.watch.id {
                     self.before = None;
                 } else if self.before.as_ref().is_none_or(|before| before.id != watch) {
                     // Guards against news that an ended watch had under way.
                     return;
                 }
-                let input = Input::List { full: list.all, members: list.members() };
+                let input = Input::List { full: list.complete, members: list.members() };
                 self.told = u64::MAX;
                 self.core(now, input);
                 self.store.note(Change::Members(list));
@@ -369,8 +381,8 @@
             }
             // What discovery says goes before what the store remembers, and so does a newer list.
             Message::Stored(list) => {
-                if list.rev > self.told && !list.targets.is_empty() {
-                    self.told = list.rev;
+                if list.revision > self.told && !list.endpoints.is_empty() {
+                    self.told = list.revision;
                     self.core(now, Input::List { full: true, members: list.members() });
                 }
             }
@@ -424,7 +436,7 @@
             return tracing::info!("told to read the configuration again: discovery is where it was");
         }
         // The members stay as they were last told until the new address has told its whole list.
-        match Watch::start(self.watch.id + 1, address, None, self.seed, self.messages.clone()) {
+        match Watch::start(self.watch.id + 1, address, None, self.seed, event_sink(self.messages.clone())) {
             Ok(watch) => {
                 tracing::info!(discovery = %address, "following discovery to another address");
                 let before = std::mem::replace(&mut self.watch, watch);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -6,7 +6,7 @@
 mod raft;
 
 use crate::clock::Clock;
-use crate::net::discovery::List;
+use crate::endpoint_list::EndpointList;
 use crate::threads::spawn;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use disk::Disk;
@@ -89,7 +89,7 @@
     /// A setting.
     Set(String, serde_json::Value),
     /// News of the member list.
-    Members(List),
+    Members(EndpointList),
     /// A statement was prepared.
     Prepared(Statement),
 }
@@ -100,7 +100,7 @@
     /// Settings by name; `proxy` holds what the proxy was told.
     pub settings: BTreeMap<String, serde_json::Value>,
     /// The member list.
-    pub members: List,
+    pub members: EndpointList,
     /// The catalogue, the newest last.
     pub statements: VecDeque<Statement>,
 }
