--- a/src/config.rs
+++ b/src/config.rs
@@ -13,9 +13,9 @@
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
-    #[serde(default)]
-    pub ops: Option<SocketAddr>,
+    /// Where the admin listener is, if anywhere.
+    #[serde(default, rename = "ops")]
+    pub admin_listen: Option<SocketAddr>,
     /// The descriptor of the clients' listening socket, where the platform holds it.
     #[serde(skip)]
     pub listen_fd: Option<i32>,
@@ -82,7 +82,7 @@
         config.told = whole["settings"].clone();
         address("GW_LISTEN", &mut config.listen)?;
         if let Ok(text) = std::env::var("GW_OPS") {
-            config.ops = Some(text.parse().map_err(|_| format!("GW_OPS is no address: {text}"))?);
+            config.admin_listen = Some(text.parse().map_err(|_| format!("GW_OPS is no address: {text}"))?);
         }
         if let Ok(text) = std::env::var("GW_LISTEN_FD") {
             let number = text.parse().ok().filter(|n| (0..1 << 20).contains(n));
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,10 @@
 //! The sockets: threads that read and write, and the one loop that feeds the reducer and carries out what it
 //! asks for. The loop itself never blocks on a socket.
 
+pub mod admin;
 pub mod client;
 pub mod discovery;
 pub mod link;
-pub mod ops;
 
 use crate::config::Config;
 use crate::core::{Core, Effect, Input, LinkId};
@@ -14,6 +14,7 @@
 use crate::front::{Answer, ClientId, Desk, Lobby, Out, Said, Service, Work};
 use crate::store::{Change, Replicas, State, Store};
 use crate::{Micros, Settings, clock};
+use admin::{AdminRequest, AdminResponse};
 use clock::Clock;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use discovery::{EventSink, ReceiverClosed, Watch, WatchEvent};
@@ -79,8 +80,8 @@
     Client(ClientId, Said<Query>),
     /// From a reader of the extended front.
     Extended(ClientId, Said<Batch>),
-    /// An operator's call.
-    Operator(ops::Call, ops::Reply),
+    /// An operator's request.
+    Admin(AdminRequest, admin::ResponseSender),
     /// SIGTERM or SIGINT.
     Terminate,
     /// Nothing is read from clients any more, and all that was read before has been handed over.
@@ -131,7 +132,7 @@
     let stored = messages.clone();
     let recovered = move |state: State| drop(stored.try_send(Message::Stored(state.members)));
     let store = Store::start(replicas, config.seed, recovered)?;
-    let callers = config.ops.map_or(0, |_| ops::CALLERS);
+    let callers = config.admin_listen.map_or(0, |_| admin::MAX_CONNECTIONS);
     // Guards against clients or links that take the last descriptor: news of the list must come in whatever
     // they do.
     let left = config.sockets.saturating_sub(NEEDED + callers);
@@ -194,9 +195,9 @@
     host.store.note(Change::Set("proxy".into(), config.told.clone()));
     let known = Input::List { full: true, members: config.known.members() };
     host.core(clock.now(), known);
-    if let Some(at) = config.ops {
-        let at = ops::listen(at, host.settings.clone(), messages.clone())?;
-        tracing::info!(ops = %at, "operators may call");
+    if let Some(at) = config.admin_listen {
+        let at = admin::listen(at, host.settings.clone(), messages.clone())?;
+        tracing::info!(ops = %at, "admin listener started");
     }
     signals(messages.clone())?;
     tracing::info!(name = config.name, listen = %listen_at, "serving");
@@ -398,20 +399,20 @@
                 let outs = self.platform.said(&mut self.desk, now, id, said);
                 self.carry_out(now, outs);
             }
-            Message::Operator(call, reply) => {
-                let told = match call {
-                    ops::Call::Ready => ops::Told::Whether(self.ready_at.is_none()),
-                    ops::Call::Counters => ops::Told::Counters(self.core.tally()),
-                    ops::Call::Service(on) => {
-                        tracing::info!(on, "an operator says whether this proxy is in service");
+            Message::Admin(request, reply) => {
+                let response = match request {
+                    AdminRequest::Ready => AdminResponse::Answer(self.ready_at.is_none()),
+                    AdminRequest::Counters => AdminResponse::Counters(self.core.tally()),
+                    AdminRequest::SetInService(on) => {
+                        tracing::info!(on, "service state set by an operator");
                         self.drain_at = (!on).then_some(now + NOTICED);
                         self.ready_at = None;
                         self.serve(now, if on { Service::In } else { Service::Out });
-                        ops::Told::Whether(true)
+                        AdminResponse::Answer(true)
                     }
                 };
                 // The caller may have gone.
-                let _ = reply.try_send(told);
+                let _ = reply.try_send(response);
             }
             Message::Terminate => {
                 if self.ending.is_none() {
