--- a/src/config.rs
+++ b/src/config.rs
@@ -1,11 +1,95 @@
-//! What the proxy is told at its start: `GW_CONFIG`, and what the other variables say in its place.
+//! The configuration: the file that `GW_CONFIG` names, what the other variables set in its place, and the TOML
+//! files under `deploy/`.
 
 use crate::Settings;
 use crate::endpoint_list::EndpointList;
 use serde::Deserialize;
-use std::net::SocketAddr;
+use std::error::Error;
+use std::net::{AddrParseError, SocketAddr};
+use std::path::{Path, PathBuf};
 
-/// The configuration of one real proxy.
+/// Names the configuration file.
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
+/// Sets where discovery is.
+const DISCOVERY_VARIABLE: &str = "GW_DISCOVERY";
+/// Sets where clients connect.
+const LISTEN_VARIABLE: &str = "GW_LISTEN";
+/// Sets where the admin listener is.
+const ADMIN_VARIABLE: &str = "GW_OPS";
+/// Names the descriptor of the clients' listening socket.
+pub const LISTEN_FD_VARIABLE: &str = "GW_LISTEN_FD";
+/// Sets the proxy's name.
+const NAME_VARIABLE: &str = "GW_NAME";
+
+/// The highest number of descriptors used, whatever the limit.
+const MAX_DESCRIPTORS: usize = 1024;
+/// The least and the most memory used, in MB, whatever the limit.
+const MIN_MEMORY_MB: f64 = 16.0;
+const MAX_MEMORY_MB: f64 = 1024.0;
+/// Descriptor numbers are below this.
+const DESCRIPTOR_NUMBERS: i32 = 1 << 20;
+
+/// Why a configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// A variable that must be set is not.
+    #[error("{0} is not set")]
+    VariableNotSet(&'static str),
+    /// A variable holds no address.
+    #[error("{variable} is no address: {value}")]
+    Address {
+        /// The variable.
+        variable: &'static str,
+        /// What it holds.
+        value: String,
+        /// Why that is no address.
+        source: AddrParseError,
+    },
+    /// A variable holds no descriptor.
+    #[error("{variable} is no descriptor: {value}")]
+    Descriptor {
+        /// The variable.
+        variable: &'static str,
+        /// What it holds.
+        value: String,
+    },
+    /// A file can't be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// A file is no JSON of the right form.
+    #[error("{}: {source}", path.display())]
+    Json {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// A file is no TOML of the right form.
+    #[error("{}: {}", path.display(), source.message())]
+    Toml {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: toml::de::Error,
+    },
+    /// The parts of the configuration contradict each other, or a value is out of range.
+    #[error(transparent)]
+    Invalid(Box<dyn Error + Send + Sync>),
+}
+
+impl ConfigError {
+    /// Wraps the error of a check of values that were read.
+    pub fn invalid(error: impl Into<Box<dyn Error + Send + Sync>>) -> Self {
+        ConfigError::Invalid(error.into())
+    }
+}
+
+/// The configuration of one proxy.
 #[derive(Debug, Deserialize)]
 pub struct Config {
     /// Its name, the same after a restart.
@@ -19,27 +103,27 @@
     /// The descriptor of the clients' listening socket, where the platform holds it.
     #[serde(skip)]
     pub listen_fd: Option<i32>,
-    /// Where discovery is reached.
+    /// Where discovery is.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of the random numbers.
     #[serde(default, deserialize_with = "hexadecimal")]
     pub seed: u64,
     #[serde(default)]
     limits: Limits,
     /// Descriptors that the process may hold.
     #[serde(skip)]
-    pub sockets: usize,
-    /// Bytes of memory that it may use.
+    pub max_descriptors: usize,
+    /// Bytes of memory that the process may use.
     #[serde(skip)]
-    pub memory: usize,
-    /// The member list as this proxy last had it.
-    #[serde(default)]
-    pub known: EndpointList,
-    /// What the decisions are told.
+    pub memory_bytes: usize,
+    /// The endpoint list as this proxy last had it.
+    #[serde(default, rename = "known")]
+    pub known_endpoints: EndpointList,
+    /// The settings of the policy.
     pub settings: Settings,
-    /// The same as it was written, for the store.
+    /// The settings as they were written, for the store.
     #[serde(skip)]
-    pub told: serde_json::Value,
+    pub raw_settings: serde_json::Value,
 }
 
 #[derive(Debug, Deserialize)]
@@ -60,56 +144,81 @@
     u64::from_str_radix(&text, 16).map_err(|_| serde::de::Error::custom("seed is not hexadecimal"))
 }
 
-/// The highest number of descriptors used, whatever the limit.
-const MOST_SOCKETS: usize = 1024;
-/// The most memory used, in MB, whatever the limit.
-const MOST_MEMORY_MB: f64 = 1024.0;
-
 impl Config {
-    /// Reads the file that `GW_CONFIG` names; the other variables go before what it says.
-    pub fn from_env() -> Result<Config, String> {
+    /// Reads the file that `GW_CONFIG` names; the other variables take precedence over what it says.
+    pub fn from_env() -> Result<Config, ConfigError> {
         let mut config = Config::from_file()?;
-        address("GW_DISCOVERY", &mut config.discovery)?;
+        if let Some(address) = address_variable(DISCOVERY_VARIABLE)? {
+            config.discovery = address;
+        }
         Ok(config)
     }
 
-    /// The same when the file has been replaced: where discovery is now, only the file can say.
-    pub fn from_file() -> Result<Config, String> {
-        let path = std::env::var("GW_CONFIG").map_err(|_| "GW_CONFIG is not set".to_string())?;
-        let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-        let mut config: Config = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
-        let whole: serde_json::Value = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
-        config.told = whole["settings"].clone();
-        address("GW_LISTEN", &mut config.listen)?;
-        if let Ok(text) = std::env::var("GW_OPS") {
-            config.admin_listen = Some(text.parse().map_err(|_| format!("GW_OPS is no address: {text}"))?);
+    /// The same when the file has been replaced: only the file can say where discovery is now.
+    pub fn from_file() -> Result<Config, ConfigError> {
+        let path = std::env::var(CONFIG_VARIABLE)
+            .map(PathBuf::from)
+            .map_err(|_| ConfigError::VariableNotSet(CONFIG_VARIABLE))?;
+        let text = std::fs::read(&path).map_err(|source| ConfigError::Read { path: path.clone(), source })?;
+        let mut config: Config = parse_json(&path, &text)?;
+        let document: serde_json::Value = parse_json(&path, &text)?;
+        config.raw_settings = document["settings"].clone();
+        config.apply_variables()?;
+        config.apply_limits();
+        Ok(config)
+    }
+
+    fn apply_variables(&mut self) -> Result<(), ConfigError> {
+        if let Some(address) = address_variable(LISTEN_VARIABLE)? {
+            self.listen = address;
         }
-        if let Ok(text) = std::env::var("GW_LISTEN_FD") {
-            let number = text.parse().ok().filter(|n| (0..1 << 20).contains(n));
-            config.listen_fd = Some(number.ok_or(format!("GW_LISTEN_FD is no descriptor: {text}"))?);
+        if let Some(address) = address_variable(ADMIN_VARIABLE)? {
+            self.admin_listen = Some(address);
         }
-        if let Ok(name) = std::env::var("GW_NAME") {
-            config.name = name;
+        if let Some(descriptor) = descriptor_variable(LISTEN_FD_VARIABLE)? {
+            self.listen_fd = Some(descriptor);
         }
-        // What the system allows, where that is less: the shares of clients and links must leave the proxy
-        // what it needs itself, above all the way to discovery.
+        if let Ok(name) = std::env::var(NAME_VARIABLE) {
+            self.name = name;
+        }
+        Ok(())
+    }
+
+    /// The system's limit of descriptors counts where it is lower: the shares of clients and members must
+    /// leave the proxy what it needs itself, above all the connection to discovery.
+    fn apply_limits(&mut self) {
         let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let allowed = allowed.and_then(|n| usize::try_from(n).ok()).unwrap_or(MOST_SOCKETS);
-        config.sockets = config.limits.sockets.min(allowed).min(MOST_SOCKETS);
-        config.memory = (config.limits.memory_mb.clamp(16.0, MOST_MEMORY_MB) as usize) << 20;
-        Ok(config)
+        let allowed = allowed.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(MAX_DESCRIPTORS);
+        self.max_descriptors = self.limits.sockets.min(allowed).min(MAX_DESCRIPTORS);
+        self.memory_bytes = (self.limits.memory_mb.clamp(MIN_MEMORY_MB, MAX_MEMORY_MB) as usize) << 20;
+    }
+}
+
+fn parse_json<T: serde::de::DeserializeOwned>(path: &Path, text: &[u8]) -> Result<T, ConfigError> {
+    serde_json::from_slice(text).map_err(|source| ConfigError::Json { path: path.into(), source })
+}
+
+/// The address in a variable; `None` if the variable is not set.
+fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+    let Ok(value) = std::env::var(variable) else { return Ok(None) };
+    match value.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(source) => Err(ConfigError::Address { variable, value, source }),
     }
 }
 
-fn address(name: &str, value: &mut SocketAddr) -> Result<(), String> {
-    match std::env::var(name) {
-        Ok(text) => text.parse().map(|a| *value = a).map_err(|_| format!("{name} is no address: {text}")),
-        Err(_) => Ok(()),
+/// The descriptor in a variable; `None` if the variable is not set.
+fn descriptor_variable(variable: &'static str) -> Result<Option<i32>, ConfigError> {
+    let Ok(value) = std::env::var(variable) else { return Ok(None) };
+    match value.parse() {
+        Ok(descriptor) if (0..DESCRIPTOR_NUMBERS).contains(&descriptor) => Ok(Some(descriptor)),
+        _ => Err(ConfigError::Descriptor { variable, value }),
     }
 }
 
 /// Reads a TOML file under `deploy/`.
-pub fn from_toml<T: serde::de::DeserializeOwned>(path: &std::path::Path) -> Result<T, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    toml::from_str(&text).map_err(|e| format!("{}: {}", path.display(), e.message()))
+pub fn from_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|source| ConfigError::Read { path: path.into(), source })?;
+    toml::from_str(&text).map_err(|source| ConfigError::Toml { path: path.into(), source })
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -74,7 +74,7 @@
 pub mod wire;
 
 pub use balance::Router;
-pub use config::{Config, from_toml};
+pub use config::{Config, ConfigError, from_toml};
 pub use front::postgres::Listen;
 pub use interface::*;
-pub use net::{listener, serve};
+pub use net::{ListenError, client_listener, serve};
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,164 +1,113 @@
-//! liftrelay's command line.
+//! liftrelay's command line: runs the sub-commands, and turns their errors into one line and an exit code.
 
-use argh::FromArgs;
+mod cli;
+
+use cli::{Arguments, Command, StoreAction, StorePut};
 use liftrelay::store::{self, Replicas, Store};
 use liftrelay::syslog::{self, Collector};
-use liftrelay::{Config, Listen, from_toml};
-use std::path::{Path, PathBuf};
+use liftrelay::{Config, ConfigError, Listen, ListenError, client_listener, from_toml};
+use std::net::TcpListener;
+use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Routes reads and writes to replicated database groups.
-#[derive(FromArgs)]
-struct Args {
-    #[argh(subcommand)]
-    command: Command,
-}
-
-#[derive(FromArgs)]
-#[argh(subcommand)]
-enum Command {
-    Serve(Serve),
-    CheckConfig(CheckConfig),
-    Store(StoreCommand),
-    Version(Version),
-}
-
-/// Serve clients until SIGTERM, as GW_CONFIG and the other GW_ variables say.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "serve")]
-struct Serve {
-    /// also serve extended queries, where this file says
-    #[argh(option)]
-    postgres: Option<PathBuf>,
-    /// keep the store as this file says; one replica in memory without it
-    #[argh(option)]
-    store: Option<PathBuf>,
-    /// also log to the collector that this file names
-    #[argh(option)]
-    syslog: Option<PathBuf>,
-}
-
-/// Read the configuration as serve would, and say whether it can be used.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "check-config")]
-struct CheckConfig {
-    /// the file of the extended listener
-    #[argh(option)]
-    postgres: Option<PathBuf>,
-    /// the file of the store
-    #[argh(option)]
-    store: Option<PathBuf>,
-    /// the file of the collector
-    #[argh(option)]
-    syslog: Option<PathBuf>,
+/// The exit code for a configuration that can't be used.
+const EXIT_BAD_CONFIG: u8 = 2;
+/// The exit code for every other failure.
+const EXIT_FAILURE: u8 = 1;
+
+/// Why a sub-command failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    /// The configuration can't be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// There is no listening socket for clients.
+    #[error(transparent)]
+    Listen(#[from] ListenError),
+    /// It failed while it ran.
+    #[error(transparent)]
+    Run(#[from] std::io::Error),
 }
 
-/// Run a replica of the store by itself, or ask the replicas.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "store")]
-struct StoreCommand {
-    /// the file of the store
-    #[argh(option)]
-    file: PathBuf,
-    #[argh(subcommand)]
-    action: StoreAction,
+impl CommandError {
+    fn exit_code(&self) -> ExitCode {
+        match self {
+            CommandError::Config(_) | CommandError::Listen(_) => ExitCode::from(EXIT_BAD_CONFIG),
+            CommandError::Run(_) => ExitCode::from(EXIT_FAILURE),
+        }
+    }
 }
 
-#[derive(FromArgs)]
-#[argh(subcommand)]
-enum StoreAction {
-    Run(StoreRun),
-    Status(StoreStatus),
-    Put(StorePut),
+fn main() -> ExitCode {
+    let arguments: Arguments = argh::from_env();
+    match run(arguments.command) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            let line = error.to_string().replace('\n', " ");
+            eprintln!("liftrelay: {line}");
+            error.exit_code()
+        }
+    }
 }
 
-/// Run a replica until it is ended.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "run")]
-struct StoreRun {}
-
-/// Print what each replica says of itself, a line of JSON each.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "status")]
-struct StoreStatus {}
-
-/// Set a value, and wait until a quorum has it.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "put")]
-struct StorePut {
-    /// its name
-    #[argh(positional)]
-    name: String,
-    /// the value: JSON, or else a text
-    #[argh(positional)]
-    value: String,
+fn run(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Version(_) => println!("liftrelay {}", env!("CARGO_PKG_VERSION")),
+        Command::CheckConfig(check) => {
+            Deployment::load(check.postgres, check.store, check.syslog)?;
+            println!("the configuration can be used");
+        }
+        Command::Serve(serve) => {
+            let deployment = Deployment::load(serve.postgres, serve.store, serve.syslog)?;
+            let listener = client_listener(&deployment.config)?;
+            deployment.serve(listener)?;
+        }
+        Command::Store(store) => run_store(&from_toml(&store.file)?, store.action)?,
+    }
+    Ok(())
 }
 
-/// Print the version.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "version")]
-struct Version {}
-
-/// The exit code for a configuration that can't be used.
-const BAD_CONFIG: u8 = 2;
-
-struct Files {
+/// All that the proxy is configured with.
+struct Deployment {
     config: Config,
     postgres: Option<Listen>,
     replicas: Replicas,
     collector: Option<Collector>,
 }
 
-fn read(postgres: Option<&Path>, store: Option<&Path>, syslog: Option<&Path>) -> Result<Files, String> {
-    let config = Config::from_env()?;
-    let postgres: Option<Listen> = postgres.map(from_toml).transpose()?;
-    if let Some(postgres) = &postgres {
-        postgres.check(&config.settings)?;
-    }
-    let replicas = store.map_or_else(|| Ok(Replicas::alone()), from_toml::<Replicas>)?;
-    replicas.check()?;
-    let collector: Option<Collector> = syslog.map(from_toml).transpose()?;
-    collector.map_or(Ok(()), |c| c.check())?;
-    Ok(Files { config, postgres, replicas, collector })
-}
-
-fn main() -> ExitCode {
-    let done = match argh::from_env::<Args>().command {
-        Command::Version(_) => {
-            println!("liftrelay {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
+impl Deployment {
+    /// Reads and checks the configuration and the files that the command line names.
+    fn load(
+        postgres: Option<PathBuf>,
+        store: Option<PathBuf>,
+        syslog: Option<PathBuf>,
+    ) -> Result<Deployment, ConfigError> {
+        let config = Config::from_env()?;
+        let postgres: Option<Listen> = postgres.as_deref().map(from_toml).transpose()?;
+        if let Some(postgres) = &postgres {
+            postgres.check(&config.settings).map_err(ConfigError::invalid)?;
         }
-        Command::CheckConfig(c) => read(c.postgres.as_deref(), c.store.as_deref(), c.syslog.as_deref())
-            .map(|_| println!("the configuration can be used"))
-            .map_err(|e| (BAD_CONFIG, e)),
-        Command::Serve(s) => read(s.postgres.as_deref(), s.store.as_deref(), s.syslog.as_deref())
-            .map_err(|e| (BAD_CONFIG, e))
-            .and_then(|files| {
-                let listener = liftrelay::listener(&files.config).map_err(|e| (BAD_CONFIG, e))?;
-                serve(files, listener).map_err(|e| (1, e.to_string()))
-            }),
-        Command::Store(s) => from_toml(&s.file)
-            .map_err(|e| (BAD_CONFIG, e))
-            .and_then(|replicas| store(&replicas, s.action).map_err(|e| (1, e.to_string()))),
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err((code, e)) => {
-            eprintln!("liftrelay: {}", e.replace('\n', " "));
-            ExitCode::from(code)
+        let replicas = match store {
+            Some(file) => from_toml(&file)?,
+            None => Replicas::alone(),
+        };
+        replicas.check().map_err(ConfigError::invalid)?;
+        let collector: Option<Collector> = syslog.as_deref().map(from_toml).transpose()?;
+        if let Some(collector) = &collector {
+            collector.check().map_err(ConfigError::invalid)?;
         }
+        Ok(Deployment { config, postgres, replicas, collector })
     }
-}
 
-fn serve(files: Files, listener: std::net::TcpListener) -> std::io::Result<()> {
-    let Files { config, postgres, replicas, collector } = files;
-    let log = syslog::start(collector)?;
-    let served = liftrelay::serve(&config, listener, postgres, &replicas);
-    log.finish();
-    served
+    fn serve(self, listener: TcpListener) -> std::io::Result<()> {
+        let log = syslog::start(self.collector)?;
+        let served = liftrelay::serve(&self.config, listener, self.postgres, &self.replicas);
+        log.finish();
+        served
+    }
 }
 
-fn store(replicas: &Replicas, action: StoreAction) -> std::io::Result<()> {
+fn run_store(replicas: &Replicas, action: StoreAction) -> std::io::Result<()> {
     match action {
         StoreAction::Run(_) => {
             let _log = syslog::start(None)?;
@@ -167,18 +116,20 @@
                 std::thread::park();
             }
         }
-        StoreAction::Status(_) => {
-            for (id, status) in store::status(replicas) {
-                match status {
-                    Ok(status) => println!("{}", serde_json::to_string(&status)?),
-                    Err(e) => eprintln!("liftrelay: replica {id}: {e}"),
-                }
-            }
-            Ok(())
-        }
+        StoreAction::Status(_) => print_store_status(replicas),
         StoreAction::Put(StorePut { name, value }) => {
             let value = serde_json::from_str(&value).unwrap_or(serde_json::Value::String(value));
             store::put(replicas, &name, value)
         }
     }
 }
+
+fn print_store_status(replicas: &Replicas) -> std::io::Result<()> {
+    for (id, status) in store::status(replicas) {
+        match status {
+            Ok(status) => println!("{}", serde_json::to_string(&status)?),
+            Err(error) => eprintln!("liftrelay: replica {id}: {error}"),
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/net/client_listener.rs
@@ -0,0 +1,72 @@
+//! The clients' listening socket.
+
+use crate::config::{Config, LISTEN_FD_VARIABLE};
+use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
+use std::io::ErrorKind;
+use std::net::{SocketAddr, TcpListener};
+use std::time::{Duration, Instant};
+
+/// How long the clients' address may still be held by the previous process.
+const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The delay between two attempts to bind it.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Why there is no listening socket.
+#[derive(Debug, thiserror::Error)]
+pub enum ListenError {
+    /// The address can't be bound.
+    #[error("{address}: {source}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// The descriptor that the platform names can't be duplicated.
+    #[error("{LISTEN_FD_VARIABLE} {descriptor}: {source}")]
+    Duplicate {
+        /// The descriptor.
+        descriptor: i32,
+        /// Why not.
+        source: rustix::io::Errno,
+    },
+    /// The descriptor that the platform names is something else.
+    #[error("{LISTEN_FD_VARIABLE} {descriptor} is no listening socket")]
+    NotListening {
+        /// The descriptor.
+        descriptor: i32,
+    },
+}
+
+/// The clients' listening socket: inherited where the platform holds it, or else bound here.
+pub fn client_listener(config: &Config) -> Result<TcpListener, ListenError> {
+    match config.listen_fd {
+        Some(descriptor) => inherit(descriptor),
+        None => bind(config.listen),
+    }
+}
+
+fn bind(address: SocketAddr) -> Result<TcpListener, ListenError> {
+    let deadline = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
+    loop {
+        match TcpListener::bind(address) {
+            Ok(listener) => return Ok(listener),
+            // Guards against a failed start where the previous process is still shutting down.
+            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
+                std::thread::sleep(BIND_RETRY_DELAY);
+            }
+            Err(source) => return Err(ListenError::Bind { address, source }),
+        }
+    }
+}
+
+/// Duplicates a descriptor of this process: the inherited one stays as it is.
+fn inherit(descriptor: i32) -> Result<TcpListener, ListenError> {
+    let socket = pidfd_open(getpid(), PidfdFlags::empty())
+        .and_then(|process| pidfd_getfd(&process, descriptor, PidfdGetfdFlags::empty()))
+        .map_err(|source| ListenError::Duplicate { descriptor, source })?;
+    if !rustix::net::sockopt::socket_acceptconn(&socket).unwrap_or(false) {
+        return Err(ListenError::NotListening { descriptor });
+    }
+    Ok(TcpListener::from(socket))
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,10 +3,11 @@
 
 pub mod admin;
 pub mod client;
+mod client_listener;
 pub mod discovery;
 pub mod link;
 
-use crate::config::Config;
+use crate::config::{Config, ConfigError};
 use crate::core::{Core, Effect, Input, LinkId};
 use crate::endpoint_list::EndpointList;
 use crate::front::platform::{Platform, Query};
@@ -19,10 +20,9 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use discovery::{EventSink, ReceiverClosed, Watch, WatchEvent};
 use std::collections::HashMap;
-use std::io::ErrorKind;
 use std::net::TcpListener;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Messages to the loop that may wait; whoever sends more waits.
 const UNREAD: usize = 1024;
@@ -32,9 +32,6 @@
 const NEEDED: usize = 14;
 /// Connections of clients beyond the most, which the loop has still to turn away, or which linger.
 const DOOR: usize = 8;
-/// How long the clients' address may still be taken by the process before this one, and between two tries.
-const TAKEN: Duration = Duration::from_secs(3);
-const TAKEN_AGAIN: Duration = Duration::from_millis(20);
 /// Without news of the list, the proxy is ready this long after its start.
 const READY_AFTER: Micros = 400_000;
 /// SIGKILL comes no earlier than the longest deadline, counted as this at most, and a bit more after SIGTERM.
@@ -71,7 +68,7 @@
     /// An update of the endpoint list.
     Discovery(WatchEvent),
     /// SIGHUP: the configuration as the file has it now, or why it can't be used.
-    Reload(Box<Result<Config, String>>),
+    Reload(Box<Result<Config, ConfigError>>),
     /// The member list as the store had it when this proxy last ran.
     Stored(EndpointList),
     /// A new connection.
@@ -92,32 +89,7 @@
 pub type Messages = Sender<Message>;
 
 pub use crate::threads::spawn;
-
-/// The clients' socket: bound here, or held by the platform and inherited.
-pub fn listener(config: &Config) -> Result<TcpListener, String> {
-    use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
-    let Some(number) = config.listen_fd else {
-        let end = Instant::now() + TAKEN;
-        loop {
-            match TcpListener::bind(config.listen) {
-                Ok(listener) => return Ok(listener),
-                // Guards against a failed start where the process before this one is still on its way out.
-                Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < end => {
-                    std::thread::sleep(TAKEN_AGAIN);
-                }
-                Err(e) => return Err(format!("{}: {e}", config.listen)),
-            }
-        }
-    };
-    // A duplicate of the own descriptor: the one inherited stays as it is.
-    let own = pidfd_open(getpid(), PidfdFlags::empty());
-    let socket = own.and_then(|own| pidfd_getfd(&own, number, PidfdGetfdFlags::empty()));
-    let socket = socket.map_err(|e| format!("GW_LISTEN_FD {number}: {e}"))?;
-    if !rustix::net::sockopt::socket_acceptconn(&socket).unwrap_or(false) {
-        return Err(format!("GW_LISTEN_FD {number} is no listening socket"));
-    }
-    Ok(TcpListener::from(socket))
-}
+pub use client_listener::{ListenError, client_listener};
 
 /// Serves until it is told to end; on the extended listener too, where there is one.
 pub fn serve(
@@ -135,11 +107,11 @@
     let callers = config.admin_listen.map_or(0, |_| admin::MAX_CONNECTIONS);
     // Guards against clients or links that take the last descriptor: news of the list must come in whatever
     // they do.
-    let left = config.sockets.saturating_sub(NEEDED + callers);
+    let left = config.max_descriptors.saturating_sub(NEEDED + callers);
     let spare = (SPARE - NEEDED).min(left / 2);
     let (budget, door) = (left.saturating_sub(spare).max(2), DOOR.min(spare));
     let links = match config.listen_fd {
-        Some(_) => (config.sockets / OVERLAP).saturating_sub(SPARE / 2).clamp(2, (budget / 2).max(2)),
+        Some(_) => (config.max_descriptors / OVERLAP).saturating_sub(SPARE / 2).clamp(2, (budget / 2).max(2)),
         None => budget / 2,
     };
     let settings = Arc::new(config.settings.clone());
@@ -148,7 +120,7 @@
     let reordered = config.memory / 8;
     let core = Core::new(config.settings.clone(), config.seed, clock.now(), links);
     let (alive, written) = bounded(0);
-    let memory = config.memory;
+    let memory = config.memory_bytes;
     let bounds = client::Bounds {
         most: budget - budget / 2 + door,
         unwritten: memory / 8,
@@ -175,15 +147,15 @@
         links: HashMap::new(),
         clients: HashMap::new(),
         most_clients: budget - budget / 2,
-        sockets: config.sockets,
+        sockets: config.max_descriptors,
         seed: config.seed,
         ready_at: Some(clock.now() + READY_AFTER),
-        told: config.known.revision,
+        told: config.known_endpoints.revision,
         before: None,
         watch: Watch::start(
             0,
             config.discovery,
-            Some(config.known.revision),
+            Some(config.known_endpoints.revision),
             config.seed,
             event_sink(messages.clone()),
         )?,
@@ -192,8 +164,8 @@
         inherited: config.listen_fd.is_some(),
         drain_at: None,
     };
-    host.store.note(Change::Set("proxy".into(), config.told.clone()));
-    let known = Input::List { full: true, members: config.known.members() };
+    host.store.note(Change::Set("proxy".into(), config.raw_settings.clone()));
+    let known = Input::List { full: true, members: config.known_endpoints.members() };
     host.core(clock.now(), known);
     if let Some(at) = config.admin_listen {
         let at = admin::listen(at, host.settings.clone(), messages.clone())?;
@@ -426,11 +398,11 @@
     }
 
     /// Follows `discovery` to where the file says it is now; all else it says holds from the next start.
-    fn reload(&mut self, read: Result<Config, String>) {
+    fn reload(&mut self, read: Result<Config, ConfigError>) {
         let address = match read {
             Ok(config) => config.discovery,
             Err(e) => {
-                return tracing::error!(error = e, "the new configuration can't be used; the old one holds");
+                return tracing::error!(error = %e, "the new configuration can't be used; the old one holds");
             }
         };
         if address == self.watch.address {
