--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,6 +67,7 @@
 mod net;
 mod pg;
 mod random;
+mod sockets;
 mod stable_hash;
 pub mod store;
 pub mod syslog;
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -6,6 +6,7 @@
 use crate::front::unit::{Catalogue, Progress, Script, Unit};
 use crate::front::{Answer, Work, millis};
 use crate::pg::{self, Frames};
+use crate::sockets::closed_by_peer;
 use crate::{LoadReport, Micros, Outcome, ResponseMetadata, Role};
 use crossbeam_channel::{Sender, bounded};
 use std::io::{ErrorKind, Write};
@@ -225,7 +226,7 @@
         }
         // Guards against a connection that the member closed while it was idle: writing to it would
         // count as sent. It is opened anew, and the job has not run.
-        if seat.connection.as_ref().is_some_and(|(stream, _)| gone(stream)) {
+        if seat.connection.as_ref().is_some_and(|(stream, _)| closed_by_peer(stream)) {
             seat = Seat::default();
         }
         let check = matches!(&order.what, Job::Attempt { check: true, .. });
@@ -324,17 +325,6 @@
     }
 }
 
-/// The other side has closed an idle connection, or said something that nobody asked for.
-pub fn gone(stream: &TcpStream) -> bool {
-    let mut byte = [0];
-    if stream.set_nonblocking(true).is_err() {
-        return true;
-    }
-    let peeked = stream.peek(&mut byte);
-    let quiet = matches!(&peeked, Err(e) if e.kind() == ErrorKind::WouldBlock);
-    stream.set_nonblocking(false).is_err() || !quiet
-}
-
 /// The connection still leads to the member: an empty query, which has no effect, is answered by then.
 fn answers(mut stream: &TcpStream, frames: &mut Frames, by: Instant) -> bool {
     if stream.write_all(&pg::query(&[])).is_err() {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -348,7 +348,7 @@
         let mut next = Some(first);
         while let Some(line) = next {
             // Guards against words said to a peer that has closed: they would be lost without a sign.
-            if crate::net::link::gone(&stream) || write_line(&stream, &line).is_err() {
+            if crate::sockets::closed_by_peer(&stream) || write_line(&stream, &line).is_err() {
                 break;
             }
             next = said.recv().ok();
--- a/src/syslog.rs
+++ b/src/syslog.rs
@@ -281,7 +281,7 @@
     move |text| {
         let framed = format!("{} {text}", text.len());
         for _ in 0..2 {
-            if stream.as_ref().is_some_and(crate::net::link::gone) {
+            if stream.as_ref().is_some_and(crate::sockets::closed_by_peer) {
                 stream = None;
             }
             if stream.is_none() {
