--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 
 use cli::{Arguments, Command, StoreAction, StorePut};
 use liftrelay::store::{self, Replicas, Store};
-use liftrelay::syslog::{self, Collector};
+use liftrelay::syslog::{self, Collector, SyslogError};
 use liftrelay::{Config, ConfigError, Listen, ListenError, client_listener, from_toml};
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -24,6 +24,9 @@
     /// There is no listening socket for clients.
     #[error(transparent)]
     Listen(#[from] ListenError),
+    /// Logging could not be started.
+    #[error(transparent)]
+    Syslog(#[from] SyslogError),
     /// It failed while it ran.
     #[error(transparent)]
     Run(#[from] std::io::Error),
@@ -33,7 +36,7 @@
     fn exit_code(&self) -> ExitCode {
         match self {
             CommandError::Config(_) | CommandError::Listen(_) => ExitCode::from(EXIT_BAD_CONFIG),
-            CommandError::Run(_) => ExitCode::from(EXIT_FAILURE),
+            CommandError::Syslog(_) | CommandError::Run(_) => ExitCode::from(EXIT_FAILURE),
         }
     }
 }
@@ -99,15 +102,15 @@
         Ok(Deployment { config, postgres, replicas, collector })
     }
 
-    fn serve(self, listener: TcpListener) -> std::io::Result<()> {
+    fn serve(self, listener: TcpListener) -> Result<(), CommandError> {
         let log = syslog::start(self.collector)?;
         let served = liftrelay::serve(&self.config, listener, self.postgres, &self.replicas);
         log.finish();
-        served
+        Ok(served?)
     }
 }
 
-fn run_store(replicas: &Replicas, action: StoreAction) -> std::io::Result<()> {
+fn run_store(replicas: &Replicas, action: StoreAction) -> Result<(), CommandError> {
     match action {
         StoreAction::Run(_) => {
             let _log = syslog::start(None)?;
@@ -116,10 +119,10 @@
                 std::thread::park();
             }
         }
-        StoreAction::Status(_) => print_store_status(replicas),
+        StoreAction::Status(_) => Ok(print_store_status(replicas)?),
         StoreAction::Put(StorePut { name, value }) => {
             let value = serde_json::from_str(&value).unwrap_or(serde_json::Value::String(value));
-            store::put(replicas, &name, value)
+            Ok(store::put(replicas, &name, value)?)
         }
     }
 }
