--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -10,7 +10,7 @@
 pub mod unit;
 
 use crate::core::{Arrival, Verdict};
-use crate::pg::{self, Malformed, Opening};
+use crate::pg::{self, ProtocolError, StartupPacket};
 use crate::store::Change;
 use crate::{Micros, Request, RequestId};
 use pipeline::{Access, Pipeline, Queued};
@@ -58,7 +58,7 @@
         secret: u32,
     },
     /// An opening packet.
-    Opening(Opening),
+    Opening(StartupPacket),
     /// A command, read whole.
     Command(C),
     /// A message that this front does not serve.
@@ -66,7 +66,7 @@
     /// The client says that it is done.
     Terminate,
     /// A message that breaks the protocol.
-    Malformed(Malformed),
+    Malformed(ProtocolError),
     /// The connection has ended.
     Gone,
 }
@@ -296,7 +296,7 @@
             return out;
         }
         // A cancel is heard also where there was no room for the connection that brings it.
-        if let Said::Opening(Opening::Cancel { process, secret }) = said {
+        if let Said::Opening(StartupPacket::CancelRequest { process, secret }) = said {
             self.gone(desk, id, &mut out);
             self.cancel(desk, now, process, secret, &mut out);
             return out;
@@ -304,22 +304,28 @@
         let Some(client) = self.clients.get_mut(&id) else { return out };
         match said {
             Said::Connected { .. } => {}
-            Said::Opening(Opening::Encryption) => out.push(Out::Write(id, b"N".to_vec())),
-            Said::Opening(Opening::Startup) => {
+            Said::Opening(StartupPacket::EncryptionRequest) => out.push(Out::Write(id, b"N".to_vec())),
+            Said::Opening(StartupPacket::Startup) => {
                 let mut bytes = Vec::new();
-                pg::put_greeting(&mut bytes, id as u32, client.secret);
+                pg::put_startup_response(&mut bytes, id as u32, client.secret);
                 out.push(Out::Write(id, bytes));
             }
-            Said::Opening(Opening::Cancel { .. }) => {}
+            Said::Opening(StartupPacket::CancelRequest { .. }) => {}
             Said::Command(command) => {
                 client.pipeline.push(command);
                 self.next(desk, now, id, &mut out);
                 self.close_if_idle(id, &mut out);
             }
-            Said::Unsupported => {
-                self.fatal(desk, id, pg::NOT_SUPPORTED, "only simple queries are served here", &mut out)
+            Said::Unsupported => self.fatal(
+                desk,
+                id,
+                pg::sqlstate::FEATURE_NOT_SUPPORTED,
+                "only simple queries are served here",
+                &mut out,
+            ),
+            Said::Malformed(why) => {
+                self.fatal(desk, id, pg::sqlstate::PROTOCOL_VIOLATION, &why.to_string(), &mut out)
             }
-            Said::Malformed(why) => self.fatal(desk, id, pg::PROTOCOL_VIOLATION, why.0, &mut out),
             Said::Terminate | Said::Gone => self.gone(desk, id, &mut out),
         }
         out
@@ -414,8 +420,8 @@
             let Some(request) = desk.open(id, std::mem::take(&mut ready.ask.name)) else {
                 let mut bytes = Vec::new();
                 let why = "a request of this id is open";
-                pg::put_error(&mut bytes, "ERROR", pg::PROTOCOL_VIOLATION, why, None);
-                pg::put_ready(&mut bytes);
+                pg::put_error_response(&mut bytes, "ERROR", pg::sqlstate::PROTOCOL_VIOLATION, why, None);
+                pg::put_ready_for_query(&mut bytes);
                 client.pipeline.reply(index, bytes);
                 answered = true;
                 continue;
@@ -447,7 +453,7 @@
     /// An error after which the connection cannot go on.
     fn fatal(&mut self, desk: &mut Desk, id: ClientId, code: &str, text: &str, out: &mut Vec<Out>) {
         let mut bytes = Vec::new();
-        pg::put_error(&mut bytes, "FATAL", code, text, None);
+        pg::put_error_response(&mut bytes, "FATAL", code, text, None);
         out.push(Out::Write(id, bytes));
         self.gone(desk, id, out);
     }
@@ -487,19 +493,31 @@
         Verdict::Served(answer) => out.extend_from_slice(&answer.bytes),
         Verdict::Refused { retry_after } => {
             let wait = (*retry_after > 0).then(|| millis(*retry_after));
-            pg::put_error(out, "ERROR", pg::TOO_MANY, "refused, nothing has run: try again", wait);
+            pg::put_error_response(
+                out,
+                "ERROR",
+                pg::sqlstate::TOO_MANY_CONNECTIONS,
+                "refused, nothing has run: try again",
+                wait,
+            );
         }
         Verdict::Failed { ran: true } => {
-            pg::put_error(
+            pg::put_error_response(
                 out,
                 "ERROR",
-                pg::UNKNOWN_EFFECT,
+                pg::sqlstate::TRANSACTION_RESOLUTION_UNKNOWN,
                 "no answer from the member: it may have run",
                 None,
             );
         }
         Verdict::Failed { ran: false } => {
-            pg::put_error(out, "ERROR", pg::CANCELED, "could not be served in time", None);
+            pg::put_error_response(
+                out,
+                "ERROR",
+                pg::sqlstate::QUERY_CANCELED,
+                "could not be served in time",
+                None,
+            );
         }
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -35,17 +35,18 @@
         if text.trim_ascii().is_empty() {
             return Ok(Asked::Empty);
         }
-        statement::sound(text)?;
-        let fields = statement::fields(text);
+        statement::validate(text)?;
+        let fields = statement::parse_fields(text);
         let name = fields.class.ok_or("the comment names no class")?;
         let class = settings.class(name).ok_or("unknown class")?;
         let writes = settings.classes[class].need == Requirement::Write;
         let word = if writes { "insert" } else { "select" };
-        if statement::first_word(text) != word {
+        if statement::first_keyword(text) != word {
             return Err("the statement does not fit its class");
         }
         let id = fields.id.filter(|id| !id.is_empty() && id.len() <= LONGEST_ID);
-        let (wait, place) = fields.wait.ok_or("the comment holds no d, or one that is no number")?;
+        let statement::Timeout { millis: wait, digits: place } =
+            fields.timeout.ok_or("the comment holds no d, or one that is no number")?;
         if !(1..=LONGEST_WAIT).contains(&wait) {
             return Err("nobody waits that long");
         }
@@ -53,9 +54,9 @@
             class,
             writes,
             group: fields.group.ok_or("the comment holds no cluster, or one that is no number")?,
-            session: fields.key.map(statement::session).ok_or("the statement holds no key")?,
-            after: fields.after.map(from_unix_ms),
-            repeat: fields.repeat,
+            session: fields.key.map(statement::session_id).ok_or("the statement holds no key")?,
+            after: fields.min_position_ms.map(from_unix_ms),
+            repeat: fields.is_retry,
             name: id.ok_or("the comment holds no id, or an impossible one")?.to_vec(),
             wait: from_unix_ms(wait),
             work: Work::Simple { text: Vec::new(), wait: None },
@@ -83,23 +84,31 @@
             Ok(Asked::Empty) if service == Service::Starting => return Step::Wait(query),
             // The front layer's question, whether it may send clients.
             Ok(Asked::Empty) if service == Service::Out => {
-                pg::put_error(&mut bytes, "ERROR", pg::OUT_OF_SERVICE, "out of service", None);
+                pg::put_error_response(
+                    &mut bytes,
+                    "ERROR",
+                    pg::sqlstate::CANNOT_CONNECT_NOW,
+                    "out of service",
+                    None,
+                );
+            }
+            Ok(Asked::Empty) => pg::put_message(&mut bytes, b'I', &[]),
+            Err(why) => {
+                pg::put_error_response(&mut bytes, "ERROR", pg::sqlstate::PROTOCOL_VIOLATION, why, None)
             }
-            Ok(Asked::Empty) => pg::put(&mut bytes, b'I', &[]),
-            Err(why) => pg::put_error(&mut bytes, "ERROR", pg::PROTOCOL_VIOLATION, why, None),
             Ok(Asked::Request(ask, place)) => {
                 let work = Work::Simple { text: query.text, wait: Some(place) };
                 return Step::Ask(Ask { work, ..*ask }, ());
             }
         }
-        pg::put_ready(&mut bytes);
+        pg::put_ready_for_query(&mut bytes);
         Step::Say(bytes)
     }
 
     fn finish(&mut self, (): &mut (), (): (), verdict: Verdict<Answer>) -> Vec<u8> {
         let mut bytes = Vec::new();
         put_verdict(&mut bytes, &verdict);
-        pg::put_ready(&mut bytes);
+        pg::put_ready_for_query(&mut bytes);
         bytes
     }
 }
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -128,7 +128,7 @@
 }
 
 fn malformed<T>() -> Result<T, Refusal> {
-    no(pg::PROTOCOL_VIOLATION, "malformed message")
+    no(pg::sqlstate::PROTOCOL_VIOLATION, "malformed message")
 }
 
 /// The extended front's way of talking.
@@ -159,34 +159,43 @@
     /// Reads a statement. Anything that lives longer than a unit, or is more than one statement, is refused:
     /// the next request may go to another member.
     fn know(&self, sql: &[u8], types: &[u8]) -> Result<Known, Refusal> {
-        let word = statement::first_word(sql);
+        let word = statement::first_keyword(sql);
         let writes = match word.as_str() {
             "select" | "values" | "show" => false,
             "insert" | "update" | "delete" | "merge" | "with" => true,
-            _ => return no(pg::NOT_SUPPORTED, format!("{word} is not supported on this listener")),
+            _ => {
+                return no(
+                    pg::sqlstate::FEATURE_NOT_SUPPORTED,
+                    format!("{word} is not supported on this listener"),
+                );
+            }
         };
-        if statement::several(sql) {
-            return no(pg::NOT_SUPPORTED, "one statement a query, please");
+        if statement::has_several_statements(sql) {
+            return no(pg::sqlstate::FEATURE_NOT_SUPPORTED, "one statement a query, please");
         }
-        let fields = statement::fields(sql);
+        let fields = statement::parse_fields(sql);
         let class = match fields.class {
             Some(name) => self.settings.class(name),
             None if writes => self.settings.class(self.listen.write_class.as_bytes()),
             None => self.settings.class(self.listen.read_class.as_bytes()),
         };
-        let Some(class) = class else { return no(pg::PROTOCOL_VIOLATION, "unknown class") };
+        let Some(class) = class else { return no(pg::sqlstate::PROTOCOL_VIOLATION, "unknown class") };
         // Guards against a change that is declared as a read, and would then be repeated.
         if writes && word != "with" && self.settings.classes[class].need != Requirement::Write {
-            return no(pg::NOT_SUPPORTED, format!("{word} in a class that is not for writes"));
+            return no(
+                pg::sqlstate::FEATURE_NOT_SUPPORTED,
+                format!("{word} in a class that is not for writes"),
+            );
         }
         Ok(Known {
             prepared: Arc::new(Prepared { sql: sql.to_vec(), types: types.to_vec() }),
             class,
             group: fields.group.unwrap_or(self.listen.group),
-            wait: from_unix_ms(fields.wait.map_or(self.listen.wait_ms, |w| w.0)).min(1 << 40),
-            after: fields.after.map(from_unix_ms),
-            repeat: fields.repeat,
-            key: fields.key.map_or(0, statement::session),
+            wait: from_unix_ms(fields.timeout.map_or(self.listen.wait_ms, |timeout| timeout.millis))
+                .min(1 << 40),
+            after: fields.min_position_ms.map(from_unix_ms),
+            repeat: fields.is_retry,
+            key: fields.key.map_or(0, statement::session_id),
         })
     }
 
@@ -210,7 +219,10 @@
     fn ask(&self, used: &[Known], key: u64, work: Work) -> Result<Ask, Refusal> {
         let Some(first) = used.first() else { return malformed() };
         if used.iter().any(|k| k.group != first.group) {
-            return no(pg::NOT_SUPPORTED, "statements of more than one group before a Sync");
+            return no(
+                pg::sqlstate::FEATURE_NOT_SUPPORTED,
+                "statements of more than one group before a Sync",
+            );
         }
         let strictest = used.iter().max_by_key(|k| self.strictness(k.class)).unwrap_or(first);
         let after = used.iter().filter_map(|k| k.after).max();
@@ -230,16 +242,16 @@
     }
 
     fn simple(&self, session: &mut Session, message: &[u8]) -> Result<Step<Self>, Refusal> {
-        let Some((text, [])) = pg::cstr(pg::body(message)) else { return malformed() };
+        let Some((text, [])) = pg::split_c_string(pg::message_body(message)) else { return malformed() };
         if text.trim_ascii().is_empty() {
             let mut bytes = Vec::new();
-            pg::put(&mut bytes, b'I', &[]);
-            pg::put_ready(&mut bytes);
+            pg::put_message(&mut bytes, b'I', &[]);
+            pg::put_ready_for_query(&mut bytes);
             return Ok(Step::Say(bytes));
         }
         let known = self.know(text, &[])?;
         let key = known.key;
-        let wait = statement::fields(text).wait.map(|w| w.1);
+        let wait = statement::parse_fields(text).timeout.map(|timeout| timeout.digits);
         let ask = self.ask(&[known], key, Work::Simple { text: text.to_vec(), wait })?;
         session.end_unit();
         Ok(Step::Ask(ask, Open { parsed: Vec::new(), key, end: b'Q' }))
@@ -258,13 +270,16 @@
         if used.is_empty() {
             // Nothing here concerns a member.
             let mut bytes = Vec::new();
-            parts.iter().for_each(|_| pg::put(&mut bytes, b'3', &[]));
+            parts.iter().for_each(|_| pg::put_message(&mut bytes, b'3', &[]));
             return Ok(Step::Say(self.end(session, batch.end, bytes)));
         }
         let executes = parts.iter().any(|p| matches!(p, Part::Execute { .. }));
         if executes && session.executed {
             session.undo(open.parsed, 0);
-            return no(pg::NOT_SUPPORTED, "a further execute in a unit that was flushed after one");
+            return no(
+                pg::sqlstate::FEATURE_NOT_SUPPORTED,
+                "a further execute in a unit that was flushed after one",
+            );
         }
         session.executed |= executes;
         let mut ask = self.ask(&used, key, Work::Simple { text: Vec::new(), wait: None })?;
@@ -286,11 +301,11 @@
         used: &mut Vec<Known>,
         key: &mut u64,
     ) -> Result<(), Refusal> {
-        let (tag, body) = (message.first().copied().unwrap_or(0), pg::body(message));
+        let (tag, body) = (message.first().copied().unwrap_or(0), pg::message_body(message));
         match tag {
             b'P' => {
-                let Some((name, rest)) = pg::cstr(body) else { return malformed() };
-                let Some((sql, types)) = pg::cstr(rest) else { return malformed() };
+                let Some((name, rest)) = pg::split_c_string(body) else { return malformed() };
+                let Some((sql, types)) = pg::split_c_string(rest) else { return malformed() };
                 let count = types.get(..2).map(|c| usize::from(u16::from_be_bytes([c[0], c[1]])));
                 if count.is_none_or(|c| types.len() != 2 + 4 * c) {
                     return malformed();
@@ -314,13 +329,13 @@
                 open.parsed.push(Parsed { name: name.to_vec(), prepared, before });
             }
             b'B' => {
-                let Some((portal, rest)) = pg::cstr(body) else { return malformed() };
-                let Some((name, tail)) = pg::cstr(rest) else { return malformed() };
+                let Some((portal, rest)) = pg::split_c_string(body) else { return malformed() };
+                let Some((name, tail)) = pg::split_c_string(rest) else { return malformed() };
                 let Some(parameters) = parameters(tail) else { return malformed() };
                 let known = self.statement(session, name)?;
                 let named = self.listen.session_parameter.checked_sub(1);
                 let named = named.and_then(|n| parameters.get(n).copied().flatten());
-                let own = named.map_or(known.key, statement::session);
+                let own = named.map_or(known.key, statement::session_id);
                 *key = if *key == 0 { own } else { *key };
                 let bound = Portal { known: known.clone(), key: own, tail: tail.to_vec(), flushed: false };
                 session.portals.insert(portal.to_vec(), bound);
@@ -333,7 +348,8 @@
                 used.push(known);
             }
             b'E' => {
-                let Some((portal, rows)) = pg::cstr(body).filter(|(_, rows)| rows.len() == 4) else {
+                let Some((portal, rows)) = pg::split_c_string(body).filter(|(_, rows)| rows.len() == 4)
+                else {
                     return malformed();
                 };
                 self.portal(session, portal, parts, used, key)?;
@@ -341,7 +357,7 @@
             }
             b'D' | b'C' => {
                 let Some((&kind, rest)) = body.split_first() else { return malformed() };
-                let Some((name, [])) = pg::cstr(rest) else { return malformed() };
+                let Some((name, [])) = pg::split_c_string(rest) else { return malformed() };
                 match (tag, kind) {
                     (b'D', b'S') => {
                         let known = self.statement(session, name)?;
@@ -419,7 +435,7 @@
             session.portals.values_mut().for_each(|p| p.flushed = true);
         } else {
             session.end_unit();
-            pg::put_ready(&mut bytes);
+            pg::put_ready_for_query(&mut bytes);
         }
         bytes
     }
@@ -452,11 +468,13 @@
     let mut names = Vec::new();
     let mut own_unnamed = false;
     for message in &batch.messages {
-        let body = pg::body(message);
+        let body = pg::message_body(message);
         let name = match message.first() {
-            Some(b'P') => pg::cstr(body).map(|(name, _)| name),
-            Some(b'B') => pg::cstr(body).and_then(|(_, rest)| pg::cstr(rest)).map(|(name, _)| name),
-            Some(b'D' | b'C') => body.strip_prefix(b"S").and_then(pg::cstr).map(|(name, _)| name),
+            Some(b'P') => pg::split_c_string(body).map(|(name, _)| name),
+            Some(b'B') => {
+                pg::split_c_string(body).and_then(|(_, rest)| pg::split_c_string(rest)).map(|(name, _)| name)
+            }
+            Some(b'D' | b'C') => body.strip_prefix(b"S").and_then(pg::split_c_string).map(|(name, _)| name),
             _ => None,
         };
         own_unnamed |= message.first() == Some(&b'P') && name == Some(b"");
@@ -520,14 +538,14 @@
         let step = match batch.messages.first() {
             // The front layer's question, whether it may send clients.
             Some(message) if batch.end == b'Q' && service == Service::Out && message.len() == 6 => {
-                Err((pg::OUT_OF_SERVICE, "out of service".into()))
+                Err((pg::sqlstate::CANNOT_CONNECT_NOW, "out of service".into()))
             }
             Some(message) if batch.end == b'Q' => self.simple(session, message),
             _ => self.unit(session, &batch),
         };
         step.unwrap_or_else(|(code, why)| {
             let mut bytes = Vec::new();
-            pg::put_error(&mut bytes, "ERROR", code, &why, None);
+            pg::put_error_response(&mut bytes, "ERROR", code, &why, None);
             session.skipping = batch.end == b'H';
             Step::Say(self.end(session, batch.end, bytes))
         })
@@ -560,7 +578,7 @@
             b'H' => self.end(session, open.end, bytes),
             // A unit behind it may be under way: what this one's Sync ends was ended when it began.
             _ => {
-                pg::put_ready(&mut bytes);
+                pg::put_ready_for_query(&mut bytes);
                 bytes
             }
         }
--- a/src/front/unit.rs
+++ b/src/front/unit.rs
@@ -85,7 +85,7 @@
             *used = now;
             if visible {
                 let mut done = Vec::new();
-                pg::put(&mut done, b'1', &[]);
+                pg::put_message(&mut done, b'1', &[]);
                 script.expects.push_back(Expect::Own(done));
             }
             return format!("liftrelay_{name}");
@@ -197,7 +197,7 @@
                 }
                 Part::CloseStatement => {
                     let mut done = Vec::new();
-                    pg::put(&mut done, b'3', &[]);
+                    pg::put_message(&mut done, b'3', &[]);
                     s.expects.push_back(Expect::Own(done));
                 }
             }
@@ -207,7 +207,7 @@
     }
 
     fn put(&mut self, tag: u8, parts: &[&[u8]]) {
-        pg::put(if self.executes { &mut self.rest } else { &mut self.preface }, tag, parts);
+        pg::put_message(if self.executes { &mut self.rest } else { &mut self.preface }, tag, parts);
     }
 
     fn own(&mut self) {
@@ -240,7 +240,7 @@
             return Progress::More;
         }
         if tag == b'E' {
-            self.error = Some(pg::error_field(pg::body(message), b'C').unwrap_or_default().to_vec());
+            self.error = Some(pg::error_field(pg::message_body(message), b'C').unwrap_or_default().to_vec());
             self.answer.extend_from_slice(message);
             // What was not reached was not prepared.
             for expect in self.expects.drain(..) {
@@ -292,7 +292,7 @@
 
     fn reply(tag: u8) -> Vec<u8> {
         let mut out = Vec::new();
-        pg::put(&mut out, tag, &[]);
+        pg::put_message(&mut out, tag, &[]);
         out
     }
 
@@ -346,7 +346,7 @@
         let unit = Unit { parts: vec![bind(&s), run()], careful: false };
         let mut script = Script::new(&unit, &mut catalogue);
         let mut error = Vec::new();
-        pg::put_error(&mut error, "ERROR", "42601", "syntax", None);
+        pg::put_error_response(&mut error, "ERROR", "42601", "syntax", None);
         script.take(&mut catalogue, b'E', &error);
         assert_eq!(script.take(&mut catalogue, b'Z', &reply(b'Z')), Progress::Ready);
         assert_eq!(tags(&Script::new(&unit, &mut catalogue).preface), "PB");
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -10,7 +10,7 @@
 use crate::front::platform::Asked;
 use crate::front::postgres::Batch;
 use crate::front::{ClientId, Said, platform::Query};
-use crate::pg::{self, Frames, Malformed};
+use crate::pg::{self, FrameReader, ProtocolError};
 use crate::{Micros, Settings};
 use crossbeam_channel::Sender;
 use rustix::event::Timespec;
@@ -289,7 +289,7 @@
 struct Guest {
     shared: Arc<Shared>,
     extended: bool,
-    frames: Frames,
+    frames: FrameReader,
     stage: Stage,
     /// When its last bytes came.
     at: Micros,
@@ -462,7 +462,7 @@
         guest.limit.map(|old| self.limits.remove(&(old, id)));
         self.limits.insert((limit, id));
         self.partial -= guest.part;
-        (guest.done, guest.limit, guest.part, guest.frames) = (true, Some(limit), 0, Frames::default());
+        (guest.done, guest.limit, guest.part, guest.frames) = (true, Some(limit), 0, FrameReader::default());
         let mut state = guest.shared.state();
         state.paused = false;
         guest.shared.watch(&state, false);
@@ -567,7 +567,7 @@
             Guest {
                 shared,
                 extended,
-                frames: Frames::default(),
+                frames: FrameReader::default(),
                 stage: Stage::Opening,
                 at: 0,
                 holds: false,
@@ -652,18 +652,18 @@
         if matches!(next, Next::Done) {
             return self.give_up(id, WHOLE);
         }
-        let rest = guest.frames.rest().len() + guest.stage.size();
+        let rest = guest.frames.buffered().len() + guest.stage.size();
         let part = if rest >= LARGE { rest } else { 0 };
         self.partial = self.partial + part - guest.part;
         guest.part = part;
         if self.partial > self.common.bounds.partial && part > 0 {
             // Guards against many clients that each send a part of something long.
-            guest.say_malformed(id, Malformed("too much at once"), &self.messages);
+            guest.say_malformed(id, ProtocolError::TooMuchBuffered, &self.messages);
             return self.give_up(id, WHOLE);
         }
         let waiting = matches!(next, Next::Full);
-        if guest.frames.rest().is_empty() && guest.stage.between() {
-            guest.frames = Frames::default();
+        if guest.frames.buffered().is_empty() && guest.stage.between() {
+            guest.frames = FrameReader::default();
             guest.holds = false;
             shared.busy.fetch_sub(1, Ordering::SeqCst);
         }
@@ -699,7 +699,7 @@
                     self.leave(id);
                 }
             } else if !self.silent {
-                guest.say_malformed(id, Malformed("no whole command in time"), &self.messages);
+                guest.say_malformed(id, ProtocolError::CommandTimeout, &self.messages);
                 self.give_up(id, WHOLE);
             }
         }
@@ -735,7 +735,7 @@
         });
     }
 
-    fn say_malformed(&self, id: ClientId, why: Malformed, messages: &Messages) {
+    fn say_malformed(&self, id: ClientId, why: ProtocolError, messages: &Messages) {
         let _ = messages.send(match self.extended {
             true => Message::Extended(id, Said::Malformed(why)),
             false => Message::Client(id, Said::Malformed(why)),
@@ -761,10 +761,14 @@
         }
     }
 
-    fn opening(&mut self, id: ClientId, messages: &Messages) -> std::result::Result<Option<Next>, Malformed> {
-        let Some(opening) = self.frames.opening()? else { return Ok(Some(Next::More)) };
-        let started = opening == pg::Opening::Startup;
-        let last = matches!(opening, pg::Opening::Cancel { .. });
+    fn opening(
+        &mut self,
+        id: ClientId,
+        messages: &Messages,
+    ) -> std::result::Result<Option<Next>, ProtocolError> {
+        let Some(opening) = self.frames.next_startup_packet()? else { return Ok(Some(Next::More)) };
+        let started = opening == pg::StartupPacket::Startup;
+        let last = matches!(opening, pg::StartupPacket::CancelRequest { .. });
         let _ = messages.send(match self.extended {
             true => Message::Extended(id, Said::Opening(opening)),
             false => Message::Client(id, Said::Opening(opening)),
@@ -783,13 +787,15 @@
     fn cancels(&mut self, id: ClientId, bytes: &[u8], messages: &Messages) {
         if matches!(self.stage, Stage::Opening) && self.waste <= bytes.len() {
             self.frames.push(bytes);
-            if let Ok(Some(opening @ pg::Opening::Cancel { .. })) = self.frames.opening() {
+            if let Ok(Some(opening @ pg::StartupPacket::CancelRequest { .. })) =
+                self.frames.next_startup_packet()
+            {
                 let _ = messages.send(match self.extended {
                     true => Message::Extended(id, Said::Opening(opening)),
                     false => Message::Client(id, Said::Opening(opening)),
                 });
             }
-            self.frames = Frames::default();
+            self.frames = FrameReader::default();
         }
     }
 
@@ -821,23 +827,24 @@
         id: ClientId,
         settings: &Settings,
         messages: &Messages,
-    ) -> std::result::Result<Option<Next>, Malformed> {
-        if !self.frames.rest().is_empty() && !self.room() {
+    ) -> std::result::Result<Option<Next>, ProtocolError> {
+        if !self.frames.buffered().is_empty() && !self.room() {
             return Ok(Some(Next::Full));
         }
-        let said = match self.frames.message()? {
+        let said = match self.frames.next_message()? {
             None => return Ok(Some(Next::More)),
             Some((b'Q', message)) => {
-                let (text, _) = pg::cstr(pg::body(message)).ok_or(Malformed("query without an end"))?;
+                let (text, _) =
+                    pg::split_c_string(pg::message_body(message)).ok_or(ProtocolError::UnterminatedQuery)?;
                 if text.len() + 6 != message.len() {
-                    return Err(Malformed("bytes behind the query's end"));
+                    return Err(ProtocolError::BytesAfterQuery);
                 }
                 let query = Query { at: self.at, text: text.to_vec(), fields: Asked::read(text, settings) };
                 Said::Command(query)
             }
             Some((b'X', _)) => Said::Terminate,
             Some((b'P' | b'B' | b'E' | b'D' | b'C' | b'H' | b'S' | b'F', _)) => Said::Unsupported,
-            Some(_) => return Err(Malformed("unknown message type")),
+            Some(_) => return Err(ProtocolError::UnknownMessageType),
         };
         let last = !matches!(said, Said::Command(_));
         if let Said::Command(query) = &said {
@@ -847,22 +854,26 @@
         Ok(last.then_some(Next::Done))
     }
 
-    fn batch(&mut self, id: ClientId, messages: &Messages) -> std::result::Result<Option<Next>, Malformed> {
-        if !self.frames.rest().is_empty() && !self.room() {
+    fn batch(
+        &mut self,
+        id: ClientId,
+        messages: &Messages,
+    ) -> std::result::Result<Option<Next>, ProtocolError> {
+        if !self.frames.buffered().is_empty() && !self.room() {
             return Ok(Some(Next::Full));
         }
         let Stage::Postgres { messages: parts, size } = &mut self.stage else { return Ok(None) };
-        match self.frames.message()? {
+        match self.frames.next_message()? {
             None => Ok(Some(Next::More)),
             Some((end @ (b'S' | b'H' | b'Q'), message)) => {
                 if end == b'Q' {
                     if !parts.is_empty() {
-                        return Err(Malformed("a query amid extended messages"));
+                        return Err(ProtocolError::QueryWithinBatch);
                     }
                     *size = message.len();
                     parts.push(message.to_vec());
                 } else if message.len() != 5 {
-                    return Err(Malformed("bytes where none belong"));
+                    return Err(ProtocolError::UnexpectedBody);
                 }
                 let batch = Batch { at: self.at, messages: std::mem::take(parts), end };
                 let size = std::mem::take(size);
@@ -873,7 +884,7 @@
             Some((b'P' | b'B' | b'E' | b'D' | b'C', message)) => {
                 *size += message.len();
                 if *size > UNIT_BYTES || parts.len() >= UNIT_MESSAGES {
-                    return Err(Malformed("too much before a Sync"));
+                    return Err(ProtocolError::BatchTooLong);
                 }
                 parts.push(message.to_vec());
                 Ok(None)
@@ -882,7 +893,7 @@
                 let _ = messages.send(Message::Extended(id, Said::Terminate));
                 Ok(Some(Next::Done))
             }
-            Some(_) => Err(Malformed("unknown message type")),
+            Some(_) => Err(ProtocolError::UnknownMessageType),
         }
     }
 }
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -5,7 +5,7 @@
 use crate::core::{Ending, Input, Job, JobId, LinkId};
 use crate::front::unit::{Catalogue, Progress, Script, Unit};
 use crate::front::{Answer, Work, millis};
-use crate::pg::{self, Frames};
+use crate::pg::{self, FrameReader};
 use crate::sockets::closed_by_peer;
 use crate::{LoadReport, Micros, Outcome, ResponseMetadata, Role};
 use crossbeam_channel::{Sender, bounded};
@@ -190,7 +190,7 @@
     catalogue: Catalogue,
 }
 
-type Connection = (Arc<TcpStream>, Frames);
+type Connection = (Arc<TcpStream>, FrameReader);
 
 /// What became of a query.
 struct Reply {
@@ -290,19 +290,20 @@
         };
         let stream = TcpStream::connect_timeout(&self.address, self.dial).map_err(cause)?;
         let _ = stream.set_nodelay(true);
-        (&stream).write_all(&pg::startup(USER, DATABASE)).map_err(|_| failed)?;
-        let mut frames = Frames::default();
+        (&stream).write_all(&pg::startup_message(USER, DATABASE)).map_err(|_| failed)?;
+        let mut frames = FrameReader::default();
         loop {
-            match frames.reply().map_err(|_| failed)? {
+            match frames.next_reply().map_err(|_| failed)? {
                 // What stands behind it belongs to nobody.
                 Some((b'Z', _)) => {
-                    if frames.rest().is_empty() {
+                    if frames.buffered().is_empty() {
                         break;
                     }
                     return Err(failed);
                 }
                 Some((b'E', message)) => {
-                    let full = pg::errors(pg::body(message)) == Some(pg::TOO_MANY.as_bytes());
+                    let full = pg::error_sqlstate(pg::message_body(message))
+                        == Some(pg::sqlstate::TOO_MANY_CONNECTIONS.as_bytes());
                     return Err(if full { Outcome::Full } else { failed });
                 }
                 Some(_) => {}
@@ -326,20 +327,20 @@
 }
 
 /// The connection still leads to the member: an empty query, which has no effect, is answered by then.
-fn answers(mut stream: &TcpStream, frames: &mut Frames, by: Instant) -> bool {
-    if stream.write_all(&pg::query(&[])).is_err() {
+fn answers(mut stream: &TcpStream, frames: &mut FrameReader, by: Instant) -> bool {
+    if stream.write_all(&pg::query_message(&[])).is_err() {
         return false;
     }
     let mut empty = false;
     loop {
-        let tag = match frames.reply() {
+        let tag = match frames.next_reply() {
             Ok(reply) => reply.map(|(tag, _)| tag),
             Err(_) => return false,
         };
         match tag {
             Some(b'I') if !empty => empty = true,
             Some(b'S' | b'N') => {}
-            Some(b'Z') => return empty && frames.rest().is_empty(),
+            Some(b'Z') => return empty && frames.buffered().is_empty(),
             None => {
                 // All of it together. Guards against a member that says a little at a time.
                 let left = by.saturating_duration_since(Instant::now());
@@ -356,7 +357,7 @@
 /// One job on a connection, classified exactly as the protocol's table has it.
 struct Exchange<'a> {
     stream: &'a TcpStream,
-    frames: &'a mut Frames,
+    frames: &'a mut FrameReader,
     state: &'a AtomicU8,
     /// It is not begun later than this.
     by: Option<Instant>,
@@ -382,13 +383,13 @@
     /// `None` if the job was withdrawn before anything was written.
     fn run(&mut self, what: &Job<Work>, catalogue: &mut Catalogue) -> Option<Reply> {
         let message = match what {
-            Job::Probe => pg::query(&[b"SHOW health"]),
+            Job::Probe => pg::query_message(&[b"SHOW health"]),
             Job::Attempt { work, allowed, .. } => match work.as_ref() {
                 Work::Unit(unit) => return self.unit(unit, catalogue),
-                Work::Simple { text, wait: None } => pg::query(&[text]),
+                Work::Simple { text, wait: None } => pg::query_message(&[text]),
                 Work::Simple { text, wait: Some(wait) } => {
                     let digits = millis(*allowed).to_string();
-                    pg::query(&[&text[..wait.start], digits.as_bytes(), &text[wait.end..]])
+                    pg::query_message(&[&text[..wait.start], digits.as_bytes(), &text[wait.end..]])
                 }
             },
         };
@@ -437,7 +438,7 @@
         let (mut row, mut at, mut error) = (None, b' ', None);
         let mut heard = Heard::default();
         loop {
-            let (tag, message) = match self.frames.reply() {
+            let (tag, message) = match self.frames.next_reply() {
                 Ok(Some(reply)) => reply,
                 Ok(None) => match self.frames.fill(self.stream) {
                     Ok(true) => continue,
@@ -445,24 +446,24 @@
                 },
                 Err(_) => return Reply::plain(Outcome::Error),
             };
-            let body = pg::body(message);
+            let body = pg::message_body(message);
             if tag == b'S' {
                 // A load report that can't be read spoils nothing but itself.
                 parameter(body, &mut heard);
                 continue;
             }
-            if !pg::well_formed(tag, body) {
+            if !pg::is_well_formed(tag, body) {
                 return Reply::plain(Outcome::Error);
             }
             match (tag, at) {
                 (b'N', _) => continue,
                 (b'T', b' ') if body[..2] == [0, 1] => {}
-                (b'D', b'T') if pg::only_column(body).is_some() => {
-                    row = probe.then(|| pg::only_column(body).unwrap_or_default().to_vec());
+                (b'D', b'T') if pg::single_column(body).is_some() => {
+                    row = probe.then(|| pg::single_column(body).unwrap_or_default().to_vec());
                 }
                 (b'C', b'D') => {}
                 (b'E', b' ' | b'T') => {
-                    (error, at) = (pg::errors(body).map(<[u8]>::to_vec), b'E');
+                    (error, at) = (pg::error_sqlstate(body).map(<[u8]>::to_vec), b'E');
                     answer.extend_from_slice(message);
                     continue;
                 }
@@ -476,7 +477,7 @@
                         heard.report = report_of(row);
                     }
                     // Guards against bytes behind an answer: they would pass for the next request's.
-                    let open = self.frames.rest().is_empty();
+                    let open = self.frames.buffered().is_empty();
                     return Reply { ending: heard.ending(outcome, answer), open };
                 }
                 _ => return Reply::plain(Outcome::Error),
@@ -506,7 +507,7 @@
         let mut end = Vec::new();
         if ahead {
             let mut preface = std::mem::take(&mut script.preface);
-            pg::put(&mut preface, b'H', &[]);
+            pg::put_message(&mut preface, b'H', &[]);
             let _ = self.stream.set_read_timeout(Some(PREFACE_WAIT));
             let taken = self.write(&preface).is_ok() && self.preface(&mut script, catalogue, &mut heard);
             let _ = self.stream.set_read_timeout(None);
@@ -523,7 +524,7 @@
         if script.error.is_none() {
             end.append(&mut script.rest);
         }
-        pg::put(&mut end, b'S', &[]);
+        pg::put_message(&mut end, b'S', &[]);
         if let Err(sent) = self.write(&end) {
             return Some(Reply::plain(if sent == 0 { Outcome::ConnectFailed } else { Outcome::Reset }));
         }
@@ -543,7 +544,7 @@
                         Some(code) => outcome_of(Some(code)),
                         None => Outcome::Ok,
                     };
-                    let open = self.frames.rest().is_empty();
+                    let open = self.frames.buffered().is_empty();
                     return Some(Reply { ending: heard.ending(outcome, script.answer), open });
                 }
             }
@@ -569,15 +570,15 @@
         heard: &mut Heard,
     ) -> Option<Progress> {
         loop {
-            if let Some((tag, message)) = self.frames.reply().ok()? {
+            if let Some((tag, message)) = self.frames.next_reply().ok()? {
                 if tag == b'S' {
-                    parameter(pg::body(message), heard);
-                } else if !pg::well_formed(tag, pg::body(message)) {
+                    parameter(pg::message_body(message), heard);
+                } else if !pg::is_well_formed(tag, pg::message_body(message)) {
                     return Some(Progress::Broken);
                 }
                 return Some(script.take(catalogue, tag, message));
             }
-            if script.answer.len() > 4 * pg::MAX_MESSAGE || !self.frames.fill(self.stream).ok()? {
+            if script.answer.len() > 4 * pg::MAX_MESSAGE_BYTES || !self.frames.fill(self.stream).ok()? {
                 return None;
             }
         }
@@ -589,7 +590,7 @@
 fn is_the_statements(code: &[u8]) -> bool {
     let class = code.get(..2).unwrap_or_default();
     let classes = [b"0A", b"21", b"22", b"23", b"24", b"28", b"34", b"42", b"44", b"P0"];
-    code == pg::PROTOCOL_VIOLATION.as_bytes() || classes.iter().any(|c| *c == class)
+    code == pg::sqlstate::PROTOCOL_VIOLATION.as_bytes() || classes.iter().any(|c| *c == class)
 }
 
 /// The protocol's table, for errors.
@@ -603,11 +604,11 @@
 
 fn parameter(body: &[u8], heard: &mut Heard) {
     let Heard { metadata, report } = heard;
-    if !pg::well_formed(b'S', body) {
+    if !pg::is_well_formed(b'S', body) {
         return;
     }
-    let Some((name, rest)) = pg::cstr(body) else { return };
-    let Some((value, _)) = pg::cstr(rest) else { return };
+    let Some((name, rest)) = pg::split_c_string(body) else { return };
+    let Some((value, _)) = pg::split_c_string(rest) else { return };
     match name {
         b"recovery" => {
             metadata.role = match value {
@@ -616,7 +617,9 @@
                 _ => None,
             }
         }
-        b"lsn_ms" => metadata.position = pg::statement::number(value).filter(|ms| *ms > 0).map(from_unix_ms),
+        b"lsn_ms" => {
+            metadata.position = pg::statement::parse_number(value).filter(|ms| *ms > 0).map(from_unix_ms)
+        }
         b"health" => *report = report_of(value),
         _ => {}
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -117,7 +117,7 @@
     let settings = Arc::new(config.settings.clone());
     let postgres = extended.map(|listen| Postgres::new(listen, settings.clone()));
     let postgres = postgres.transpose().map_err(std::io::Error::other)?;
-    let reordered = config.memory / 8;
+    let reordered = config.memory_bytes / 8;
     let core = Core::new(config.settings.clone(), config.seed, clock.now(), links);
     let (alive, written) = bounded(0);
     let memory = config.memory_bytes;
@@ -440,7 +440,13 @@
             tracing::debug!("no room for another client");
             // Nothing has run: it is told so and not waited for.
             let mut bytes = Vec::new();
-            crate::pg::put_error(&mut bytes, "FATAL", crate::pg::TOO_MANY, "too many clients", None);
+            crate::pg::put_error_response(
+                &mut bytes,
+                "FATAL",
+                crate::pg::sqlstate::TOO_MANY_CONNECTIONS,
+                "too many clients",
+                None,
+            );
             handle.write(bytes);
             return;
         }
--- /dev/null
+++ b/src/pg/message_tags.rs
@@ -0,0 +1,88 @@
+//! The type bytes of messages and of error fields, named as the protocol's documentation names them.
+
+/// Messages from a client.
+#[allow(dead_code, reason = "complete for what clients may send, whether or not it is served")]
+pub mod frontend {
+    /// Bind: creates a portal.
+    pub const BIND: u8 = b'B';
+    /// Close: drops a statement or a portal.
+    pub const CLOSE: u8 = b'C';
+    /// Describe: asks for the description of a statement or a portal.
+    pub const DESCRIBE: u8 = b'D';
+    /// Execute: runs a portal.
+    pub const EXECUTE: u8 = b'E';
+    /// Flush: asks for the replies so far.
+    pub const FLUSH: u8 = b'H';
+    /// FunctionCall.
+    pub const FUNCTION_CALL: u8 = b'F';
+    /// Parse: prepares a statement.
+    pub const PARSE: u8 = b'P';
+    /// Query: a simple query.
+    pub const QUERY: u8 = b'Q';
+    /// Sync: ends a batch of extended-query messages.
+    pub const SYNC: u8 = b'S';
+    /// Terminate: the client is about to close the connection.
+    pub const TERMINATE: u8 = b'X';
+}
+
+/// Messages from a server.
+pub mod backend {
+    /// AuthenticationOk and other authentication messages.
+    pub const AUTHENTICATION: u8 = b'R';
+    /// BackendKeyData: what a cancel request must name.
+    pub const BACKEND_KEY_DATA: u8 = b'K';
+    /// BindComplete.
+    pub const BIND_COMPLETE: u8 = b'2';
+    /// CloseComplete.
+    pub const CLOSE_COMPLETE: u8 = b'3';
+    /// CommandComplete.
+    pub const COMMAND_COMPLETE: u8 = b'C';
+    /// DataRow.
+    pub const DATA_ROW: u8 = b'D';
+    /// EmptyQueryResponse.
+    pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
+    /// ErrorResponse.
+    pub const ERROR_RESPONSE: u8 = b'E';
+    /// NegotiateProtocolVersion.
+    pub const NEGOTIATE_PROTOCOL_VERSION: u8 = b'v';
+    /// NoData: the described statement returns no rows.
+    pub const NO_DATA: u8 = b'n';
+    /// NoticeResponse.
+    pub const NOTICE_RESPONSE: u8 = b'N';
+    /// ParameterDescription.
+    pub const PARAMETER_DESCRIPTION: u8 = b't';
+    /// ParameterStatus.
+    pub const PARAMETER_STATUS: u8 = b'S';
+    /// ParseComplete.
+    pub const PARSE_COMPLETE: u8 = b'1';
+    /// PortalSuspended: an Execute stopped at its row limit.
+    pub const PORTAL_SUSPENDED: u8 = b's';
+    /// ReadyForQuery.
+    pub const READY_FOR_QUERY: u8 = b'Z';
+    /// RowDescription.
+    pub const ROW_DESCRIPTION: u8 = b'T';
+}
+
+/// The transaction status in a ReadyForQuery.
+pub mod transaction_status {
+    /// Outside of any transaction.
+    pub const IDLE: u8 = b'I';
+    /// Within a transaction.
+    pub const IN_TRANSACTION: u8 = b'T';
+    /// Within a transaction that has failed.
+    pub const FAILED: u8 = b'E';
+}
+
+/// The fields of an ErrorResponse or a NoticeResponse.
+pub mod error_fields {
+    /// The severity, which a server may translate.
+    pub const SEVERITY: u8 = b'S';
+    /// The severity, never translated.
+    pub const SEVERITY_UNTRANSLATED: u8 = b'V';
+    /// The SQLSTATE.
+    pub const SQLSTATE: u8 = b'C';
+    /// The text.
+    pub const MESSAGE: u8 = b'M';
+    /// The detail: here, the milliseconds until a retry is welcome.
+    pub const DETAIL: u8 = b'D';
+}
--- /dev/null
+++ b/src/pg/sqlstate.rs
@@ -0,0 +1,14 @@
+//! The SQLSTATE codes that the proxy sends or looks for, under the names of PostgreSQL's documentation.
+
+/// The message or the statement is not what the protocol allows.
+pub const PROTOCOL_VIOLATION: &str = "08P01";
+/// The proxy is out of service.
+pub const CANNOT_CONNECT_NOW: &str = "57P03";
+/// Rejected before it ran; a retry is harmless.
+pub const TOO_MANY_CONNECTIONS: &str = "53300";
+/// Failed, and it may have taken effect.
+pub const TRANSACTION_RESOLUTION_UNKNOWN: &str = "08007";
+/// Failed without having taken effect.
+pub const QUERY_CANCELED: &str = "57014";
+/// Not supported on this listener.
+pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
