--- a/src/config.rs
+++ b/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration: the file that `GW_CONFIG` names, what the other variables set in its place, and the TOML
-//! files under `deploy/`.
+//! The configuration: the file that `GW_CONFIG` names, what the other variables set in its place, and the
+//! TOML files under `deploy/`.
 
 use crate::Settings;
 use crate::endpoint_list::EndpointList;
