--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -30,12 +30,12 @@
     pub complete: bool,
     /// The entries.
     #[serde(default, rename = "targets")]
-    pub endpoints: Vec<ListedEndpoint>,
+    pub endpoints: Vec<EndpointRecord>,
 }
 
 /// An entry of an [`EndpointList`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ListedEndpoint {
+pub struct EndpointRecord {
     uid: String,
     #[serde(rename = "endpoint")]
     address: String,
@@ -66,11 +66,11 @@
 
     /// The entries as the core takes them. Entries whose address can't be read are left out.
     pub fn members(&self) -> Vec<(EndpointEntry, SocketAddr)> {
-        self.endpoints.iter().filter_map(ListedEndpoint::member).collect()
+        self.endpoints.iter().filter_map(EndpointRecord::member).collect()
     }
 }
 
-impl ListedEndpoint {
+impl EndpointRecord {
     fn member(&self) -> Option<(EndpointEntry, SocketAddr)> {
         let listed = self.listed_state();
         let address = match self.address.parse() {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -7,6 +7,9 @@
 pub mod discovery;
 pub mod link;
 
+pub use crate::threads::spawn;
+pub use client_listener::{ListenError, client_listener};
+
 use crate::config::{Config, ConfigError};
 use crate::core::{Core, Effect, Input, LinkId};
 use crate::endpoint_list::EndpointList;
@@ -88,9 +91,6 @@
 /// Where messages to the loop go.
 pub type Messages = Sender<Message>;
 
-pub use crate::threads::spawn;
-pub use client_listener::{ListenError, client_listener};
-
 /// Serves until it is told to end; on the extended listener too, where there is one.
 pub fn serve(
     config: &Config,
--- a/tests/proxy/operations.rs
+++ b/tests/proxy/operations.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, draining and upgrades.
+//! Admin requests, draining and upgrades.
 
 use crate::rig::*;
 use std::io::{Read, Write};
@@ -6,17 +6,18 @@
 use std::os::fd::OwnedFd;
 use std::process::Stdio;
 
-const OPS: &str = "export GW_OPS=127.0.0.1:0; exec \"$0\" serve";
+const SERVE_WITH_ADMIN_LISTENER: &str = "export GW_OPS=127.0.0.1:0; exec \"$0\" serve";
 
-fn figure(text: &str, name: &str) -> u64 {
-    let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-    line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
+/// The value of a counter in the response to `GET /control/counters`.
+fn counter_value(text: &str, name: &str) -> u64 {
+    let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix('='));
+    value.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
 }
 
 #[test]
-fn the_counters_say_what_clients_and_members_saw() {
+fn counters_match_what_clients_and_members_observed() {
     let primary = Server::start(true);
-    let proxy = Proxy::start_by(&[&primary], OPS, "");
+    let proxy = Proxy::start_by(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
     assert_eq!(proxy.control("GET", "ready").0, 200);
     let mut client = proxy.client();
     let served = (1..=3).filter(|id| client.query(&read(*id)).starts_with("T D"));
@@ -29,8 +30,8 @@
     primary.wait("hang");
     assert_eq!(client.query(&write(6, 3000)), "T D(value) C Z");
     let pending = proxy.control("GET", "counters").1;
-    assert_eq!(figure(&pending, "pending"), 1);
-    assert_eq!(figure(&pending, "upstream_requests"), primary.log().len() as u64);
+    assert_eq!(counter_value(&pending, "pending"), 1);
+    assert_eq!(counter_value(&pending, "upstream_requests"), primary.log().len() as u64);
     drop(gone);
     // The member sees its connection end once the proxy knows that the client has left.
     primary.wait("end");
@@ -52,9 +53,9 @@
 }
 
 #[test]
-fn calls_that_are_wrong_get_an_error_and_slow_callers_hold_nobody_up() {
+fn invalid_admin_requests_get_an_error_and_slow_ones_block_nobody() {
     let primary = Server::start(true);
-    let proxy = Proxy::start_by(&[&primary], OPS, "");
+    let proxy = Proxy::start_by(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
     let slow: Vec<_> = (0..8).map(|_| TcpStream::connect(proxy.ops.unwrap()).unwrap()).collect();
     (&slow[0]).write_all(b"GET /control/re").unwrap();
     assert_eq!(proxy.control("GET", "ready"), (200, "yes\n".into()));
@@ -71,9 +72,9 @@
 }
 
 #[test]
-fn out_of_service_sends_clients_away_and_in_service_takes_them_back() {
+fn out_of_service_rejects_clients_until_the_proxy_is_in_service_again() {
     let primary = Server::start(true);
-    let proxy = Proxy::start_by(&[&primary], OPS, "");
+    let proxy = Proxy::start_by(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
     let mut client = proxy.client();
     assert_eq!(proxy.control("PUT", "out-of-service").0, 200);
     assert_eq!(proxy.client().query(""), "E(57P03) Z");
@@ -83,7 +84,7 @@
     busy.send(&simple(&write(2, 2500)));
     primary.wait("hang");
     assert_eq!(client.answer(), "end", "closed between requests");
-    assert_eq!(busy.answer(), "E(08007) Z", "a request under way gets its answer first");
+    assert_eq!(busy.answer(), "E(08007) Z", "a request in flight gets its answer first");
     assert_eq!(busy.answer(), "end");
     assert_eq!(proxy.control("PUT", "in-service").0, 200);
     let mut client = proxy.client();
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn an_upgrade_turns_nobody_back() {
+fn an_upgrade_rejects_no_client() {
     let primary = Server::start(true);
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let shell = "export GW_LISTEN_FD=0; exec \"$0\" serve";
