--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -1,7 +1,7 @@
 //! A replica's file: records of a length, a checksum and JSON, each written whole before it counts. A record
 //! cut off at the end - the machine stopped while writing - is dropped; damage anywhere else is an error.
 
-use super::raft::{Entry, Hard, Saved, Snapshot};
+use super::raft::{Entry, HardState, PersistedState, Snapshot};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
@@ -14,7 +14,8 @@
 
 #[derive(Deserialize, Serialize)]
 enum Record<C, S> {
-    Hard(Hard),
+    #[serde(rename = "Hard")]
+    HardState(HardState),
     Entry(Entry<C>),
     Snapshot(Snapshot<S>),
 }
@@ -23,7 +24,7 @@
 pub struct Disk {
     path: PathBuf,
     file: File,
-    hard: Hard,
+    hard: HardState,
 }
 
 fn record<C: Serialize, S: Serialize>(out: &mut Vec<u8>, record: &Record<C, S>) -> Result<()> {
@@ -61,7 +62,7 @@
     /// Opens the file in a folder, and returns what it holds.
     pub fn open<C: DeserializeOwned, S: DeserializeOwned + Default>(
         folder: &Path,
-    ) -> Result<(Disk, Saved<C, S>)> {
+    ) -> Result<(Disk, PersistedState<C, S>)> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join("log");
         let mut file = OpenOptions::new().create(true).append(true).read(true).open(&path)?;
@@ -72,10 +73,14 @@
             file.set_len(end as u64)?;
             file.sync_all()?;
         }
-        let mut saved = Saved { hard: Hard::default(), snapshot: Snapshot::default(), entries: Vec::new() };
+        let mut saved = PersistedState {
+            hard_state: HardState::default(),
+            snapshot: Snapshot::default(),
+            entries: Vec::new(),
+        };
         for text in found {
             match serde_json::from_slice(text).map_err(Error::other)? {
-                Record::Hard(hard) => saved.hard = hard,
+                Record::HardState(hard_state) => saved.hard_state = hard_state,
                 Record::Snapshot(snapshot) => (saved.snapshot, saved.entries) = (snapshot, Vec::new()),
                 Record::Entry(entry) => {
                     // An entry replaces all from its place.
@@ -85,14 +90,14 @@
             }
         }
         file.flush()?;
-        Ok((Disk { path, file, hard: saved.hard }, saved))
+        Ok((Disk { path, file, hard: saved.hard_state }, saved))
     }
 
     /// Adds term, vote and entries; they are on the disk when this returns.
-    pub fn persist<C: Serialize + Clone>(&mut self, hard: Hard, entries: &[Entry<C>]) -> Result<()> {
+    pub fn persist<C: Serialize + Clone>(&mut self, hard: HardState, entries: &[Entry<C>]) -> Result<()> {
         let mut out = Vec::new();
         if hard != self.hard {
-            record(&mut out, &Record::<C, ()>::Hard(hard))?;
+            record(&mut out, &Record::<C, ()>::HardState(hard))?;
             self.hard = hard;
         }
         for entry in entries {
@@ -109,7 +114,7 @@
         S: Serialize,
     {
         let mut out = Vec::new();
-        record(&mut out, &Record::<C, S>::Hard(self.hard))?;
+        record(&mut out, &Record::<C, S>::HardState(self.hard))?;
         record(&mut out, &Record::<C, S>::Snapshot(snapshot))?;
         for entry in entries {
             record(&mut out, &Record::<C, S>::Entry(entry))?;
@@ -141,7 +146,7 @@
         Entry { index, term: 1, command: Some(format!("entry {index}")) }
     }
 
-    fn open(folder: &Path) -> Result<(Disk, Saved<String, Vec<u8>>)> {
+    fn open(folder: &Path) -> Result<(Disk, PersistedState<String, Vec<u8>>)> {
         Disk::open(folder)
     }
 
@@ -149,7 +154,7 @@
     fn a_torn_tail_is_dropped_at_any_cut_and_the_log_goes_on() {
         let folder = folder("torn");
         let (mut disk, _) = open(&folder).unwrap();
-        let hard = Hard { term: 1, vote: Some(2) };
+        let hard = HardState { term: 1, voted_for: Some(2) };
         disk.persist(hard, &[entry(1), entry(2)]).unwrap();
         let whole = std::fs::read(folder.join("log")).unwrap().len();
         disk.persist(hard, &[entry(3)]).unwrap();
@@ -157,7 +162,11 @@
         for cut in whole..bytes.len() {
             std::fs::write(folder.join("log"), &bytes[..cut]).unwrap();
             let (mut disk, saved) = open(&folder).unwrap();
-            assert_eq!((saved.hard, &saved.entries[..]), (hard, &[entry(1), entry(2)][..]), "cut at {cut}");
+            assert_eq!(
+                (saved.hard_state, &saved.entries[..]),
+                (hard, &[entry(1), entry(2)][..]),
+                "cut at {cut}"
+            );
             disk.persist(hard, &[entry(3)]).unwrap();
             assert_eq!(open(&folder).unwrap().1.entries.len(), 3, "cut at {cut}");
         }
@@ -174,7 +183,7 @@
     fn damage_before_the_end_is_an_error() {
         let folder = folder("damage");
         let (mut disk, _) = open(&folder).unwrap();
-        disk.persist(Hard::default(), &[entry(1), entry(2)]).unwrap();
+        disk.persist(HardState::default(), &[entry(1), entry(2)]).unwrap();
         let mut bytes = std::fs::read(folder.join("log")).unwrap();
         bytes[HEAD + 2] ^= 1;
         std::fs::write(folder.join("log"), &bytes).unwrap();
@@ -186,12 +195,16 @@
     fn entries_replace_what_stood_in_their_place_and_a_snapshot_what_came_before() {
         let folder = folder("replace");
         let (mut disk, _) = open(&folder).unwrap();
-        disk.persist(Hard::default(), &[entry(1), entry(2), entry(3)]).unwrap();
+        disk.persist(HardState::default(), &[entry(1), entry(2), entry(3)]).unwrap();
         let other = Entry { term: 2, ..entry(2) };
-        disk.persist(Hard::default(), std::slice::from_ref(&other)).unwrap();
+        disk.persist(HardState::default(), std::slice::from_ref(&other)).unwrap();
         assert_eq!(open(&folder).unwrap().1.entries, [entry(1), other]);
-        disk.compact(Snapshot { index: 2, term: 2, state: vec![7u8] }, vec![entry(3)]).unwrap();
-        disk.persist(Hard::default(), &[entry(4)]).unwrap();
+        disk.compact(
+            Snapshot { last_included_index: 2, last_included_term: 2, state: vec![7u8] },
+            vec![entry(3)],
+        )
+        .unwrap();
+        disk.persist(HardState::default(), &[entry(4)]).unwrap();
         let saved = open(&folder).unwrap().1;
         assert_eq!((saved.snapshot.state, saved.entries), (vec![7u8], vec![entry(3), entry(4)]));
         std::fs::remove_dir_all(&folder).unwrap();
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -10,7 +10,7 @@
 use crate::threads::spawn;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use disk::Disk;
-use raft::{Input, Machine, Message, Output, Raft, ReplicaId, Saved};
+use raft::{Input, Message, Output, PersistedState, RaftNode, RaftStatus, ReplicaId, StateMachine};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io::{BufRead, BufReader, Error, Read, Result, Write};
@@ -105,7 +105,7 @@
     pub statements: VecDeque<Statement>,
 }
 
-impl Machine for State {
+impl StateMachine for State {
     type Command = Change;
 
     fn apply(&mut self, change: Change) {
@@ -185,12 +185,16 @@
             Some(folder) => Disk::open(folder).map(|(disk, saved)| (Some(disk), saved))?,
             None => (
                 None,
-                Saved { hard: raft::Hard::default(), snapshot: Default::default(), entries: Vec::new() },
+                PersistedState {
+                    hard_state: Default::default(),
+                    snapshot: Default::default(),
+                    entries: Vec::new(),
+                },
             ),
         };
         let ids: Vec<_> = replicas.replica.iter().map(|r| r.id).collect();
         replicas.check().map_err(Error::other)?;
-        let raft = Raft::new(replicas.id, &ids, saved, seed, clock.now());
+        let raft = RaftNode::new(replicas.id, &ids, saved, seed, clock.now());
         let (words, inbox) = bounded(WAITING);
         let mut peers = HashMap::new();
         for replica in &replicas.replica {
@@ -203,7 +207,8 @@
                 peers.insert(replica.id, say);
             }
         }
-        let (saved_to, recovered) = (raft.last(), Some(Box::new(recovered) as Box<dyn FnOnce(State) + Send>));
+        let (saved_to, recovered) =
+            (raft.last_log_index(), Some(Box::new(recovered) as Box<dyn FnOnce(State) + Send>));
         let recovered = recovered.filter(|_| saved_to > 0);
         let mut keeper = Keeper {
             id: replicas.id,
@@ -235,7 +240,7 @@
 
 struct Keeper {
     id: ReplicaId,
-    raft: Raft<State>,
+    raft: RaftNode<State>,
     disk: Option<Disk>,
     peers: HashMap<ReplicaId, Sender<Line>>,
     clock: Clock,
@@ -251,7 +256,7 @@
 impl Keeper {
     fn run(&mut self, inbox: &Receiver<Word>) -> Result<()> {
         loop {
-            match inbox.recv_deadline(self.clock.instant(self.raft.due())) {
+            match inbox.recv_deadline(self.clock.instant(self.raft.next_deadline())) {
                 Ok(Word::Peer(message)) => self.step(Input::Message(message))?,
                 Ok(Word::Propose(change)) => {
                     if self.proposed.len() < WAITING {
@@ -260,9 +265,9 @@
                 }
                 Ok(Word::Forward(change)) => self.step(Input::Propose(change))?,
                 Ok(Word::Put(change, reply)) => {
-                    if self.raft.leads() {
-                        let at = self.raft.last() + 1;
-                        self.waiting.push((at, self.raft.standing().0, reply));
+                    if self.raft.is_leader() {
+                        let at = self.raft.last_log_index() + 1;
+                        self.waiting.push((at, self.raft.status().term, reply));
                         self.step(Input::Propose(change))?;
                     } else {
                         let _ = reply.try_send(self.status(false));
@@ -272,12 +277,12 @@
                 Err(RecvTimeoutError::Timeout) => self.step(Input::Tick)?,
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
-            while self.raft.leads()
+            while self.raft.is_leader()
                 && let Some(change) = self.proposed.pop_front()
             {
                 self.step(Input::Propose(change))?;
             }
-            if let Some(leader) = self.raft.standing().1.and_then(|leader| self.peers.get(&leader)) {
+            if let Some(leader) = self.raft.status().leader.and_then(|leader| self.peers.get(&leader)) {
                 for change in self.proposed.drain(..) {
                     let _ = leader.try_send(Line::Forward(change));
                 }
@@ -286,17 +291,17 @@
     }
 
     fn status(&self, done: bool) -> Status {
-        let (term, leader, committed) = self.raft.standing();
-        Status { id: self.id, term, leader, committed, done, state: self.raft.state().clone() }
+        let RaftStatus { term, leader, commit_index: committed } = self.raft.status();
+        Status { id: self.id, term, leader, committed, done, state: self.raft.state_machine().clone() }
     }
 
     fn step(&mut self, input: Input<Change, State>) -> Result<()> {
-        let led = self.raft.leads();
+        let led = self.raft.is_leader();
         for output in self.raft.step(self.clock.now(), input) {
             match output {
-                Output::Persist { hard, entries } => {
+                Output::Persist { hard_state, entries } => {
                     if let Some(disk) = &mut self.disk {
-                        disk.persist(hard, &entries)?;
+                        disk.persist(hard_state, &entries)?;
                     }
                 }
                 Output::Compact { snapshot, entries } => {
@@ -304,7 +309,7 @@
                         disk.compact(snapshot, entries)?;
                     }
                 }
-                Output::Send(to, message) => {
+                Output::Send { to, message } => {
                     if let Some(peer) = self.peers.get(&to) {
                         let _ = peer.try_send(Line::Peer(message));
                     }
@@ -322,14 +327,14 @@
                 }
             }
         }
-        if self.raft.standing().2 >= self.saved_to
+        if self.raft.status().commit_index >= self.saved_to
             && let Some(tell) = self.recovered.take()
         {
-            tell(self.raft.state().clone());
+            tell(self.raft.state_machine().clone());
         }
-        if led != self.raft.leads() {
-            let (term, leader, _) = self.raft.standing();
-            tracing::info!(term, ?leader, "the store's lead has changed");
+        if led != self.raft.is_leader() {
+            let RaftStatus { term, leader, .. } = self.raft.status();
+            tracing::info!(term, ?leader, "raft leader changed");
         }
         Ok(())
     }
--- /dev/null
+++ b/src/store/raft/messages.rs
@@ -0,0 +1,142 @@
+//! What replicas exchange and persist: entries, snapshots, hard state and the messages of the Raft paper.
+//!
+//! The serde names are stored on disk and sent between replicas; they must not change.
+
+use serde::{Deserialize, Serialize};
+
+/// The number of a replica.
+pub type ReplicaId = u32;
+/// The position of an entry in the log, from 1.
+pub type Index = u64;
+/// The number of a term, from 1; 0 before the first election.
+pub type Term = u64;
+
+/// An entry of the log. The entry that a new leader begins its term with holds no command.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Entry<C> {
+    /// Its position in the log.
+    pub index: Index,
+    /// The term of the leader that created it.
+    pub term: Term,
+    /// The command for the state machine.
+    pub command: Option<C>,
+}
+
+/// The state machine after all entries up to and including one.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Snapshot<S> {
+    /// The last entry that the state includes.
+    #[serde(rename = "index")]
+    pub last_included_index: Index,
+    /// The term of that entry.
+    #[serde(rename = "term")]
+    pub last_included_term: Term,
+    /// The state.
+    pub state: S,
+}
+
+/// What must survive a restart beside the log.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HardState {
+    /// The latest term seen.
+    pub term: Term,
+    /// The candidate that got this replica's vote in that term.
+    #[serde(rename = "vote")]
+    pub voted_for: Option<ReplicaId>,
+}
+
+/// What a replica finds on its disk when it starts.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct PersistedState<C, S> {
+    /// Term and vote.
+    pub hard_state: HardState,
+    /// The state that the log starts from.
+    pub snapshot: Snapshot<S>,
+    /// The entries after the snapshot.
+    pub entries: Vec<Entry<C>>,
+}
+
+/// A message between replicas.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Message<C, S> {
+    /// The sender.
+    pub from: ReplicaId,
+    /// The sender's term.
+    pub term: Term,
+    /// The request or reply.
+    #[serde(rename = "say")]
+    pub body: MessageBody<C, S>,
+}
+
+/// The requests and replies.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum MessageBody<C, S> {
+    /// A candidate asks for a vote.
+    #[serde(rename = "Vote")]
+    RequestVote(RequestVote),
+    /// Answers [`RequestVote`].
+    #[serde(rename = "Voted")]
+    RequestVoteReply(RequestVoteReply),
+    /// A leader sends entries, or a heartbeat.
+    #[serde(rename = "Append")]
+    AppendEntries(AppendEntries<C>),
+    /// Answers [`AppendEntries`] and [`InstallSnapshot`].
+    #[serde(rename = "Appended")]
+    AppendEntriesReply(AppendEntriesReply),
+    /// A leader sends its snapshot.
+    #[serde(rename = "Install")]
+    InstallSnapshot(InstallSnapshot<S>),
+}
+
+/// A candidate's request for a vote.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RequestVote {
+    /// The candidate's last entry.
+    #[serde(rename = "last_index")]
+    pub last_log_index: Index,
+    /// The term of that entry.
+    #[serde(rename = "last_term")]
+    pub last_log_term: Term,
+}
+
+/// The answer to a [`RequestVote`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RequestVoteReply {
+    /// Whether the candidate got the vote.
+    #[serde(rename = "granted")]
+    pub vote_granted: bool,
+}
+
+/// Entries that follow one which both logs should have; a heartbeat where there are none.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct AppendEntries<C> {
+    /// The entry before the new ones.
+    #[serde(rename = "prev_index")]
+    pub prev_log_index: Index,
+    /// The term of that entry.
+    #[serde(rename = "prev_term")]
+    pub prev_log_term: Term,
+    /// The new entries.
+    pub entries: Vec<Entry<C>>,
+    /// The leader's commit index.
+    #[serde(rename = "commit")]
+    pub leader_commit: Index,
+}
+
+/// The answer to [`AppendEntries`] and [`InstallSnapshot`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct AppendEntriesReply {
+    /// Whether the entries were taken.
+    #[serde(rename = "ok")]
+    pub success: bool,
+    /// On success, the last entry up to which the logs agree; otherwise the last one up to which they may.
+    #[serde(rename = "index")]
+    pub last_agreed_index: Index,
+}
+
+/// A leader's snapshot, for a follower that lacks what the leader's log starts with.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct InstallSnapshot<S> {
+    /// The snapshot.
+    pub snapshot: Snapshot<S>,
+}
--- /dev/null
+++ b/src/store/raft/mod.rs
@@ -0,0 +1,281 @@
+//! Raft consensus: leader election, log replication, and commit by a quorum.
+//!
+//! [`RaftNode::step`] is a pure function of the node's state, the time and an input. The caller carries the
+//! outputs out in order, and has what [`Output::Persist`] and [`Output::Compact`] name on the disk before it
+//! goes on with the next.
+
+mod election;
+mod log;
+mod messages;
+mod replication;
+
+pub use messages::{Entry, HardState, Index, Message, PersistedState, ReplicaId, Snapshot, Term};
+
+use crate::Micros;
+use crate::random::RandomSource;
+use log::Log;
+use messages::MessageBody;
+use std::collections::BTreeMap;
+
+/// A follower that hears of no leader for this long, and up to twice that, starts an election.
+const ELECTION_TIMEOUT: Micros = 300_000;
+/// A leader sends heartbeats this often.
+const HEARTBEAT_INTERVAL: Micros = 75_000;
+/// The most entries in one message.
+const MAX_ENTRIES_PER_MESSAGE: usize = 128;
+/// The log is compacted once it holds more applied entries than this.
+const COMPACT_AFTER_ENTRIES: u64 = 512;
+
+/// An input of [`RaftNode::step`].
+pub enum Input<C, S> {
+    /// Time has passed.
+    Tick,
+    /// A message from another replica.
+    Message(Message<C, S>),
+    /// A command to commit; dropped where this replica is not the leader.
+    Propose(C),
+}
+
+/// What the caller has to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Output<C, S> {
+    /// Persist term and vote, and entries that replace all from the first one's index on.
+    Persist { hard_state: HardState, entries: Vec<Entry<C>> },
+    /// Persist a snapshot and the entries after it, in place of all entries before.
+    Compact { snapshot: Snapshot<S>, entries: Vec<Entry<C>> },
+    /// Send a message to a replica.
+    Send { to: ReplicaId, message: Message<C, S> },
+    /// An entry was committed and applied to the state machine.
+    Applied { index: Index, term: Term },
+}
+
+/// A deterministic state machine.
+pub trait StateMachine: Clone + Default {
+    /// What changes the state.
+    type Command: Clone;
+    /// Applies a command, with the same result at every replica.
+    fn apply(&mut self, command: Self::Command);
+}
+
+/// What a replica knows of its group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RaftStatus {
+    /// The current term.
+    pub term: Term,
+    /// The leader, as far as known.
+    pub leader: Option<ReplicaId>,
+    /// The last entry that is known to be committed.
+    pub commit_index: Index,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Role {
+    Follower,
+    Candidate,
+    Leader,
+}
+
+/// What this replica knows of another one.
+struct Peer {
+    /// Leader: the next entry to send.
+    next_index: Index,
+    /// Leader: the last entry known to be replicated there.
+    match_index: Index,
+    /// Candidate: whether it voted for this replica in the current term.
+    vote_granted: bool,
+}
+
+/// One replica of the group.
+pub struct RaftNode<M: StateMachine> {
+    id: ReplicaId,
+    hard_state: HardState,
+    role: Role,
+    leader: Option<ReplicaId>,
+    leader_heard_at: Micros,
+    peers: BTreeMap<ReplicaId, Peer>,
+    log: Log<M::Command, M>,
+    /// The state after all entries up to `last_applied`.
+    state_machine: M,
+    commit_index: Index,
+    last_applied: Index,
+    /// When the next election or heartbeat is due.
+    next_deadline: Micros,
+    random: RandomSource,
+    outputs: Vec<Output<M::Command, M>>,
+    /// Hard state and the entries from this index on are to be persisted ahead of all other outputs.
+    unpersisted_from: Option<Index>,
+}
+
+impl<M: StateMachine> RaftNode<M> {
+    /// A replica that goes on from what it had persisted. `replicas` may include its own id.
+    pub fn new(
+        id: ReplicaId,
+        replicas: &[ReplicaId],
+        persisted: PersistedState<M::Command, M>,
+        seed: u64,
+        now: Micros,
+    ) -> Self {
+        let PersistedState { hard_state, snapshot, entries } = persisted;
+        let others = replicas.iter().filter(|replica| **replica != id);
+        let mut node = RaftNode {
+            id,
+            hard_state,
+            role: Role::Follower,
+            leader: None,
+            leader_heard_at: 0,
+            peers: others.map(|peer| (*peer, Peer::new(1))).collect(),
+            state_machine: snapshot.state.clone(),
+            commit_index: snapshot.last_included_index,
+            last_applied: snapshot.last_included_index,
+            log: Log::new(snapshot, entries),
+            next_deadline: now,
+            // Replicas with the same seed must not start their elections at the same times for ever.
+            random: RandomSource::new(seed ^ u64::from(id) << u32::BITS),
+            outputs: Vec::new(),
+            unpersisted_from: None,
+        };
+        // A replica without peers has no leader to wait for.
+        if !node.peers.is_empty() {
+            node.reset_election_timer(now);
+        }
+        node
+    }
+
+    /// The state machine after all entries applied here.
+    pub fn state_machine(&self) -> &M {
+        &self.state_machine
+    }
+
+    /// Term, leader and commit index.
+    pub fn status(&self) -> RaftStatus {
+        RaftStatus { term: self.hard_state.term, leader: self.leader, commit_index: self.commit_index }
+    }
+
+    /// Whether this replica is the leader.
+    pub fn is_leader(&self) -> bool {
+        self.role == Role::Leader
+    }
+
+    /// The last entry in the log, committed or not.
+    pub fn last_log_index(&self) -> Index {
+        self.log.last_index()
+    }
+
+    /// When [`Input::Tick`] is due next.
+    pub fn next_deadline(&self) -> Micros {
+        self.next_deadline
+    }
+
+    /// Handles one input.
+    pub fn step(&mut self, now: Micros, input: Input<M::Command, M>) -> Vec<Output<M::Command, M>> {
+        match input {
+            Input::Tick => self.on_tick(now),
+            Input::Propose(command) => self.on_propose(now, command),
+            Input::Message(message) => self.on_message(now, message),
+        }
+        self.persist_before_other_outputs();
+        self.compact_log();
+        std::mem::take(&mut self.outputs)
+    }
+
+    fn on_tick(&mut self, now: Micros) {
+        if now < self.next_deadline {
+            return;
+        }
+        if self.is_leader() {
+            self.broadcast_append_entries(now);
+        } else {
+            self.start_election(now);
+        }
+    }
+
+    fn on_propose(&mut self, now: Micros, command: M::Command) {
+        if self.is_leader() {
+            self.append_entry(Some(command));
+            self.broadcast_append_entries(now);
+        }
+    }
+
+    fn on_message(&mut self, now: Micros, message: Message<M::Command, M>) {
+        let Message { from, term, body } = message;
+        if !self.peers.contains_key(&from) {
+            return;
+        }
+        if matches!(body, MessageBody::RequestVote(_)) && self.follows_other_leader(now, from) {
+            return;
+        }
+        if term > self.hard_state.term {
+            self.become_follower(term);
+        }
+        let stale = term < self.hard_state.term;
+        match body {
+            MessageBody::RequestVote(request) => self.on_request_vote(now, from, stale, request),
+            MessageBody::RequestVoteReply(reply) if !stale => self.on_request_vote_reply(now, from, reply),
+            MessageBody::AppendEntriesReply(reply) if !stale => self.on_append_entries_reply(from, reply),
+            MessageBody::RequestVoteReply(_) | MessageBody::AppendEntriesReply(_) => {}
+            MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot(_) if stale => {
+                self.reply_to_leader(from, false, self.log.last_index());
+            }
+            MessageBody::AppendEntries(request) => self.on_append_entries(now, from, request),
+            MessageBody::InstallSnapshot(request) => self.on_install_snapshot(now, from, request),
+        }
+    }
+
+    fn send(&mut self, to: ReplicaId, body: MessageBody<M::Command, M>) {
+        let message = Message { from: self.id, term: self.hard_state.term, body };
+        self.outputs.push(Output::Send { to, message });
+    }
+
+    fn peer_ids(&self) -> Vec<ReplicaId> {
+        self.peers.keys().copied().collect()
+    }
+
+    fn quorum(&self) -> usize {
+        self.peers.len().div_ceil(2) + 1
+    }
+
+    /// Hard state and the entries from `index` on have to be persisted in this step.
+    fn mark_unpersisted(&mut self, index: Index) {
+        let earliest = self.unpersisted_from.map_or(index, |earlier| earlier.min(index));
+        self.unpersisted_from = Some(earliest);
+    }
+
+    /// Only hard state has to be persisted in this step.
+    fn mark_hard_state_unpersisted(&mut self) {
+        self.mark_unpersisted(self.log.last_index() + 1);
+    }
+
+    /// Puts what has to be on the disk ahead of the messages that rely on it.
+    fn persist_before_other_outputs(&mut self) {
+        if let Some(index) = self.unpersisted_from.take() {
+            let entries = self.log.entries_from(index).to_vec();
+            self.outputs.insert(0, Output::Persist { hard_state: self.hard_state, entries });
+        }
+    }
+
+    /// Replaces the applied entries by a snapshot once there are many.
+    fn compact_log(&mut self) {
+        let snapshot_index = self.log.snapshot().last_included_index;
+        if self.last_applied.saturating_sub(snapshot_index) <= COMPACT_AFTER_ENTRIES {
+            return;
+        }
+        let snapshot_term = self.log.snapshot().last_included_term;
+        let snapshot = Snapshot {
+            last_included_index: self.last_applied,
+            last_included_term: self.log.term_at(self.last_applied).unwrap_or(snapshot_term),
+            state: self.state_machine.clone(),
+        };
+        self.log.compact(snapshot.clone());
+        let entries = self.log.entries_from(self.last_applied + 1).to_vec();
+        self.outputs.push(Output::Compact { snapshot, entries });
+    }
+}
+
+impl Peer {
+    fn new(next_index: Index) -> Self {
+        Peer { next_index, match_index: 0, vote_granted: false }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/store/raft/replication.rs
@@ -0,0 +1,154 @@
+//! Log replication: what a leader sends, what a follower takes, and what is committed.
+
+use super::messages::{
+    AppendEntries, AppendEntriesReply, Entry, Index, InstallSnapshot, MessageBody, ReplicaId,
+};
+use super::{HEARTBEAT_INTERVAL, MAX_ENTRIES_PER_MESSAGE, Output, RaftNode, StateMachine};
+use crate::Micros;
+
+impl<M: StateMachine> RaftNode<M> {
+    /// Appends an entry of the current term to the leader's log.
+    pub(super) fn append_entry(&mut self, command: Option<M::Command>) {
+        let index = self.log.append(self.hard_state.term, command);
+        self.mark_unpersisted(index);
+    }
+
+    /// Sends every follower what it lacks, or a heartbeat.
+    pub(super) fn broadcast_append_entries(&mut self, now: Micros) {
+        self.next_deadline = now + HEARTBEAT_INTERVAL;
+        for peer in self.peer_ids() {
+            self.send_append_entries(peer);
+        }
+        self.advance_commit_index();
+    }
+
+    fn send_append_entries(&mut self, to: ReplicaId) {
+        let Some(next_index) = self.peers.get(&to).map(|peer| peer.next_index) else { return };
+        let prev_log_index = next_index - 1;
+        let Some(prev_log_term) = self.log.term_at(prev_log_index) else {
+            let snapshot = self.log.snapshot().clone();
+            self.send(to, MessageBody::InstallSnapshot(InstallSnapshot { snapshot }));
+            return;
+        };
+        let entries = self.log.entries_from(next_index).iter().take(MAX_ENTRIES_PER_MESSAGE);
+        let request = AppendEntries {
+            prev_log_index,
+            prev_log_term,
+            entries: entries.cloned().collect(),
+            leader_commit: self.commit_index,
+        };
+        self.send(to, MessageBody::AppendEntries(request));
+    }
+
+    pub(super) fn on_append_entries(
+        &mut self,
+        now: Micros,
+        leader: ReplicaId,
+        request: AppendEntries<M::Command>,
+    ) {
+        self.accept_leader(now, leader);
+        let prev_log_index = request.prev_log_index;
+        // Entries that are committed here are in every later leader's log.
+        let agrees = prev_log_index <= self.commit_index
+            || self.log.term_at(prev_log_index) == Some(request.prev_log_term);
+        if !agrees {
+            let index = self.log.last_index().min(prev_log_index.saturating_sub(1));
+            return self.reply_to_leader(leader, false, index);
+        }
+        let last_sent = request.entries.last().map_or(prev_log_index, |entry| entry.index);
+        self.take_entries(request.entries);
+        let last_agreed = last_sent.min(self.log.last_index());
+        self.commit_index = self.commit_index.max(request.leader_commit.min(last_agreed));
+        self.apply_committed();
+        self.reply_to_leader(leader, true, last_agreed);
+    }
+
+    /// Takes over a leader's entries where they differ from the own ones.
+    fn take_entries(&mut self, entries: Vec<Entry<M::Command>>) {
+        for entry in entries {
+            if entry.index <= self.commit_index || self.log.term_at(entry.index) == Some(entry.term) {
+                continue;
+            }
+            if entry.index > self.log.last_index() + 1 {
+                break;
+            }
+            self.mark_unpersisted(entry.index);
+            self.log.replace_from(entry);
+        }
+    }
+
+    pub(super) fn on_install_snapshot(
+        &mut self,
+        now: Micros,
+        leader: ReplicaId,
+        request: InstallSnapshot<M>,
+    ) {
+        self.accept_leader(now, leader);
+        let snapshot = request.snapshot;
+        let index = snapshot.last_included_index;
+        if index > self.commit_index {
+            self.state_machine = snapshot.state.clone();
+            self.commit_index = index;
+            self.last_applied = index;
+            self.log.install(snapshot.clone());
+            self.outputs.push(Output::Compact { snapshot, entries: Vec::new() });
+        }
+        self.reply_to_leader(leader, true, index);
+    }
+
+    pub(super) fn reply_to_leader(&mut self, leader: ReplicaId, success: bool, last_agreed_index: Index) {
+        let reply = AppendEntriesReply { success, last_agreed_index };
+        self.send(leader, MessageBody::AppendEntriesReply(reply));
+    }
+
+    pub(super) fn on_append_entries_reply(&mut self, from: ReplicaId, reply: AppendEntriesReply) {
+        if !self.is_leader() {
+            return;
+        }
+        let Some(peer) = self.peers.get_mut(&from) else { return };
+        if reply.success {
+            peer.match_index = peer.match_index.max(reply.last_agreed_index);
+            peer.next_index = peer.next_index.max(peer.match_index + 1);
+        } else {
+            // Try further back, but not before what is known to be replicated there.
+            let earlier = peer.next_index.saturating_sub(1);
+            peer.next_index = (reply.last_agreed_index + 1).min(earlier).max(peer.match_index + 1);
+        }
+        let behind = peer.next_index <= self.log.last_index();
+        self.advance_commit_index();
+        if behind {
+            self.send_append_entries(from);
+        }
+    }
+
+    /// A leader commits an entry of its own term once a quorum has it, and all entries before it.
+    fn advance_commit_index(&mut self) {
+        let replicated = self.index_at_quorum();
+        let own_term = self.log.term_at(replicated) == Some(self.hard_state.term);
+        if replicated > self.commit_index && own_term {
+            self.commit_index = replicated;
+        }
+        self.apply_committed();
+    }
+
+    /// The last entry that a quorum has, this leader included.
+    fn index_at_quorum(&self) -> Index {
+        let mut indexes: Vec<Index> = self.peers.values().map(|peer| peer.match_index).collect();
+        indexes.push(self.log.last_index());
+        indexes.sort_unstable_by_key(|index| std::cmp::Reverse(*index));
+        indexes[self.quorum() - 1]
+    }
+
+    /// Applies the committed entries that are not applied yet.
+    fn apply_committed(&mut self) {
+        while self.last_applied < self.commit_index {
+            let next = self.log.entries_from(self.last_applied + 1).first();
+            let Some(entry) = next.cloned() else { return };
+            self.last_applied = entry.index;
+            if let Some(command) = entry.command {
+                self.state_machine.apply(command);
+            }
+            self.outputs.push(Output::Applied { index: entry.index, term: entry.term });
+        }
+    }
+}
--- /dev/null
+++ b/src/store/raft/tests.rs
@@ -0,0 +1,169 @@
+use super::messages::{RequestVote, RequestVoteReply};
+use super::*;
+
+/// A state machine that keeps every command.
+#[derive(Clone, Default, Debug, PartialEq)]
+struct CommandHistory(Vec<u64>);
+
+impl StateMachine for CommandHistory {
+    type Command = u64;
+    fn apply(&mut self, command: u64) {
+        self.0.push(command);
+    }
+}
+
+/// Three replicas with what they have persisted, the clock, and which of them are partitioned off.
+struct Group {
+    nodes: Vec<RaftNode<CommandHistory>>,
+    persisted: Vec<PersistedState<u64, CommandHistory>>,
+    partitioned: Vec<bool>,
+    now: Micros,
+}
+
+impl Group {
+    fn new() -> Group {
+        let persisted = vec![PersistedState::default(); 3];
+        let node = |id| RaftNode::new(id, &[0, 1, 2], PersistedState::default(), u64::from(id) + 1, 0);
+        Group { nodes: (0..3).map(node).collect(), persisted, partitioned: vec![false; 3], now: 0 }
+    }
+
+    /// Gives a replica an input, and delivers all messages that follow from it.
+    fn input(&mut self, to: usize, input: Input<u64, CommandHistory>) {
+        let mut pending = vec![(to, input)];
+        while let Some((to, input)) = pending.pop() {
+            for output in self.nodes[to].step(self.now, input) {
+                match output {
+                    Output::Persist { hard_state, entries } => self.persist(to, hard_state, entries),
+                    Output::Compact { snapshot, entries } => {
+                        self.persisted[to].snapshot = snapshot;
+                        self.persisted[to].entries = entries;
+                    }
+                    Output::Send { to: peer, message } => {
+                        if !self.partitioned[to] && !self.partitioned[peer as usize] {
+                            pending.insert(0, (peer as usize, Input::Message(message)));
+                        }
+                    }
+                    Output::Applied { .. } => {}
+                }
+            }
+        }
+    }
+
+    fn persist(&mut self, replica: usize, hard_state: HardState, entries: Vec<Entry<u64>>) {
+        let persisted = &mut self.persisted[replica];
+        persisted.hard_state = hard_state;
+        if let Some(first) = entries.first() {
+            persisted.entries.retain(|entry| entry.index < first.index);
+        }
+        persisted.entries.extend(entries);
+    }
+
+    fn advance_time(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.now += 5_000;
+            for replica in 0..3 {
+                self.input(replica, Input::Tick);
+            }
+        }
+    }
+
+    fn leader(&self) -> usize {
+        let reachable = (0..3).filter(|replica| !self.partitioned[*replica]);
+        let leaders: Vec<_> = reachable.filter(|replica| self.nodes[*replica].is_leader()).collect();
+        assert_eq!(leaders.len(), 1, "one leader");
+        leaders[0]
+    }
+
+    fn restart(&mut self, replica: usize) {
+        let persisted = self.persisted[replica].clone();
+        self.nodes[replica] = RaftNode::new(replica as u32, &[0, 1, 2], persisted, 77, self.now);
+    }
+
+    fn applied(&self) -> Vec<Vec<u64>> {
+        self.nodes.iter().map(|node| node.state_machine().0.clone()).collect()
+    }
+}
+
+#[test]
+fn a_new_leader_keeps_committed_entries_and_the_old_leader_catches_up() {
+    let mut group = Group::new();
+    group.advance_time(2_000_000);
+    let old_leader = group.leader();
+    group.input(old_leader, Input::Propose(1));
+    group.advance_time(200_000);
+    group.partitioned[old_leader] = true;
+    // Not committed: the old leader alone has it.
+    group.input(old_leader, Input::Propose(99));
+    group.advance_time(2_000_000);
+    let new_leader = group.leader();
+    group.input(new_leader, Input::Propose(2));
+    group.advance_time(200_000);
+    assert_eq!(group.nodes[old_leader].state_machine().0, [1], "a minority commits nothing");
+    group.partitioned[old_leader] = false;
+    group.restart(old_leader);
+    group.advance_time(2_000_000);
+    assert_eq!(group.applied(), vec![vec![1, 2]; 3]);
+}
+
+#[test]
+fn a_replica_behind_the_compacted_log_receives_the_snapshot() {
+    let mut group = Group::new();
+    group.advance_time(2_000_000);
+    let leader = group.leader();
+    let lagging = (leader + 1) % 3;
+    group.partitioned[lagging] = true;
+    for command in 0..(2 * COMPACT_AFTER_ENTRIES) {
+        group.input(leader, Input::Propose(command));
+    }
+    let kept = group.persisted[leader].entries.len() as u64;
+    assert!(kept <= COMPACT_AFTER_ENTRIES, "the log is compacted");
+    group.partitioned[lagging] = false;
+    group.advance_time(3_000_000);
+    assert_eq!(group.nodes[lagging].state_machine(), group.nodes[leader].state_machine());
+    group.restart(leader);
+    group.advance_time(3_000_000);
+    assert_eq!(group.applied(), vec![(0..2 * COMPACT_AFTER_ENTRIES).collect::<Vec<_>>(); 3]);
+}
+
+#[test]
+fn a_replica_votes_once_per_term_even_after_a_restart() {
+    let mut group = Group::new();
+    let request = |from| {
+        let body = MessageBody::RequestVote(RequestVote { last_log_index: 0, last_log_term: 0 });
+        Input::Message(Message { from, term: 5, body })
+    };
+    group.partitioned = vec![true; 3];
+    group.input(0, request(1));
+    assert_eq!(group.persisted[0].hard_state, HardState { term: 5, voted_for: Some(1) });
+    group.restart(0);
+    let outputs = group.nodes[0].step(0, request(2));
+    let refusal = MessageBody::RequestVoteReply(RequestVoteReply { vote_granted: false });
+    let refuses = |output: &Output<u64, CommandHistory>| match output {
+        Output::Send { to: 2, message } => message.body == refusal,
+        _ => false,
+    };
+    assert!(outputs.iter().any(refuses), "{outputs:?}");
+}
+
+#[test]
+fn replicas_with_the_same_seed_draw_different_election_timeouts() {
+    let mut replicas =
+        [0, 1].map(|id| RaftNode::<CommandHistory>::new(id, &[0, 1, 2], PersistedState::default(), 77, 0));
+    let timeouts =
+        replicas.each_mut().map(|node| (0..20).map(|_| node.election_jitter()).collect::<Vec<_>>());
+    let pairs = timeouts[0].iter().zip(&timeouts[1]);
+    let close = pairs.filter(|(first, second)| first.abs_diff(**second) < 10_000).count();
+    assert!(close < 5, "{close} of 20 elections collide");
+}
+
+#[test]
+fn a_single_replica_persists_before_other_outputs_and_commits_alone() {
+    let persisted = PersistedState::default();
+    let mut single: RaftNode<CommandHistory> = RaftNode::new(0, &[0], persisted, 1, 0);
+    let outputs = single.step(0, Input::Tick);
+    assert!(matches!(outputs[0], Output::Persist { .. }), "{outputs:?}");
+    assert!(single.is_leader());
+    single.step(0, Input::Propose(7));
+    assert_eq!(single.state_machine().0, [7], "a single replica is its own quorum");
+}
