--- /dev/null
+++ b/src/store/error.rs
@@ -0,0 +1,42 @@
+//! What can go wrong in the store.
+
+use super::raft::ReplicaId;
+use std::io;
+
+/// Why the store can't be started, read or changed.
+#[derive(Debug, thiserror::Error)]
+pub enum StoreError {
+    /// The configured id is not among the configured replicas.
+    #[error("the store's replica {0} is not among those listed")]
+    ReplicaNotListed(ReplicaId),
+    /// A record that is not the last one of the log file is damaged.
+    #[error("damaged at byte {offset}")]
+    DamagedRecord {
+        /// Where the record starts in the file.
+        offset: usize,
+    },
+    /// A record or a message is not the JSON that was expected.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A file or a connection failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// None of the replicas that answer is the leader.
+    #[error("no leader is reached")]
+    NoLeader,
+    /// The leader did not confirm that a change was committed.
+    #[error("not committed: no quorum answered, the value may or may not be kept")]
+    NotCommitted {
+        /// Why there was no answer; `None` where the leader answered that the change is not committed.
+        source: Option<Box<StoreError>>,
+    },
+}
+
+impl From<StoreError> for io::Error {
+    fn from(error: StoreError) -> Self {
+        match error {
+            StoreError::Io(error) => error,
+            error => io::Error::other(error),
+        }
+    }
+}
--- /dev/null
+++ b/src/store/log_file.rs
@@ -0,0 +1,122 @@
+//! A replica's log file. Each record is on the disk before it counts. A record that is cut off at the end of
+//! the file, since the machine stopped while it was written, is dropped; damage anywhere else is an error.
+
+use super::error::StoreError;
+use super::raft::{Entry, HardState, PersistedState, Snapshot};
+use super::record::{self, Record};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::fs::{File, OpenOptions};
+use std::io::Write;
+use std::path::{Path, PathBuf};
+
+/// The file in the data directory.
+const FILE_NAME: &str = "log";
+/// The extension of the file that replaces it on compaction.
+const REPLACEMENT_EXTENSION: &str = "new";
+
+/// An open log file.
+pub struct LogFile {
+    path: PathBuf,
+    file: File,
+    /// The term and vote that the file holds.
+    hard_state: HardState,
+}
+
+impl LogFile {
+    /// Opens or creates the file in a data directory, and returns what it holds.
+    pub fn open<C: DeserializeOwned, S: DeserializeOwned + Default>(
+        directory: &Path,
+    ) -> Result<(LogFile, PersistedState<C, S>), StoreError> {
+        std::fs::create_dir_all(directory)?;
+        let path = directory.join(FILE_NAME);
+        let file = OpenOptions::new().create(true).append(true).read(true).open(&path)?;
+        let bytes = std::fs::read(&path)?;
+        let records = record::decode(&bytes)?;
+        if records.end < bytes.len() {
+            let dropped_bytes = bytes.len() - records.end;
+            tracing::warn!(dropped_bytes, "dropped incomplete record at the end of the raft log");
+            file.set_len(records.end as u64)?;
+            file.sync_all()?;
+        }
+        let persisted = replay(&records.payloads)?;
+        let hard_state = persisted.hard_state;
+        Ok((LogFile { path, file, hard_state }, persisted))
+    }
+
+    /// Appends term and vote, if they have changed, and entries; they are on the disk when this returns.
+    pub fn persist<C: Serialize + Clone>(
+        &mut self,
+        hard_state: HardState,
+        entries: &[Entry<C>],
+    ) -> Result<(), StoreError> {
+        let mut bytes = Vec::new();
+        if hard_state != self.hard_state {
+            record::encode(&Record::<C, ()>::HardState(hard_state), &mut bytes)?;
+            self.hard_state = hard_state;
+        }
+        for entry in entries {
+            record::encode(&Record::<C, ()>::Entry(entry.clone()), &mut bytes)?;
+        }
+        self.file.write_all(&bytes)?;
+        self.file.sync_data()?;
+        Ok(())
+    }
+
+    /// Replaces all entries by a snapshot and the entries after it. On an error, the file stays as it was.
+    pub fn compact<C: Serialize, S: Serialize>(
+        &mut self,
+        snapshot: Snapshot<S>,
+        entries: Vec<Entry<C>>,
+    ) -> Result<(), StoreError> {
+        let mut bytes = Vec::new();
+        record::encode(&Record::<C, S>::HardState(self.hard_state), &mut bytes)?;
+        record::encode(&Record::<C, S>::Snapshot(snapshot), &mut bytes)?;
+        for entry in entries {
+            record::encode(&Record::<C, S>::Entry(entry), &mut bytes)?;
+        }
+        self.replace(&bytes)
+    }
+
+    /// Replaces the file in one step: after a crash, the old or the new one is there.
+    fn replace(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+        let replacement_path = self.path.with_extension(REPLACEMENT_EXTENSION);
+        let mut replacement = File::create(&replacement_path)?;
+        replacement.write_all(bytes)?;
+        replacement.sync_all()?;
+        std::fs::rename(&replacement_path, &self.path)?;
+        if let Some(directory) = self.path.parent() {
+            File::open(directory)?.sync_all()?;
+        }
+        self.file = OpenOptions::new().append(true).open(&self.path)?;
+        Ok(())
+    }
+}
+
+/// The state that the records lead to.
+fn replay<C: DeserializeOwned, S: DeserializeOwned + Default>(
+    payloads: &[&[u8]],
+) -> Result<PersistedState<C, S>, StoreError> {
+    let mut persisted = PersistedState {
+        hard_state: HardState::default(),
+        snapshot: Snapshot::default(),
+        entries: Vec::new(),
+    };
+    for payload in payloads {
+        match serde_json::from_slice(payload)? {
+            Record::HardState(hard_state) => persisted.hard_state = hard_state,
+            Record::Snapshot(snapshot) => {
+                persisted.snapshot = snapshot;
+                persisted.entries.clear();
+            }
+            Record::Entry(entry) => {
+                persisted.entries.retain(|earlier: &Entry<C>| earlier.index < entry.index);
+                persisted.entries.push(entry);
+            }
+        }
+    }
+    Ok(persisted)
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -2,14 +2,18 @@
 //! statements - in a small replicated log. A thread of its own runs it; no request and no decision waits
 //! for it.
 
-mod disk;
+mod error;
+mod log_file;
 mod raft;
+mod record;
+
+pub use error::StoreError;
 
 use crate::clock::Clock;
 use crate::endpoint_list::EndpointList;
 use crate::threads::spawn;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
-use disk::Disk;
+use log_file::LogFile;
 use raft::{Input, Message, Output, PersistedState, RaftNode, RaftStatus, ReplicaId, StateMachine};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -182,7 +186,7 @@
     ) -> Result<Store> {
         let clock = Clock::start();
         let (disk, saved) = match &replicas.data {
-            Some(folder) => Disk::open(folder).map(|(disk, saved)| (Some(disk), saved))?,
+            Some(folder) => LogFile::open(folder).map(|(disk, saved)| (Some(disk), saved))?,
             None => (
                 None,
                 PersistedState {
@@ -241,7 +245,7 @@
 struct Keeper {
     id: ReplicaId,
     raft: RaftNode<State>,
-    disk: Option<Disk>,
+    disk: Option<LogFile>,
     peers: HashMap<ReplicaId, Sender<Line>>,
     clock: Clock,
     /// This proxy's changes that wait for a leader.
