--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 mod cli;
 
 use cli::{Arguments, Command, StoreAction, StorePut};
-use liftrelay::store::{self, Replicas, Store};
+use liftrelay::store::{self, Replicas, Store, StoreError};
 use liftrelay::syslog::{self, Collector, SyslogError};
 use liftrelay::{Config, ConfigError, Listen, ListenError, client_listener, from_toml};
 use std::net::TcpListener;
@@ -27,6 +27,9 @@
     /// Logging could not be started.
     #[error(transparent)]
     Syslog(#[from] SyslogError),
+    /// The store could not be started, read or changed.
+    #[error(transparent)]
+    Store(#[from] StoreError),
     /// It failed while it ran.
     #[error(transparent)]
     Run(#[from] std::io::Error),
@@ -36,7 +39,9 @@
     fn exit_code(&self) -> ExitCode {
         match self {
             CommandError::Config(_) | CommandError::Listen(_) => ExitCode::from(EXIT_BAD_CONFIG),
-            CommandError::Syslog(_) | CommandError::Run(_) => ExitCode::from(EXIT_FAILURE),
+            CommandError::Syslog(_) | CommandError::Store(_) | CommandError::Run(_) => {
+                ExitCode::from(EXIT_FAILURE)
+            }
         }
     }
 }
@@ -128,7 +133,7 @@
 }
 
 fn print_store_status(replicas: &Replicas) -> std::io::Result<()> {
-    for (id, status) in store::status(replicas) {
+    for store::ReplicaStatus { id, status } in store::status(replicas) {
         match status {
             Ok(status) => println!("{}", serde_json::to_string(&status)?),
             Err(error) => eprintln!("liftrelay: replica {id}: {error}"),
--- /dev/null
+++ b/src/store/client.rs
@@ -0,0 +1,53 @@
+//! The command line's side: asks the replicas over their sockets.
+
+use super::config::{Replica, Replicas};
+use super::error::StoreError;
+use super::protocol::{Frame, Status};
+use super::raft::ReplicaId;
+use super::state::Change;
+use super::transport::{COMMIT_TIMEOUT, CONNECT_TIMEOUT, write_line};
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpStream};
+
+/// What a replica answered.
+#[derive(Debug)]
+pub struct ReplicaStatus {
+    /// The replica.
+    pub id: ReplicaId,
+    /// Its status, or why there is none.
+    pub status: Result<Status, StoreError>,
+}
+
+/// Asks each replica for its status.
+pub fn status(replicas: &Replicas) -> Vec<ReplicaStatus> {
+    let ask = |replica: &Replica| ReplicaStatus {
+        id: replica.id,
+        status: request(replica.address, &Frame::Status),
+    };
+    replicas.replicas.iter().map(ask).collect()
+}
+
+/// Sets a setting, and returns once a quorum has it.
+pub fn put(replicas: &Replicas, name: &str, value: serde_json::Value) -> Result<(), StoreError> {
+    let leader = replicas.replicas.iter().find(|replica| is_leader(replica)).ok_or(StoreError::NoLeader)?;
+    let change = Change::Set(name.to_string(), value);
+    match request(leader.address, &Frame::Put(change)) {
+        Ok(status) if status.put_committed => Ok(()),
+        Ok(_) => Err(StoreError::NotCommitted { source: None }),
+        Err(error) => Err(StoreError::NotCommitted { source: Some(Box::new(error)) }),
+    }
+}
+
+fn is_leader(replica: &Replica) -> bool {
+    let status = request(replica.address, &Frame::Status);
+    status.is_ok_and(|status| status.leader == Some(replica.id))
+}
+
+fn request(address: SocketAddr, frame: &Frame) -> Result<Status, StoreError> {
+    let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+    stream.set_read_timeout(Some(COMMIT_TIMEOUT + CONNECT_TIMEOUT))?;
+    write_line(&stream, frame)?;
+    let mut answer = String::new();
+    BufReader::new(&stream).read_line(&mut answer)?;
+    Ok(serde_json::from_str(&answer)?)
+}
--- /dev/null
+++ b/src/store/config.rs
@@ -0,0 +1,44 @@
+//! The file that names the replicas (`deploy/store.toml`).
+
+use super::error::StoreError;
+use super::raft::ReplicaId;
+use serde::Deserialize;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// The replicas of the store, as one of them is configured.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Replicas {
+    /// This replica.
+    pub id: ReplicaId,
+    /// The directory of its log; without one, the log is in memory only.
+    #[serde(rename = "data")]
+    pub data_directory: Option<PathBuf>,
+    /// All replicas, this one included; without any, this one is the only one and nobody connects to it.
+    #[serde(default, rename = "replica")]
+    pub replicas: Vec<Replica>,
+}
+
+/// One replica.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Replica {
+    /// Its number.
+    pub id: ReplicaId,
+    /// Where the other replicas and the command line connect to it.
+    pub address: SocketAddr,
+}
+
+impl Replicas {
+    /// Checks that this replica is among those listed.
+    pub fn check(&self) -> Result<(), StoreError> {
+        let listed = self.replicas.is_empty() || self.replicas.iter().any(|replica| replica.id == self.id);
+        if listed { Ok(()) } else { Err(StoreError::ReplicaNotListed(self.id)) }
+    }
+
+    /// A single replica that keeps nothing over a restart.
+    pub fn alone() -> Self {
+        Replicas { id: 1, data_directory: None, replicas: Vec::new() }
+    }
+}
--- a/src/store/log_file.rs
+++ b/src/store/log_file.rs
@@ -1,6 +1,7 @@
 //! A replica's log file. Each record is on the disk before it counts. A record that is cut off at the end of
 //! the file, since the machine stopped while it was written, is dropped; damage anywhere else is an error.
 
+use super::LOG_TARGET;
 use super::error::StoreError;
 use super::raft::{Entry, HardState, PersistedState, Snapshot};
 use super::record::{self, Record};
@@ -35,7 +36,7 @@
         let records = record::decode(&bytes)?;
         if records.end < bytes.len() {
             let dropped_bytes = bytes.len() - records.end;
-            tracing::warn!(dropped_bytes, "dropped incomplete record at the end of the raft log");
+            tracing::warn!(target: LOG_TARGET, dropped_bytes, "dropped incomplete record at end of raft log");
             file.set_len(records.end as u64)?;
             file.sync_all()?;
         }
--- /dev/null
+++ b/src/store/state.rs
@@ -0,0 +1,72 @@
+//! The replicated state and the changes to it.
+//!
+//! The serde names are stored on disk and sent between replicas; they must not change.
+
+use super::raft::StateMachine;
+use crate::endpoint_list::EndpointList;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, VecDeque};
+
+/// The most statements in the catalogue; the oldest make room.
+const MAX_STATEMENTS: usize = 512;
+/// The most settings; further names are not taken.
+const MAX_SETTINGS: usize = 256;
+
+/// A statement that a client prepared.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Statement {
+    /// Its text.
+    pub sql: String,
+    /// Its parameter types, as the client sent them.
+    pub types: Vec<u8>,
+}
+
+/// A change of the state.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub enum Change {
+    /// Sets a setting, by name.
+    Set(String, serde_json::Value),
+    /// Updates the endpoint list.
+    Members(EndpointList),
+    /// Adds a prepared statement.
+    Prepared(Statement),
+}
+
+/// The replicated state.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct State {
+    /// Settings by name; `proxy` holds the proxy's own configuration.
+    pub settings: BTreeMap<String, serde_json::Value>,
+    /// The endpoint list.
+    pub members: EndpointList,
+    /// The catalogue of prepared statements, the newest last.
+    pub statements: VecDeque<Statement>,
+}
+
+impl State {
+    fn set(&mut self, name: String, value: serde_json::Value) {
+        if self.settings.len() < MAX_SETTINGS || self.settings.contains_key(&name) {
+            self.settings.insert(name, value);
+        }
+    }
+
+    fn add_statement(&mut self, statement: Statement) {
+        self.statements.retain(|known| *known != statement);
+        self.statements.push_back(statement);
+        if self.statements.len() > MAX_STATEMENTS {
+            self.statements.pop_front();
+        }
+    }
+}
+
+impl StateMachine for State {
+    type Command = Change;
+
+    fn apply(&mut self, change: Change) {
+        match change {
+            Change::Set(name, value) => self.set(name, value),
+            Change::Members(update) => self.members.merge(update),
+            Change::Prepared(statement) => self.add_statement(statement),
+        }
+    }
+}
