--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 mod cli;
 
 use cli::{Arguments, Command, StoreAction, StorePut};
-use liftrelay::store::{self, Replicas, Store, StoreError};
+use liftrelay::store::{self, Store, StoreConfig, StoreError};
 use liftrelay::syslog::{self, Collector, SyslogError};
 use liftrelay::{Config, ConfigError, Listen, ListenError, client_listener, from_toml};
 use std::net::TcpListener;
@@ -79,7 +79,7 @@
 struct Deployment {
     config: Config,
     postgres: Option<Listen>,
-    replicas: Replicas,
+    replicas: StoreConfig,
     collector: Option<Collector>,
 }
 
@@ -97,7 +97,7 @@
         }
         let replicas = match store {
             Some(file) => from_toml(&file)?,
-            None => Replicas::alone(),
+            None => StoreConfig::single_in_memory(),
         };
         replicas.check().map_err(ConfigError::invalid)?;
         let collector: Option<Collector> = syslog.as_deref().map(from_toml).transpose()?;
@@ -115,7 +115,7 @@
     }
 }
 
-fn run_store(replicas: &Replicas, action: StoreAction) -> Result<(), CommandError> {
+fn run_store(replicas: &StoreConfig, action: StoreAction) -> Result<(), CommandError> {
     match action {
         StoreAction::Run(_) => {
             let _log = syslog::start(None)?;
@@ -132,7 +132,7 @@
     }
 }
 
-fn print_store_status(replicas: &Replicas) -> std::io::Result<()> {
+fn print_store_status(replicas: &StoreConfig) -> std::io::Result<()> {
     for store::ReplicaStatus { id, status } in store::status(replicas) {
         match status {
             Ok(status) => println!("{}", serde_json::to_string(&status)?),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -16,7 +16,7 @@
 use crate::front::platform::{Platform, Query};
 use crate::front::postgres::{Batch, Listen, Postgres};
 use crate::front::{Answer, ClientId, Desk, Lobby, Out, Said, Service, Work};
-use crate::store::{Change, Replicas, State, Store};
+use crate::store::{Change, State, Store, StoreConfig};
 use crate::{Micros, Settings, clock};
 use admin::{AdminRequest, AdminResponse};
 use clock::Clock;
@@ -96,7 +96,7 @@
     config: &Config,
     listener: TcpListener,
     extended: Option<Listen>,
-    replicas: &Replicas,
+    replicas: &StoreConfig,
 ) -> std::io::Result<()> {
     let bound = extended.as_ref().map(|e| TcpListener::bind(e.listen)).transpose()?;
     let clock = Clock::start();
@@ -164,7 +164,7 @@
         inherited: config.listen_fd.is_some(),
         drain_at: None,
     };
-    host.store.note(Change::Set("proxy".into(), config.raw_settings.clone()));
+    host.store.propose(Change::Set("proxy".into(), config.raw_settings.clone()));
     let known = Input::List { full: true, members: config.known_endpoints.members() };
     host.core(clock.now(), known);
     if let Some(at) = config.admin_listen {
@@ -349,7 +349,7 @@
                 let input = Input::List { full: list.complete, members: list.members() };
                 self.told = u64::MAX;
                 self.core(now, input);
-                self.store.note(Change::Members(list));
+                self.store.propose(Change::Members(list));
                 self.ready(now);
             }
             // What discovery says goes before what the store remembers, and so does a newer list.
@@ -519,7 +519,7 @@
                     }
                 }
                 Out::Take(arrival) => self.core(now, Input::Arrived(arrival)),
-                Out::Note(change) => self.store.note(change),
+                Out::Note(change) => self.store.propose(change),
                 Out::Left(request) => self.core(now, Input::Left(request)),
             }
         }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,6 +1,6 @@
 //! The command line's side: asks the replicas over their sockets.
 
-use super::config::{Replica, Replicas};
+use super::config::{Replica, StoreConfig};
 use super::error::StoreError;
 use super::protocol::{Frame, Status};
 use super::raft::ReplicaId;
@@ -19,17 +19,17 @@
 }
 
 /// Asks each replica for its status.
-pub fn status(replicas: &Replicas) -> Vec<ReplicaStatus> {
+pub fn status(config: &StoreConfig) -> Vec<ReplicaStatus> {
     let ask = |replica: &Replica| ReplicaStatus {
         id: replica.id,
         status: request(replica.address, &Frame::Status),
     };
-    replicas.replicas.iter().map(ask).collect()
+    config.replicas.iter().map(ask).collect()
 }
 
 /// Sets a setting, and returns once a quorum has it.
-pub fn put(replicas: &Replicas, name: &str, value: serde_json::Value) -> Result<(), StoreError> {
-    let leader = replicas.replicas.iter().find(|replica| is_leader(replica)).ok_or(StoreError::NoLeader)?;
+pub fn put(config: &StoreConfig, name: &str, value: serde_json::Value) -> Result<(), StoreError> {
+    let leader = config.replicas.iter().find(|replica| is_leader(replica)).ok_or(StoreError::NoLeader)?;
     let change = Change::Set(name.to_string(), value);
     match request(leader.address, &Frame::Put(change)) {
         Ok(status) if status.put_committed => Ok(()),
--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -9,7 +9,7 @@
 /// The replicas of the store, as one of them is configured.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Replicas {
+pub struct StoreConfig {
     /// This replica.
     pub id: ReplicaId,
     /// The directory of its log; without one, the log is in memory only.
@@ -30,7 +30,7 @@
     pub address: SocketAddr,
 }
 
-impl Replicas {
+impl StoreConfig {
     /// Checks that this replica is among those listed.
     pub fn check(&self) -> Result<(), StoreError> {
         let listed = self.replicas.is_empty() || self.replicas.iter().any(|replica| replica.id == self.id);
@@ -38,7 +38,7 @@
     }
 
     /// A single replica that keeps nothing over a restart.
-    pub fn alone() -> Self {
-        Replicas { id: 1, data_directory: None, replicas: Vec::new() }
+    pub fn single_in_memory() -> Self {
+        StoreConfig { id: 1, data_directory: None, replicas: Vec::new() }
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -20,7 +20,7 @@
 const LOG_TARGET: &str = "liftrelay::store";
 
 pub use client::{ReplicaStatus, put, status};
-pub use config::{Replica, Replicas};
+pub use config::{Replica, StoreConfig};
 pub use error::StoreError;
 pub use protocol::Status;
 pub use service::Store;
--- a/src/store/service.rs
+++ b/src/store/service.rs
@@ -1,7 +1,7 @@
 //! The service thread: it owns the raft node and the log file, and carries out what the node asks for.
 
 use super::LOG_TARGET;
-use super::config::Replicas;
+use super::config::StoreConfig;
 use super::error::StoreError;
 use super::log_file::LogFile;
 use super::protocol::{Frame, PeerMessage, ServiceRequest, Status};
@@ -30,22 +30,22 @@
     /// Starts a replica. `on_recovered` is called with the state once the log that it had persisted is
     /// committed, if there was any.
     pub fn start(
-        replicas: &Replicas,
+        config: &StoreConfig,
         seed: u64,
         on_recovered: impl FnOnce(State) + Send + 'static,
     ) -> Result<Store, StoreError> {
         let clock = Clock::start();
-        let (log_file, persisted) = open_log(replicas)?;
-        replicas.check()?;
-        let ids: Vec<_> = replicas.replicas.iter().map(|replica| replica.id).collect();
-        let raft = RaftNode::new(replicas.id, &ids, persisted, seed, clock.now());
+        let (log_file, persisted) = open_log(config)?;
+        config.check()?;
+        let ids: Vec<_> = config.replicas.iter().map(|replica| replica.id).collect();
+        let raft = RaftNode::new(config.id, &ids, persisted, seed, clock.now());
         let (requests, inbox) = bounded(QUEUE_CAPACITY);
         let mut service = Service {
-            id: replicas.id,
+            id: config.id,
             recovery: Recovery::of_log(raft.last_log_index(), on_recovered),
             raft,
             log_file,
-            peers: start_transport(replicas, &requests)?,
+            peers: start_transport(config, &requests)?,
             clock,
             proposals: VecDeque::new(),
             pending_puts: Vec::new(),
@@ -60,13 +60,13 @@
     }
 
     /// Proposes a change. Never waits; the change is committed once there is a leader.
-    pub fn note(&self, change: Change) {
+    pub fn propose(&self, change: Change) {
         let _ = self.requests.try_send(ServiceRequest::Propose(change));
     }
 }
 
-fn open_log(replicas: &Replicas) -> Result<(Option<LogFile>, PersistedState<Change, State>), StoreError> {
-    let Some(directory) = &replicas.data_directory else {
+fn open_log(config: &StoreConfig) -> Result<(Option<LogFile>, PersistedState<Change, State>), StoreError> {
+    let Some(directory) = &config.data_directory else {
         let empty = PersistedState {
             hard_state: HardState::default(),
             snapshot: Snapshot::default(),
@@ -80,13 +80,13 @@
 
 /// Listens at this replica's address, and returns the channels to the other replicas.
 fn start_transport(
-    replicas: &Replicas,
+    config: &StoreConfig,
     requests: &Sender<ServiceRequest>,
 ) -> Result<HashMap<ReplicaId, Sender<Frame>>, StoreError> {
     let mut peers = HashMap::new();
-    for replica in &replicas.replicas {
+    for replica in &config.replicas {
         let address = replica.address;
-        if replica.id == replicas.id {
+        if replica.id == config.id {
             transport::listen(TcpListener::bind(address)?, requests.clone())?;
         } else {
             let (sender, frames) = bounded(QUEUE_CAPACITY);
