--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -7,17 +7,17 @@
 mod tests;
 mod timers;
 
-pub use pool::LinkId;
+pub use pool::ConnectionId as LinkId;
 
 use crate::{
     Action, AttemptResult, EndpointEntry, EndpointId, EndpointState, Event, Idempotency, LoadReport, Micros,
     Outcome, RequestId, ResponseMetadata, Router, Settings,
 };
-use pool::Pool;
+use pool::{CheckIn, Checkout, Pool};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use timers::Timers;
+use timers::{TimerEvent, Timers};
 
 /// The number of a job, never used twice.
 pub type JobId = u64;
@@ -252,14 +252,6 @@
     ran: Option<Micros>,
 }
 
-enum Alarm {
-    Module(u32),
-    Job(JobId),
-    Begun(JobId),
-    Deadline(RequestId),
-    Sweep,
-}
-
 /// All state of the proxy's decisions, and the only place where it changes.
 pub struct Core<W, A> {
     settings: Settings,
@@ -268,7 +260,7 @@
     jobs: BTreeMap<JobId, Running>,
     last_job: JobId,
     pool: Pool,
-    timers: Timers<Alarm>,
+    timers: Timers,
     /// The proxy ends then.
     end: Micros,
     /// Until then, every idle link is checked before it is used.
@@ -281,7 +273,7 @@
     /// A core that knows no member yet; `links` is how many links it may hold.
     pub fn new(settings: Settings, seed: u64, now: Micros, links: usize) -> Self {
         let mut timers = Timers::default();
-        timers.set(now + SWEEP, Alarm::Sweep);
+        timers.set(now + SWEEP, TimerEvent::EvictIdle);
         let tally = Tally { ended: vec![[0; 3]; settings.classes.len()], ..Tally::default() };
         Core {
             tally,
@@ -300,7 +292,7 @@
 
     /// When [`Input::Due`] is wanted next.
     pub fn due(&self) -> Option<Micros> {
-        self.timers.next()
+        self.timers.next_due_at()
     }
 
     /// Requests that are owed an answer.
@@ -325,8 +317,8 @@
                 }
             }
             Input::List { full, members } => {
-                let close = &mut |link| self.effects.push(Effect::Close(link));
-                self.pool.listed(now, full, &members, close);
+                let to_close = self.pool.apply_endpoint_update(now, full, &members);
+                self.effects.extend(to_close.into_iter().map(Effect::Close));
                 let (mut out, mut stay) = (BTreeSet::new(), BTreeSet::new());
                 for (m, _) in &members {
                     let _ =
@@ -344,7 +336,7 @@
             Input::Idle(link) => self.free(now, link, true),
             Input::Stale => self.doubt = now + DOUBT,
             Input::Closed(link) => {
-                self.pool.closed(link);
+                self.pool.remove(link);
                 // Guards against a link that ends without a word: nobody knows how far its job came.
                 let orphans = self.jobs.iter().filter(|(_, r)| r.link == link);
                 for job in orphans.map(|(job, _)| *job).collect::<Vec<_>>() {
@@ -357,7 +349,7 @@
                     held.deadline = held.deadline.min(by);
                 }
                 let late = self.requests.iter().filter(|(_, held)| held.deadline == by);
-                late.for_each(|(id, _)| self.timers.set(by, Alarm::Deadline(*id)));
+                late.for_each(|(id, _)| self.timers.set(by, TimerEvent::RequestDeadline(*id)));
             }
             Input::Abandoned { job, sent, open } => self.abandoned(now, job, sent, open),
             Input::Due => self.due_now(now),
@@ -366,7 +358,7 @@
     }
 
     fn free(&mut self, now: Micros, link: LinkId, open: bool) {
-        if !self.pool.free(link, open, now) {
+        if open && self.pool.check_in(link, now) == CheckIn::Close {
             self.effects.push(Effect::Close(link));
         }
     }
@@ -380,17 +372,18 @@
     }
 
     fn due_now(&mut self, now: Micros) {
-        while let Some(alarm) = self.timers.pop(now) {
-            match alarm {
-                Alarm::Module(token) => self.tell(now, Event::Timer(token)),
-                Alarm::Job(job) => self.abandon(job, Outcome::TimedOut),
+        while let Some(event) = self.timers.pop_due(now) {
+            match event {
+                TimerEvent::Router(token) => self.tell(now, Event::Timer(token)),
+                TimerEvent::JobTimeout(job) => self.abandon(job, Outcome::TimedOut),
                 // It must have begun: what it rests on holds no more.
-                Alarm::Begun(job) => self.recall(|id, _| id == job),
-                Alarm::Deadline(request) => self.overdue(now, request),
-                Alarm::Sweep => {
-                    self.timers.set(now + SWEEP, Alarm::Sweep);
+                TimerEvent::StartLimit(job) => self.recall(|id, _| id == job),
+                TimerEvent::RequestDeadline(request) => self.overdue(now, request),
+                TimerEvent::EvictIdle => {
+                    self.timers.set(now + SWEEP, TimerEvent::EvictIdle);
                     let old = now.saturating_sub(self.settings.idle_timeout * IDLE_KEPT / 100);
-                    self.pool.retire(old, &mut |link| self.effects.push(Effect::Close(link)));
+                    let to_close = self.pool.evict_idle_since(old);
+                    self.effects.extend(to_close.into_iter().map(Effect::Close));
                 }
             }
         }
@@ -420,7 +413,7 @@
         let class = request.class;
         let held = Held { class, work, deadline, attempts: 0, safe, once, window, ran: None };
         self.requests.insert(id, held);
-        self.timers.set(deadline + GUARD, Alarm::Deadline(id));
+        self.timers.set(deadline + GUARD, TimerEvent::RequestDeadline(id));
         self.tell(now, Event::Request(request));
     }
 
@@ -486,7 +479,7 @@
                             });
                         }
                     }
-                    Action::Timer { token, after } => self.timers.set(now + after, Alarm::Module(token)),
+                    Action::Timer { token, after } => self.timers.set(now + after, TimerEvent::Router(token)),
                     Action::Subscribe => {}
                     Action::Log(text) => self.effects.push(Effect::Log(text)),
                 }
@@ -523,7 +516,7 @@
                 Job::Attempt { work, allowed, within, check }
             }) {
                 if within < allowed {
-                    self.timers.set(now.saturating_add(within), Alarm::Begun(self.last_job));
+                    self.timers.set(now.saturating_add(within), TimerEvent::StartLimit(self.last_job));
                 }
                 return None;
             }
@@ -549,19 +542,20 @@
         wait: Micros,
         what: impl FnOnce(Option<Micros>) -> Job<W>,
     ) -> bool {
-        let taken = self.pool.take(server);
-        let (what, reused) = (what(taken.idle), taken.idle.is_some());
-        if let Some(link) = taken.evicted {
-            self.effects.push(Effect::Close(link));
-        }
-        let Some((link, fresh)) = taken.link else { return false };
-        if let Some(address) = fresh {
-            self.effects.push(Effect::Open { link, address });
-        }
+        let (link, idle_since) = match self.pool.check_out(server) {
+            Checkout::Unavailable => return false,
+            Checkout::Reused { connection, idle_since } => (connection, Some(idle_since)),
+            Checkout::New { connection, address, evicted } => {
+                self.effects.extend(evicted.map(Effect::Close));
+                self.effects.push(Effect::Open { link: connection, address });
+                (connection, None)
+            }
+        };
+        let (what, reused) = (what(idle_since), idle_since.is_some());
         self.last_job += 1;
         let job = self.last_job;
         self.jobs.insert(job, Running { link, reused, server, sent: now, purpose, dropping: None });
-        self.timers.set(now + wait, Alarm::Job(job));
+        self.timers.set(now + wait, TimerEvent::JobTimeout(job));
         self.effects.push(Effect::Carry { link, job, what });
         true
     }
@@ -579,7 +573,7 @@
         let Some(running) = self.jobs.get(&job) else { return };
         let why = running.dropping.unwrap_or(Outcome::Cancelled);
         if !open {
-            self.pool.cut(running.link);
+            self.pool.mark_broken(running.link);
         }
         // What was not handed to the kernel in its time was never sent; a member that let a connection hang
         // before that is one that could not be reached.
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,159 +1,221 @@
-//! The books of the pool: which links there are to which member, and which of them are idle.
+//! The accounting of the connection pool: which connections lead to which member, and which of them are idle.
+//! The sockets themselves belong to the event loop.
 
 use crate::{EndpointEntry, EndpointId, EndpointState, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The number of a link, never used twice.
-pub type LinkId = u64;
+/// The number of a connection to a member, never used twice.
+pub type ConnectionId = u64;
 
-struct Link {
+/// A member that has been gone for this long is forgotten.
+const FORGET_GONE_AFTER: Micros = 30_000_000;
+
+struct Connection {
     server: EndpointId,
     address: SocketAddr,
-    /// Idle, since then.
-    idle: Option<Micros>,
-    /// It was cut: whatever its last job has still to say, it goes on no more.
-    cut: bool,
+    idle_since: Option<Micros>,
+    /// It was closed in the middle of a job: it is not reused, whatever the job still reports.
+    broken: bool,
 }
 
+/// The connections to one member.
 #[derive(Default)]
-struct Place {
+struct MemberPool {
     address: Option<SocketAddr>,
-    /// Idle links, the one used last at the end: it is the next.
-    idle: Vec<LinkId>,
-    /// It is listed as gone, since then.
-    gone: Option<Micros>,
+    /// Idle connections in the order of their last use: the most recently used is at the end and goes first.
+    idle: Vec<ConnectionId>,
+    /// Since when the member has been absent from the endpoint list.
+    gone_since: Option<Micros>,
 }
 
-/// A member that is gone for so long is forgotten.
-const FORGET: Micros = 30_000_000;
-
-/// The books.
+/// The connections to all members, idle or in use.
 pub struct Pool {
-    most: usize,
-    last: LinkId,
-    links: BTreeMap<LinkId, Link>,
-    places: BTreeMap<EndpointId, Place>,
+    capacity: usize,
+    last_id: ConnectionId,
+    connections: BTreeMap<ConnectionId, Connection>,
+    members: BTreeMap<EndpointId, MemberPool>,
+}
+
+/// The connection that a job gets.
+pub enum Checkout {
+    /// The most recently used idle connection.
+    Reused {
+        /// Its number.
+        connection: ConnectionId,
+        /// Since when it has been idle.
+        idle_since: Micros,
+    },
+    /// A new connection, to be opened.
+    New {
+        /// Its number.
+        connection: ConnectionId,
+        /// Where it leads.
+        address: SocketAddr,
+        /// An idle connection to another member, to be closed first to make room.
+        evicted: Option<ConnectionId>,
+    },
+    /// The member's address is unknown, or all connections are in use and the pool is full.
+    Unavailable,
 }
 
-/// A link to use, and one to close for it.
-pub struct Taken {
-    /// The link, with an address where it must be opened first.
-    pub link: Option<(LinkId, Option<SocketAddr>)>,
-    /// Since when it was idle.
-    pub idle: Option<Micros>,
-    /// The idle link that makes room.
-    pub evicted: Option<LinkId>,
+/// What becomes of a connection whose job is over.
+#[must_use]
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum CheckIn {
+    /// It is idle now, is idle already, or is closed already.
+    Done,
+    /// It cannot be used again and must be closed.
+    Close,
 }
 
 impl Pool {
-    /// A pool of at most so many links.
-    pub fn new(most: usize) -> Self {
-        Pool { most, last: 0, links: BTreeMap::new(), places: BTreeMap::new() }
+    /// An empty pool of at most `capacity` connections.
+    pub fn new(capacity: usize) -> Self {
+        Pool { capacity, last_id: 0, connections: BTreeMap::new(), members: BTreeMap::new() }
     }
 
-    /// Takes over addresses; idle links to members that went, drain or moved are closed.
-    pub fn listed(
+    /// Applies an update of the endpoint list. Returns the idle connections to close: those to members that
+    /// are gone, are draining or have moved to another address.
+    pub fn apply_endpoint_update(
         &mut self,
         now: Micros,
         full: bool,
-        members: &[(EndpointEntry, SocketAddr)],
-        close: &mut dyn FnMut(LinkId),
-    ) {
-        for (member, address) in members {
-            self.places.entry(member.server).or_default().address = Some(*address);
-        }
-        for (server, place) in &mut self.places {
-            let entry = members.iter().find(|(m, _)| m.server == *server);
-            let out = entry.map_or(full, |(m, _)| m.listed != EndpointState::Ready);
-            let links = &self.links;
-            place.idle.retain(|link| {
-                let keep = !out && links.get(link).is_some_and(|l| Some(l.address) == place.address);
-                if !keep {
-                    close(*link);
-                }
-                keep
-            });
+        endpoints: &[(EndpointEntry, SocketAddr)],
+    ) -> Vec<ConnectionId> {
+        for (entry, address) in endpoints {
+            self.members.entry(entry.server).or_default().address = Some(*address);
         }
-        // Members that are gone leave nothing behind in the end: new ones come under new ids for ever. For a
-        // while they do, as a list may be wrong.
-        for (server, place) in &mut self.places {
-            match members.iter().find(|(m, _)| m.server == *server) {
-                Some((member, _)) if member.listed != EndpointState::Gone => place.gone = None,
-                None if !full => {}
-                _ => place.gone = place.gone.or(Some(now)),
-            }
+        let mut to_close = Vec::new();
+        for (server, member) in &mut self.members {
+            let listed = endpoints.iter().find(|(entry, _)| entry.server == *server);
+            let state = listed.map(|(entry, _)| entry.listed);
+            let out_of_service = state.map_or(full, |state| state != EndpointState::Ready);
+            to_close.extend(member.remove_unusable(out_of_service, &self.connections));
+            member.track_absence(now, full, state);
         }
-        self.places.retain(|_, place| place.gone.is_none_or(|since| now < since + FORGET));
+        self.members.retain(|_, member| !member.is_forgotten(now));
+        to_close
     }
 
-    /// The warmest idle link, or a new one where there is room.
-    pub fn take(&mut self, server: EndpointId) -> Taken {
-        let none = Taken { link: None, idle: None, evicted: None };
-        let Some(place) = self.places.get_mut(&server) else { return none };
-        if let Some(link) = place.idle.pop() {
-            let idle = self.links.get_mut(&link).and_then(|l| l.idle.take());
-            return Taken { link: Some((link, None)), idle, evicted: None };
+    /// Takes the most recently used idle connection to a member, or a new one if there is room.
+    pub fn check_out(&mut self, server: EndpointId) -> Checkout {
+        let Some(member) = self.members.get_mut(&server) else {
+            return Checkout::Unavailable;
+        };
+        if let Some(connection) = member.idle.pop()
+            && let Some(idle_since) = self.connections.get_mut(&connection).and_then(|c| c.idle_since.take())
+        {
+            return Checkout::Reused { connection, idle_since };
         }
-        let Some(address) = place.address else { return none };
+        let Some(address) = member.address else {
+            return Checkout::Unavailable;
+        };
         let mut evicted = None;
-        if self.links.len() >= self.most {
-            let oldest = self.links.iter().filter_map(|(id, l)| Some((l.idle?, *id, l.server))).min();
-            let Some((_, id, of)) = oldest else { return none };
-            if let Some(place) = self.places.get_mut(&of) {
-                place.idle.retain(|l| *l != id);
+        if self.connections.len() >= self.capacity {
+            evicted = self.evict_longest_idle();
+            if evicted.is_none() {
+                return Checkout::Unavailable;
             }
-            self.links.remove(&id);
-            evicted = Some(id);
         }
-        self.last += 1;
-        self.links.insert(self.last, Link { server, address, idle: None, cut: false });
-        Taken { link: Some((self.last, Some(address))), idle: None, evicted }
+        self.last_id += 1;
+        let connection = Connection { server, address, idle_since: None, broken: false };
+        self.connections.insert(self.last_id, connection);
+        Checkout::New { connection: self.last_id, address, evicted }
+    }
+
+    fn evict_longest_idle(&mut self) -> Option<ConnectionId> {
+        let idle = self.connections.iter().filter_map(|(id, c)| Some((c.idle_since?, *id, c.server)));
+        let (_, oldest, server) = idle.min()?;
+        if let Some(member) = self.members.get_mut(&server) {
+            member.remove_idle(oldest);
+        }
+        self.connections.remove(&oldest);
+        Some(oldest)
     }
 
-    /// A link has nothing to do; it goes back only if it is `open` and still leads to its member. `false` if
-    /// it is to be closed. Guards against a member that has moved, or a job that ended as its link was cut.
-    pub fn free(&mut self, link: LinkId, open: bool, now: Micros) -> bool {
-        let Some(l) = self.links.get_mut(&link) else { return true };
-        if !open || l.idle.is_some() {
-            return true;
+    /// Returns a connection that has nothing to do. Guards against reuse of a connection whose member has
+    /// moved, or whose job ended just as it was closed.
+    pub fn check_in(&mut self, connection_id: ConnectionId, now: Micros) -> CheckIn {
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
+            return CheckIn::Done;
+        };
+        if connection.idle_since.is_some() {
+            return CheckIn::Done;
+        }
+        if connection.broken {
+            return CheckIn::Close;
         }
-        let place = self.places.get_mut(&l.server).filter(|p| p.address == Some(l.address) && !l.cut);
-        if let Some(place) = place {
-            l.idle = Some(now);
-            place.idle.push(link);
-            return true;
+        match self.members.get_mut(&connection.server) {
+            Some(member) if member.address == Some(connection.address) => {
+                connection.idle_since = Some(now);
+                member.idle.push(connection_id);
+                CheckIn::Done
+            }
+            _ => CheckIn::Close,
         }
-        false
     }
 
-    /// A link was cut amid a job.
-    pub fn cut(&mut self, link: LinkId) {
-        if let Some(l) = self.links.get_mut(&link) {
-            l.cut = true;
+    /// A connection was closed in the middle of a job: it must not be reused.
+    pub fn mark_broken(&mut self, connection: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&connection) {
+            connection.broken = true;
         }
     }
 
-    /// Closes the links that have been idle since before `old`.
-    pub fn retire(&mut self, old: Micros, close: &mut dyn FnMut(LinkId)) {
-        for place in self.places.values_mut() {
-            let links = &self.links;
-            place.idle.retain(|link| {
-                let keep = links.get(link).and_then(|l| l.idle).is_some_and(|since| since > old);
-                if !keep {
-                    close(*link);
-                }
-                keep
-            });
+    /// Returns the connections to close because they have been idle since `limit` or longer.
+    pub fn evict_idle_since(&mut self, limit: Micros) -> Vec<ConnectionId> {
+        let connections = &self.connections;
+        let is_recent = |id: &ConnectionId| {
+            let idle_since = connections.get(id).and_then(|connection| connection.idle_since);
+            idle_since.is_some_and(|since| since > limit)
+        };
+        let mut to_close = Vec::new();
+        for member in self.members.values_mut() {
+            to_close.extend(member.idle.extract_if(.., |id| !is_recent(id)));
         }
+        to_close
     }
 
-    /// A link is no more.
-    pub fn closed(&mut self, link: LinkId) {
-        if let Some(l) = self.links.remove(&link)
-            && let Some(place) = self.places.get_mut(&l.server)
+    /// A connection has been closed.
+    pub fn remove(&mut self, connection: ConnectionId) {
+        if let Some(removed) = self.connections.remove(&connection)
+            && let Some(member) = self.members.get_mut(&removed.server)
         {
-            place.idle.retain(|i| *i != link);
+            member.remove_idle(connection);
         }
     }
 }
+
+impl MemberPool {
+    fn remove_idle(&mut self, connection: ConnectionId) {
+        self.idle.retain(|idle| *idle != connection);
+    }
+
+    /// Removes and returns the idle connections that no longer lead to a member in service.
+    fn remove_unusable(
+        &mut self,
+        out_of_service: bool,
+        connections: &BTreeMap<ConnectionId, Connection>,
+    ) -> Vec<ConnectionId> {
+        let address = self.address;
+        let is_current = |id: &ConnectionId| connections.get(id).is_some_and(|c| Some(c.address) == address);
+        self.idle.extract_if(.., |id| out_of_service || !is_current(id)).collect()
+    }
+
+    /// Notes since when the member has been gone; `state` is its entry in the update, if it has one.
+    fn track_absence(&mut self, now: Micros, full: bool, state: Option<EndpointState>) {
+        match state {
+            Some(EndpointState::Gone) => self.gone_since = self.gone_since.or(Some(now)),
+            Some(EndpointState::Ready | EndpointState::Draining) => self.gone_since = None,
+            None if full => self.gone_since = self.gone_since.or(Some(now)),
+            None => {}
+        }
+    }
+
+    /// Members that are gone must not pile up, as new ones get new ids for ever. They are kept for a while
+    /// because a list may be wrong.
+    fn is_forgotten(&self, now: Micros) -> bool {
+        self.gone_since.is_some_and(|since| now >= since + FORGET_GONE_AFTER)
+    }
+}
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,35 +1,56 @@
-//! Timers that come due in order; of equal times the one set first.
+//! Timers in order of their due time; timers that are due at the same time fire in the order they were set.
 
-use crate::Micros;
+use super::JobId;
+use crate::{Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// What comes due when.
-pub struct Timers<T> {
-    all: BTreeMap<(Micros, u64), T>,
-    count: u64,
+/// What happens when a timer fires.
+#[derive(Clone, Copy)]
+pub enum TimerEvent {
+    /// The router asked to be called back with this token.
+    Router(u32),
+    /// The job has run out of time.
+    JobTimeout(JobId),
+    /// The attempt may no longer be started.
+    StartLimit(JobId),
+    /// The request must have had its final answer.
+    RequestDeadline(RequestId),
+    /// Connections that have been idle for too long are closed.
+    EvictIdle,
 }
 
-impl<T> Default for Timers<T> {
-    fn default() -> Self {
-        Timers { all: BTreeMap::new(), count: 0 }
-    }
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    due_at: Micros,
+    sequence: u64,
+}
+
+/// The timers that are set.
+#[derive(Default)]
+pub struct Timers {
+    pending: BTreeMap<TimerKey, TimerEvent>,
+    last_sequence: u64,
 }
 
-impl<T> Timers<T> {
-    /// Sets one.
-    pub fn set(&mut self, at: Micros, what: T) {
-        self.count += 1;
-        self.all.insert((at, self.count), what);
+impl Timers {
+    /// Sets a timer.
+    pub fn set(&mut self, due_at: Micros, event: TimerEvent) {
+        self.last_sequence += 1;
+        let key = TimerKey { due_at, sequence: self.last_sequence };
+        self.pending.insert(key, event);
     }
 
-    /// When the next one is due.
-    pub fn next(&self) -> Option<Micros> {
-        self.all.keys().next().map(|k| k.0)
+    /// When the next timer is due.
+    pub fn next_due_at(&self) -> Option<Micros> {
+        self.pending.keys().next().map(|key| key.due_at)
     }
 
-    /// Takes one that is due.
-    pub fn pop(&mut self, now: Micros) -> Option<T> {
-        let first = self.all.first_entry().filter(|e| e.key().0 <= now)?;
+    /// Removes the first timer if it is due.
+    pub fn pop_due(&mut self, now: Micros) -> Option<TimerEvent> {
+        let first = self.pending.first_entry()?;
+        if first.key().due_at > now {
+            return None;
+        }
         Some(first.remove())
     }
 }
