--- /dev/null
+++ b/src/core/counters.rs
@@ -0,0 +1,58 @@
+//! The figures that operators see.
+
+use super::FinalAnswer;
+
+/// The final answers given to requests of one class.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AnswerCounts {
+    /// Requests that were served.
+    pub served: u64,
+    /// Requests that were rejected.
+    pub rejected: u64,
+    /// Requests that failed.
+    pub failed: u64,
+}
+
+impl AnswerCounts {
+    /// Counts one final answer.
+    pub(super) fn count<A>(&mut self, answer: &FinalAnswer<A>) {
+        match answer {
+            FinalAnswer::Served(_) => self.served += 1,
+            FinalAnswer::Rejected { .. } => self.rejected += 1,
+            FinalAnswer::Failed { .. } => self.failed += 1,
+        }
+    }
+}
+
+/// The members in the endpoint list.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MemberCounts {
+    /// Members that are listed and not gone.
+    pub listed: usize,
+    /// Those of them that get no requests at present.
+    pub unavailable: usize,
+}
+
+/// What the reducer has counted since the start, and the present state.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Counters {
+    /// The final answers, for each class by index.
+    pub answers: Vec<AnswerCounts>,
+    /// Requests of a known class that were received.
+    pub received: u64,
+    /// Requests whose client disconnected before the answer.
+    pub abandoned: u64,
+    /// Attempts that were written to members, up to their last byte.
+    pub attempts_written: u64,
+    /// Requests that still wait for their final answer.
+    pub pending: usize,
+    /// The members.
+    pub members: MemberCounts,
+}
+
+impl Counters {
+    /// Counters for this many classes, all zero.
+    pub(super) fn new(classes: usize) -> Self {
+        Counters { answers: vec![AnswerCounts::default(); classes], ..Counters::default() }
+    }
+}
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -2,26 +2,27 @@
 //! timers and deadlines, and the books of the pool of links. It speaks of requests, attempts and outcomes
 //! and knows no wire: what a request asks (`W`) and what an answer holds (`A`) pass through it unopened.
 
+mod counters;
+mod messages;
 mod pool;
 #[cfg(test)]
 mod tests;
 mod timers;
 
-pub use pool::ConnectionId as LinkId;
+pub use counters::Counters;
+pub use messages::{Effect, FinalAnswer, Input, JobId, JobResult, JobSpec, ListedMember, NewRequest};
+pub use pool::ConnectionId;
 
 use crate::{
-    Action, AttemptResult, EndpointEntry, EndpointId, EndpointState, Event, Idempotency, LoadReport, Micros,
-    Outcome, RequestId, ResponseMetadata, Router, Settings,
+    Action, AttemptResult, EndpointId, EndpointState, Event, Idempotency, LoadReport, Micros, Outcome,
+    RequestId, ResponseMetadata, Router, Settings,
 };
+use counters::MemberCounts;
 use pool::{CheckIn, Checkout, Pool};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::net::SocketAddr;
 use std::sync::Arc;
 use timers::{TimerEvent, Timers};
 
-/// The number of a job, never used twice.
-pub type JobId = u64;
-
 /// Answers leave this long before the client's deadline, so that they arrive before it.
 const MARGIN: Micros = 5_000;
 /// The guard behind the module's own deadlines comes this much later.
@@ -43,168 +44,13 @@
 /// member's work and the request's time. What is left must hold a sweep and a slow proxy.
 const IDLE_KEPT: Micros = 80;
 
-/// A request that a front has taken.
-pub struct Arrival<W> {
-    /// As the module wants it; `remaining` counts from now.
-    pub request: crate::Request,
-    /// What it asks.
-    pub work: Arc<W>,
-}
-
-/// What a link is to do next.
-pub enum Job<W> {
-    /// Carry an attempt.
-    Attempt {
-        /// What is asked.
-        work: Arc<W>,
-        /// For how long this proxy will wait.
-        allowed: Micros,
-        /// It is not begun later than this from now.
-        within: Micros,
-        /// Make sure first that the connection still leads to the member.
-        check: bool,
-    },
-    /// Ask for the member's report.
-    Probe,
-}
-
-/// How a job ended.
-pub struct Ending<A> {
-    /// Exactly as the protocol's table classifies it.
-    pub outcome: Outcome,
-    /// What the answer says of the member.
-    pub metadata: ResponseMetadata,
-    /// The report that came with it.
-    pub report: LoadReport,
-    /// What goes to the client, if served.
-    pub answer: Option<A>,
-}
-
-impl<A> Ending<A> {
-    /// An ending that tells nothing but its outcome.
-    pub fn plain(outcome: Outcome) -> Self {
-        Ending { outcome, metadata: ResponseMetadata::default(), report: LoadReport::default(), answer: None }
-    }
-}
-
-/// What happened.
-pub enum Input<W, A> {
-    /// A request was taken at its last byte.
-    Arrived(Arrival<W>),
-    /// Its client has gone.
-    Left(RequestId),
-    /// News of the member list.
-    List {
-        /// The entries are the whole list.
-        full: bool,
-        /// The entries, with where each is reached.
-        members: Vec<(EndpointEntry, SocketAddr)>,
-    },
-    /// A link has ended its job.
-    Ended {
-        /// Which link.
-        link: LinkId,
-        /// Which job.
-        job: JobId,
-        /// How.
-        ending: Ending<A>,
-        /// The link may take another.
-        open: bool,
-    },
-    /// The last byte of an attempt has been written to its member.
-    Written,
-    /// A link whose job was withdrawn is up and idle.
-    Idle(LinkId),
-    /// A check found that a link's connection led nowhere any more; it has been opened anew.
-    Stale,
-    /// A link is no more.
-    Closed(LinkId),
-    /// What became of an [`Effect::Abandon`].
-    Abandoned {
-        /// Which job.
-        job: JobId,
-        /// Its last byte may have been handed to the kernel.
-        sent: bool,
-        /// The link goes on.
-        open: bool,
-    },
-    /// The proxy ends by then: all that it owes is answered before.
-    Ending {
-        /// When.
-        by: Micros,
-    },
-    /// Time has passed.
-    Due,
-}
-
-/// The final answer of a request.
-pub enum Verdict<A> {
-    /// Served with this.
-    Served(A),
-    /// Refused: trying again is harmless.
-    Refused {
-        /// Advice when to come back, 0 for none.
-        retry_after: Micros,
-    },
-    /// Failed.
-    Failed {
-        /// Something may have run.
-        ran: bool,
-    },
-}
-
-/// What is to be done.
-pub enum Effect<W, A> {
-    /// Open a link.
-    Open {
-        /// Its number.
-        link: LinkId,
-        /// Where to.
-        address: SocketAddr,
-    },
-    /// Hand a link its next job; a link that is not up yet does it then.
-    Carry {
-        /// Which link.
-        link: LinkId,
-        /// The job's number.
-        job: JobId,
-        /// The job.
-        what: Job<W>,
-    },
-    /// Withdraw a job, or cut its link if it may have been sent; answered by [`Input::Abandoned`] at once.
-    Abandon {
-        /// Which link.
-        link: LinkId,
-        /// Which job.
-        job: JobId,
-    },
-    /// Withdraw a job if it has not begun; answered by [`Input::Abandoned`] at once if so.
-    Recall {
-        /// Which link.
-        link: LinkId,
-        /// Which job.
-        job: JobId,
-    },
-    /// Close an idle link.
-    Close(LinkId),
-    /// Give the one final answer.
-    Answer {
-        /// Whose.
-        request: RequestId,
-        /// The answer.
-        verdict: Verdict<A>,
-    },
-    /// A line for people.
-    Log(String),
-}
-
 enum Purpose {
     Attempt { request: RequestId, attempt: u32 },
     Probe,
 }
 
 struct Running {
-    link: LinkId,
+    link: ConnectionId,
     /// The link was idle before.
     reused: bool,
     server: EndpointId,
@@ -221,23 +67,6 @@
     }
 }
 
-/// What the reducer has counted since the start, and how things stand.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
-    /// For each class, by index, the requests served, refused and failed.
-    pub ended: Vec<[u64; 3]>,
-    /// Requests that were taken.
-    pub taken: u64,
-    /// Requests whose client left before the answer.
-    pub abandoned: u64,
-    /// Attempts written whole to members.
-    pub attempts: u64,
-    /// Requests that are owed an answer.
-    pub pending: usize,
-    /// Members in the list, and those of them that are avoided now.
-    pub members: (usize, usize),
-}
-
 struct Held<W> {
     class: usize,
     work: Arc<W>,
@@ -265,7 +94,7 @@
     end: Micros,
     /// Until then, every idle link is checked before it is used.
     doubt: Micros,
-    tally: Tally,
+    counters: Counters,
     effects: Vec<Effect<W, A>>,
 }
 
@@ -274,9 +103,9 @@
     pub fn new(settings: Settings, seed: u64, now: Micros, links: usize) -> Self {
         let mut timers = Timers::default();
         timers.set(now + SWEEP, TimerEvent::EvictIdle);
-        let tally = Tally { ended: vec![[0; 3]; settings.classes.len()], ..Tally::default() };
+        let counters = Counters::new(settings.classes.len());
         Core {
-            tally,
+            counters,
             router: Router::new(settings.clone(), seed, now),
             settings,
             requests: BTreeMap::new(),
@@ -290,60 +119,65 @@
         }
     }
 
-    /// When [`Input::Due`] is wanted next.
-    pub fn due(&self) -> Option<Micros> {
+    /// When [`Input::TimerDue`] is wanted next.
+    pub fn next_timer_at(&self) -> Option<Micros> {
         self.timers.next_due_at()
     }
 
     /// Requests that are owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// The counts, which always add up: taken is what is pending, ended or abandoned.
-    pub fn tally(&self) -> Tally {
-        Tally { pending: self.requests.len(), members: self.router.members(), ..self.tally.clone() }
+    /// The counters. They always add up: every request received is pending, answered or abandoned.
+    pub fn counters(&self) -> Counters {
+        let (listed, unavailable) = self.router.members();
+        Counters {
+            pending: self.requests.len(),
+            members: MemberCounts { listed, unavailable },
+            ..self.counters.clone()
+        }
     }
 
     /// Takes one input and returns what is to be done about it, in order.
     pub fn step(&mut self, now: Micros, input: Input<W, A>) -> Vec<Effect<W, A>> {
         match input {
-            Input::Arrived(arrival) => self.arrived(now, arrival),
-            Input::Left(request) => {
+            Input::RequestReceived(arrival) => self.arrived(now, arrival),
+            Input::ClientDisconnected(request) => {
                 if self.requests.remove(&request).is_some() {
-                    self.tally.abandoned += 1;
+                    self.counters.abandoned += 1;
                     self.tell(now, Event::ClientLeft(request));
                     self.recall(|_, r| r.serves(request));
                 }
             }
-            Input::List { full, members } => {
+            Input::EndpointUpdate { full, members } => {
                 let to_close = self.pool.apply_endpoint_update(now, full, &members);
-                self.effects.extend(to_close.into_iter().map(Effect::Close));
+                self.effects.extend(to_close.into_iter().map(Effect::CloseConnection));
                 let (mut out, mut stay) = (BTreeSet::new(), BTreeSet::new());
-                for (m, _) in &members {
+                for ListedMember { entry: m, .. } in &members {
                     let _ =
                         if m.listed == EndpointState::Ready { &mut stay } else { &mut out }.insert(m.server);
                 }
-                let members = members.into_iter().map(|(m, _)| m).collect();
+                let members = members.into_iter().map(|member| member.entry).collect();
                 self.tell(now, Event::EndpointUpdate { full, members });
                 self.recall(|_, r| out.contains(&r.server) || (full && !stay.contains(&r.server)));
             }
-            Input::Ended { link, job, ending, open } => {
+            Input::JobFinished { connection: link, job, result: ending, reusable: open } => {
                 self.free(now, link, open);
                 self.settle(now, job, ending);
             }
-            Input::Written => self.tally.attempts += 1,
-            Input::Idle(link) => self.free(now, link, true),
-            Input::Stale => self.doubt = now + DOUBT,
-            Input::Closed(link) => {
+            Input::AttemptWritten => self.counters.attempts_written += 1,
+            Input::ConnectionIdle(link) => self.free(now, link, true),
+            Input::StaleConnectionFound => self.doubt = now + DOUBT,
+            Input::ConnectionClosed(link) => {
                 self.pool.remove(link);
                 // Guards against a link that ends without a word: nobody knows how far its job came.
                 let orphans = self.jobs.iter().filter(|(_, r)| r.link == link);
                 for job in orphans.map(|(job, _)| *job).collect::<Vec<_>>() {
-                    self.settle(now, job, Ending::plain(Outcome::Reset));
+                    self.settle(now, job, JobResult::from_outcome(Outcome::Reset));
                 }
             }
-            Input::Ending { by } => {
+            Input::ShutdownRequested { deadline: by } => {
                 self.end = by;
                 for held in self.requests.values_mut() {
                     held.deadline = held.deadline.min(by);
@@ -351,15 +185,17 @@
                 let late = self.requests.iter().filter(|(_, held)| held.deadline == by);
                 late.for_each(|(id, _)| self.timers.set(by, TimerEvent::RequestDeadline(*id)));
             }
-            Input::Abandoned { job, sent, open } => self.abandoned(now, job, sent, open),
-            Input::Due => self.due_now(now),
+            Input::JobCancelled { job, maybe_sent: sent, reusable: open } => {
+                self.abandoned(now, job, sent, open)
+            }
+            Input::TimerDue => self.due_now(now),
         }
         std::mem::take(&mut self.effects)
     }
 
-    fn free(&mut self, now: Micros, link: LinkId, open: bool) {
+    fn free(&mut self, now: Micros, link: ConnectionId, open: bool) {
         if open && self.pool.check_in(link, now) == CheckIn::Close {
-            self.effects.push(Effect::Close(link));
+            self.effects.push(Effect::CloseConnection(link));
         }
     }
 
@@ -368,7 +204,7 @@
     fn recall(&mut self, which: impl Fn(JobId, &Running) -> bool) {
         let waits = |r: &Running| matches!(r.purpose, Purpose::Attempt { .. }) && r.dropping.is_none();
         let jobs = self.jobs.iter().filter(|(job, r)| waits(r) && which(**job, r));
-        self.effects.extend(jobs.map(|(job, r)| Effect::Recall { link: r.link, job: *job }));
+        self.effects.extend(jobs.map(|(job, r)| Effect::CancelUnsentJob { connection: r.link, job: *job }));
     }
 
     fn due_now(&mut self, now: Micros) {
@@ -383,21 +219,22 @@
                     self.timers.set(now + SWEEP, TimerEvent::EvictIdle);
                     let old = now.saturating_sub(self.settings.idle_timeout * IDLE_KEPT / 100);
                     let to_close = self.pool.evict_idle_since(old);
-                    self.effects.extend(to_close.into_iter().map(Effect::Close));
+                    self.effects.extend(to_close.into_iter().map(Effect::CloseConnection));
                 }
             }
         }
     }
 
-    fn arrived(&mut self, now: Micros, Arrival { mut request, work }: Arrival<W>) {
+    fn arrived(&mut self, now: Micros, NewRequest { mut request, work }: NewRequest<W>) {
         let id = request.id;
         let Some(class) = self.settings.classes.get(request.class) else {
-            self.effects.push(Effect::Answer { request: id, verdict: Verdict::Failed { ran: false } });
+            self.effects
+                .push(Effect::Answer { request: id, answer: FinalAnswer::Failed { maybe_executed: false } });
             return;
         };
-        self.tally.taken += 1;
+        self.counters.received += 1;
         if self.requests.len() >= self.settings.max_pending {
-            return self.answer(id, request.class, Verdict::Refused { retry_after: 0 });
+            return self.answer(id, request.class, FinalAnswer::Rejected { retry_after: 0 });
         }
         let (safe, once) =
             (class.idempotency == Idempotency::Idempotent, class.idempotency == Idempotency::AtMostOnce);
@@ -406,7 +243,7 @@
         request.remaining = request.remaining.saturating_sub(MARGIN).min(self.end.saturating_sub(now));
         // It waited for earlier commands of its connection until its time was over: nothing is begun for it.
         if request.remaining == 0 {
-            return self.answer(id, request.class, Verdict::Refused { retry_after: 0 });
+            return self.answer(id, request.class, FinalAnswer::Rejected { retry_after: 0 });
         }
         request.remaining = request.remaining.max(1_000);
         let deadline = now + request.remaining;
@@ -423,7 +260,11 @@
         let out = self.jobs.values().any(|r| r.serves(id));
         let ran = held.ran.is_some() || out;
         let harmless = held.safe || !ran;
-        let verdict = if harmless { Verdict::Refused { retry_after: 0 } } else { Verdict::Failed { ran } };
+        let verdict = if harmless {
+            FinalAnswer::Rejected { retry_after: 0 }
+        } else {
+            FinalAnswer::Failed { maybe_executed: ran }
+        };
         self.effects.push(Effect::Log(format!("request {id} was held past its deadline")));
         self.answer(id, held.class, verdict);
         self.tell(now, Event::ClientLeft(id));
@@ -431,14 +272,9 @@
     }
 
     /// The one place where a final answer is given and counted.
-    fn answer(&mut self, request: RequestId, class: usize, verdict: Verdict<A>) {
-        let kind = match &verdict {
-            Verdict::Served(_) => 0,
-            Verdict::Refused { .. } => 1,
-            Verdict::Failed { .. } => 2,
-        };
-        self.tally.ended[class][kind] += 1;
-        self.effects.push(Effect::Answer { request, verdict });
+    fn answer(&mut self, request: RequestId, class: usize, verdict: FinalAnswer<A>) {
+        self.counters.answers[class].count(&verdict);
+        self.effects.push(Effect::Answer { request, answer: verdict });
     }
 
     /// Tells the module, and carries out what it asks for.
@@ -454,12 +290,16 @@
                     }
                     Action::Reject { request, retry_after } => {
                         if let Some(held) = self.requests.remove(&request) {
-                            self.answer(request, held.class, Verdict::Refused { retry_after });
+                            self.answer(request, held.class, FinalAnswer::Rejected { retry_after });
                         }
                     }
                     Action::Fail(request) => {
                         if let Some(held) = self.requests.remove(&request) {
-                            self.answer(request, held.class, Verdict::Failed { ran: held.ran.is_some() });
+                            self.answer(
+                                request,
+                                held.class,
+                                FinalAnswer::Failed { maybe_executed: held.ran.is_some() },
+                            );
                         }
                     }
                     Action::Cancel { request, attempt } => {
@@ -471,7 +311,7 @@
                         job.into_iter().for_each(|job| self.abandon(job, Outcome::Cancelled));
                     }
                     Action::Probe(server) => {
-                        if !self.start(now, server, Purpose::Probe, PROBE_WAIT, |_| Job::Probe) {
+                        if !self.start(now, server, Purpose::Probe, PROBE_WAIT, |_| JobSpec::Probe) {
                             todo.push_back(Event::Probed {
                                 server,
                                 answered: false,
@@ -513,7 +353,7 @@
                 // to it first is lost, and a write would count as one that may have run.
                 let old = if once { OLD } else { Micros::MAX };
                 let check = idle.is_some_and(|since| now < doubt || now.saturating_sub(since) >= old);
-                Job::Attempt { work, allowed, within, check }
+                JobSpec::Attempt { work, timeout: allowed, start_within: within, verify_connection: check }
             }) {
                 if within < allowed {
                     self.timers.set(now.saturating_add(within), TimerEvent::StartLimit(self.last_job));
@@ -540,14 +380,14 @@
         server: EndpointId,
         purpose: Purpose,
         wait: Micros,
-        what: impl FnOnce(Option<Micros>) -> Job<W>,
+        what: impl FnOnce(Option<Micros>) -> JobSpec<W>,
     ) -> bool {
         let (link, idle_since) = match self.pool.check_out(server) {
             Checkout::Unavailable => return false,
             Checkout::Reused { connection, idle_since } => (connection, Some(idle_since)),
             Checkout::New { connection, address, evicted } => {
-                self.effects.extend(evicted.map(Effect::Close));
-                self.effects.push(Effect::Open { link: connection, address });
+                self.effects.extend(evicted.map(Effect::CloseConnection));
+                self.effects.push(Effect::OpenConnection { connection, address });
                 (connection, None)
             }
         };
@@ -556,7 +396,7 @@
         let job = self.last_job;
         self.jobs.insert(job, Running { link, reused, server, sent: now, purpose, dropping: None });
         self.timers.set(now + wait, TimerEvent::JobTimeout(job));
-        self.effects.push(Effect::Carry { link, job, what });
+        self.effects.push(Effect::StartJob { connection: link, job, spec: what });
         true
     }
 
@@ -565,7 +405,7 @@
             && running.dropping.is_none()
         {
             running.dropping = Some(why);
-            self.effects.push(Effect::Abandon { link: running.link, job });
+            self.effects.push(Effect::CancelJob { connection: running.link, job });
         }
     }
 
@@ -582,12 +422,12 @@
             _ if !sent => Outcome::NeverSent,
             _ => why,
         };
-        self.settle(now, job, Ending::plain(outcome));
+        self.settle(now, job, JobResult::from_outcome(outcome));
     }
 
-    fn settle(&mut self, now: Micros, job: JobId, ending: Ending<A>) {
+    fn settle(&mut self, now: Micros, job: JobId, ending: JobResult<A>) {
         let Some(Running { server, sent, purpose, reused, .. }) = self.jobs.remove(&job) else { return };
-        let Ending { outcome, mut metadata, mut report, answer } = ending;
+        let JobResult { outcome, mut metadata, mut report, answer } = ending;
         // Guards against a position that no member can have yet: it would pass for fresh for ever.
         let known = |position: &Micros| *position <= now + AHEAD;
         (metadata.position, report.position) =
@@ -607,7 +447,7 @@
             {
                 let class = held.class;
                 self.requests.remove(&request);
-                self.answer(request, class, Verdict::Served(answer));
+                self.answer(request, class, FinalAnswer::Served(answer));
             }
         }
         let finished = !self.requests.contains_key(&request);
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,7 +1,8 @@
 //! The accounting of the connection pool: which connections lead to which member, and which of them are idle.
 //! The sockets themselves belong to the event loop.
 
-use crate::{EndpointEntry, EndpointId, EndpointState, Micros};
+use super::ListedMember;
+use crate::{EndpointId, EndpointState, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -81,15 +82,15 @@
         &mut self,
         now: Micros,
         full: bool,
-        endpoints: &[(EndpointEntry, SocketAddr)],
+        listed: &[ListedMember],
     ) -> Vec<ConnectionId> {
-        for (entry, address) in endpoints {
+        for ListedMember { entry, address } in listed {
             self.members.entry(entry.server).or_default().address = Some(*address);
         }
         let mut to_close = Vec::new();
         for (server, member) in &mut self.members {
-            let listed = endpoints.iter().find(|(entry, _)| entry.server == *server);
-            let state = listed.map(|(entry, _)| entry.listed);
+            let listed = listed.iter().find(|listed| listed.entry.server == *server);
+            let state = listed.map(|listed| listed.entry.listed);
             let out_of_service = state.map_or(full, |state| state != EndpointState::Ready);
             to_close.extend(member.remove_unusable(out_of_service, &self.connections));
             member.track_absence(now, full, state);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,7 +1,8 @@
 //! Crossings that only the order of inputs decides: each is stepped through the reducer by hand.
 
 use super::*;
-use crate::{Class, Requirement, ResponseMetadata, Role, WhenBehind};
+use crate::{Class, EndpointEntry, Requirement, Role, WhenBehind};
+use std::net::SocketAddr;
 
 const MS: Micros = 1000;
 const START: Micros = 1_000_000 * MS;
@@ -12,10 +13,10 @@
     Class { need, idempotency, aim: 400 * MS, deadline: 2000 * MS, worth: 1.0, late_share: 0.5 }
 }
 
-fn member(n: u64, listed: EndpointState) -> (EndpointEntry, SocketAddr) {
+fn member(n: u64, listed: EndpointState) -> ListedMember {
     let member =
         EndpointEntry { server: EndpointId(n), group: 1, zone: 0, listed, primary_hint: n == 1, started: 0 };
-    (member, SocketAddr::from(([127, 0, 0, 1], n as u16)))
+    ListedMember { entry: member, address: SocketAddr::from(([127, 0, 0, 1], n as u16)) }
 }
 
 /// A core with members 1, the primary, and 2; classes: 0 bounded reads, 1 keyed writes, 2 unsafe writes.
@@ -34,19 +35,21 @@
     };
     let mut core = Core::new(settings, 7, START, 8);
     let members = vec![member(1, EndpointState::Ready), member(2, EndpointState::Ready)];
-    core.step(START, Input::List { full: true, members });
+    core.step(START, Input::EndpointUpdate { full: true, members });
     core
 }
 
 fn ask(core: &mut Core<(), ()>, now: Micros, id: RequestId, class: usize) -> Effects {
     let request = crate::Request { id, class, group: 1, remaining: 1900 * MS, ..Default::default() };
-    core.step(now, Input::Arrived(Arrival { request, work: Arc::new(()) }))
+    core.step(now, Input::RequestReceived(NewRequest { request, work: Arc::new(()) }))
 }
 
 /// The link and the job of the only attempt among the effects, and within what it must begin.
-fn carried(effects: &Effects) -> (LinkId, JobId, Micros) {
+fn carried(effects: &Effects) -> (ConnectionId, JobId, Micros) {
     let mut jobs = effects.iter().filter_map(|e| match e {
-        Effect::Carry { link, job, what: Job::Attempt { within, .. } } => Some((*link, *job, *within)),
+        Effect::StartJob { connection: link, job, spec: JobSpec::Attempt { start_within: within, .. } } => {
+            Some((*link, *job, *within))
+        }
         _ => None,
     });
     let first = jobs.next().expect("an attempt");
@@ -57,24 +60,24 @@
 fn recalled(effects: &Effects) -> Vec<JobId> {
     effects
         .iter()
-        .filter_map(|e| if let Effect::Recall { job, .. } = e { Some(*job) } else { None })
+        .filter_map(|e| if let Effect::CancelUnsentJob { job, .. } = e { Some(*job) } else { None })
         .collect()
 }
 
-fn ended(link: LinkId, job: JobId, outcome: Outcome, role: Role, position: Micros) -> Input<(), ()> {
+fn ended(link: ConnectionId, job: JobId, outcome: Outcome, role: Role, position: Micros) -> Input<(), ()> {
     let metadata = ResponseMetadata { role: Some(role), position: Some(position) };
     let answer = (outcome == Outcome::Ok).then_some(());
-    let ending = Ending { outcome, metadata, report: LoadReport::default(), answer };
-    Input::Ended { link, job, ending, open: true }
+    let ending = JobResult { outcome, metadata, report: LoadReport::default(), answer };
+    Input::JobFinished { connection: link, job, result: ending, reusable: true }
 }
 
 #[test]
 fn an_attempt_that_has_not_begun_is_recalled_when_its_client_leaves_whatever_may_be_cancelled() {
     let mut core = core(false);
     let (_, job, _) = carried(&ask(&mut core, START, 1, 2));
-    assert_eq!(recalled(&core.step(START + MS, Input::Left(1))), [job]);
+    assert_eq!(recalled(&core.step(START + MS, Input::ClientDisconnected(1))), [job]);
     // The answer to the recall ends it; nothing is owed, and nothing follows.
-    let after = core.step(START + MS, Input::Abandoned { job, sent: false, open: true });
+    let after = core.step(START + MS, Input::JobCancelled { job, maybe_sent: false, reusable: true });
     assert!(after.is_empty());
 }
 
@@ -90,8 +93,8 @@
         } else {
             vec![member(1, EndpointState::Draining)]
         };
-        assert_eq!(recalled(&core.step(START + 3 * MS, Input::List { full, members })), [job]);
-        let after = core.step(START + 3 * MS, Input::Abandoned { job, sent: false, open: true });
+        assert_eq!(recalled(&core.step(START + 3 * MS, Input::EndpointUpdate { full, members })), [job]);
+        let after = core.step(START + 3 * MS, Input::JobCancelled { job, maybe_sent: false, reusable: true });
         assert!(!after.iter().any(|e| matches!(e, Effect::Answer { .. })), "it goes on: {full}");
     }
 }
@@ -107,8 +110,8 @@
     core.step(START + MS, ended(link, job, Outcome::Ok, Role::Primary, START));
     let (_, job, within) = carried(&ask(&mut core, START + 10 * MS, 2, 0));
     assert_eq!(within, 40 * MS, "200 ms less the 160 ms that it is old by now");
-    assert!(recalled(&core.step(START + 49 * MS, Input::Due)).is_empty());
-    assert_eq!(recalled(&core.step(START + 51 * MS, Input::Due)), [job]);
+    assert!(recalled(&core.step(START + 49 * MS, Input::TimerDue)).is_empty());
+    assert_eq!(recalled(&core.step(START + 51 * MS, Input::TimerDue)), [job]);
 }
 
 #[test]
@@ -126,14 +129,14 @@
     let mut core = core(true);
     let (link, job, _) = carried(&ask(&mut core, START, 1, 2));
     // The time of the attempt is up; its end is on the way already, and says that the link is open.
-    let late = core.step(START + 2000 * MS, Input::Due);
-    assert!(late.iter().any(|e| matches!(e, Effect::Abandon { .. })));
-    core.step(START + 2000 * MS, Input::Abandoned { job, sent: true, open: false });
+    let late = core.step(START + 2000 * MS, Input::TimerDue);
+    assert!(late.iter().any(|e| matches!(e, Effect::CancelJob { .. })));
+    core.step(START + 2000 * MS, Input::JobCancelled { job, maybe_sent: true, reusable: false });
     let end = core.step(START + 2000 * MS, ended(link, job, Outcome::Ok, Role::Primary, START));
-    assert!(end.iter().any(|e| matches!(e, Effect::Close(l) if *l == link)), "closed for good");
-    core.step(START + 2000 * MS, Input::Closed(link));
+    assert!(end.iter().any(|e| matches!(e, Effect::CloseConnection(l) if *l == link)), "closed for good");
+    core.step(START + 2000 * MS, Input::ConnectionClosed(link));
     let next = ask(&mut core, START + 2001 * MS, 2, 2);
-    assert!(next.iter().any(|e| matches!(e, Effect::Open { .. })), "the next one opens its own");
+    assert!(next.iter().any(|e| matches!(e, Effect::OpenConnection { .. })), "the next one opens its own");
     assert_ne!(carried(&next).0, link);
 }
 
@@ -141,12 +144,17 @@
 fn a_link_to_where_its_member_was_is_not_used_again() {
     let mut core = core(true);
     let (link, job, _) = carried(&ask(&mut core, START, 1, 2));
-    let (moved, _) = member(1, EndpointState::Ready);
     let there = SocketAddr::from(([127, 0, 0, 1], 99));
-    core.step(START + MS, Input::List { full: false, members: vec![(moved, there)] });
+    core.step(
+        START + MS,
+        Input::EndpointUpdate {
+            full: false,
+            members: vec![ListedMember { address: there, ..member(1, EndpointState::Ready) }],
+        },
+    );
     let end = core.step(START + 2 * MS, ended(link, job, Outcome::Ok, Role::Primary, START));
-    assert!(end.iter().any(|e| matches!(e, Effect::Close(l) if *l == link)));
-    core.step(START + 2 * MS, Input::Closed(link));
+    assert!(end.iter().any(|e| matches!(e, Effect::CloseConnection(l) if *l == link)));
+    core.step(START + 2 * MS, Input::ConnectionClosed(link));
     let next = ask(&mut core, START + 3 * MS, 2, 2);
-    assert!(next.iter().any(|e| matches!(e, Effect::Open { address, .. } if *address == there)));
+    assert!(next.iter().any(|e| matches!(e, Effect::OpenConnection { address, .. } if *address == there)));
 }
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -48,6 +48,14 @@
     recovery: String,
 }
 
+/// A member as the core takes it.
+pub struct ListedMember {
+    /// Its entry.
+    pub entry: EndpointEntry,
+    /// Where it accepts connections.
+    pub address: SocketAddr,
+}
+
 impl EndpointList {
     /// Applies an update: a complete list replaces this one, changes replace their entries.
     pub fn merge(&mut self, update: EndpointList) {
@@ -65,13 +73,13 @@
     }
 
     /// The entries as the core takes them. Entries whose address can't be read are left out.
-    pub fn members(&self) -> Vec<(EndpointEntry, SocketAddr)> {
+    pub fn members(&self) -> Vec<ListedMember> {
         self.endpoints.iter().filter_map(EndpointRecord::member).collect()
     }
 }
 
 impl EndpointRecord {
-    fn member(&self) -> Option<(EndpointEntry, SocketAddr)> {
+    fn member(&self) -> Option<ListedMember> {
         let listed = self.listed_state();
         let address = match self.address.parse() {
             Ok(address) => address,
@@ -86,7 +94,7 @@
             primary_hint: self.recovery == RECOVERY_OFF,
             started: from_unix_ms(self.started_unix_ms.max(0.0) as u64),
         };
-        Some((entry, address))
+        Some(ListedMember { entry, address })
     }
 
     fn listed_state(&self) -> EndpointState {
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -9,7 +9,7 @@
 mod tests;
 pub mod unit;
 
-use crate::core::{Arrival, Verdict};
+use crate::core::{FinalAnswer, NewRequest};
 use crate::pg::{self, ProtocolError, StartupPacket};
 use crate::store::Change;
 use crate::{Micros, Request, RequestId};
@@ -82,7 +82,7 @@
     /// A client may send one more command.
     Credit(ClientId),
     /// A request is taken.
-    Take(Arrival<Work>),
+    Take(NewRequest<Work>),
     /// A request's client has gone or given it up.
     Left(RequestId),
     /// The store is to note this.
@@ -163,7 +163,7 @@
         &mut self,
         session: &mut Self::Session,
         context: Self::Context,
-        verdict: Verdict<Answer>,
+        verdict: FinalAnswer<Answer>,
     ) -> Vec<u8>;
 }
 
@@ -338,21 +338,21 @@
         now: Micros,
         id: ClientId,
         request: RequestId,
-        verdict: Verdict<Answer>,
+        verdict: FinalAnswer<Answer>,
     ) -> Vec<Out> {
         let mut out = Vec::new();
         let Some(client) = self.clients.get_mut(&id) else { return out };
         let Some(index) = client.pipeline.position(request) else { return out };
         // Guards against replies that fill the memory behind one that does not come.
         let verdict = match verdict {
-            Verdict::Served(answer)
+            FinalAnswer::Served(answer)
                 if index > 0 && self.reordered + answer.bytes.len() > self.most_reordered =>
             {
-                Verdict::Failed { ran: true }
+                FinalAnswer::Failed { maybe_executed: true }
             }
             verdict => verdict,
         };
-        let commit = if let Verdict::Served(answer) = &verdict { answer.commit } else { None };
+        let commit = if let FinalAnswer::Served(answer) = &verdict { answer.commit } else { None };
         let (talk, session) = (&mut self.talk, &mut client.session);
         let before = client.pipeline.buffered();
         client.pipeline.finish(index, commit, |context| talk.finish(session, context, verdict));
@@ -408,7 +408,7 @@
         now: Micros,
         id: ClientId,
         crowded: bool,
-        requests: &mut Vec<Arrival<Work>>,
+        requests: &mut Vec<NewRequest<Work>>,
     ) -> bool {
         let (mut from, mut answered) = (0, false);
         loop {
@@ -466,14 +466,14 @@
         {
             desk.close(request);
             out.push(Out::Left(request));
-            out.extend(self.answer(desk, now, id, request, Verdict::Failed { ran: true }));
+            out.extend(self.answer(desk, now, id, request, FinalAnswer::Failed { maybe_executed: true }));
         }
     }
 }
 
 /// A request as the core takes it. Its time counts from when its last byte was read, also where it had to wait for
 /// earlier commands: its client counts from when it was sent.
-fn arrival(id: RequestId, now: Micros, read_at: Micros, ask: Ask) -> Arrival<Work> {
+fn arrival(id: RequestId, now: Micros, read_at: Micros, ask: Ask) -> NewRequest<Work> {
     let request = Request {
         id,
         class: ask.class,
@@ -484,14 +484,14 @@
         remaining: ask.wait.saturating_sub(now.saturating_sub(read_at)),
         repeat: ask.repeat,
     };
-    Arrival { request, work: ask.work.into() }
+    NewRequest { request, work: ask.work.into() }
 }
 
 /// Appends the error for a verdict that is not served, or the answer of one that is.
-pub fn put_verdict(out: &mut Vec<u8>, verdict: &Verdict<Answer>) {
+pub fn put_verdict(out: &mut Vec<u8>, verdict: &FinalAnswer<Answer>) {
     match verdict {
-        Verdict::Served(answer) => out.extend_from_slice(&answer.bytes),
-        Verdict::Refused { retry_after } => {
+        FinalAnswer::Served(answer) => out.extend_from_slice(&answer.bytes),
+        FinalAnswer::Rejected { retry_after } => {
             let wait = (*retry_after > 0).then(|| millis(*retry_after));
             pg::put_error_response(
                 out,
@@ -501,7 +501,7 @@
                 wait,
             );
         }
-        Verdict::Failed { ran: true } => {
+        FinalAnswer::Failed { maybe_executed: true } => {
             pg::put_error_response(
                 out,
                 "ERROR",
@@ -510,7 +510,7 @@
                 None,
             );
         }
-        Verdict::Failed { ran: false } => {
+        FinalAnswer::Failed { maybe_executed: false } => {
             pg::put_error_response(
                 out,
                 "ERROR",
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Ask, Protocol, Service, Step, Work, put_verdict};
 use crate::clock::from_unix_ms;
-use crate::core::Verdict;
+use crate::core::FinalAnswer;
 use crate::pg::{self, statement};
 use crate::{Micros, Requirement, Settings};
 use std::ops::Range;
@@ -105,7 +105,7 @@
         Step::Say(bytes)
     }
 
-    fn finish(&mut self, (): &mut (), (): (), verdict: Verdict<Answer>) -> Vec<u8> {
+    fn finish(&mut self, (): &mut (), (): (), verdict: FinalAnswer<Answer>) -> Vec<u8> {
         let mut bytes = Vec::new();
         put_verdict(&mut bytes, &verdict);
         pg::put_ready_for_query(&mut bytes);
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -8,7 +8,7 @@
 use super::unit::{Part, Prepared, Unit};
 use super::{Answer, Ask, Protocol, Service, Step, Work, put_verdict};
 use crate::clock::from_unix_ms;
-use crate::core::Verdict;
+use crate::core::FinalAnswer;
 use crate::pg::{self, statement};
 use crate::store::{Change, Statement};
 use crate::{Idempotency, Micros, Requirement, Settings};
@@ -555,13 +555,13 @@
         std::mem::take(&mut self.news)
     }
 
-    fn finish(&mut self, session: &mut Session, open: Open, verdict: Verdict<Answer>) -> Vec<u8> {
+    fn finish(&mut self, session: &mut Session, open: Open, verdict: FinalAnswer<Answer>) -> Vec<u8> {
         let mut bytes = Vec::new();
         put_verdict(&mut bytes, &verdict);
         let (parses, error) = tally(&bytes);
         session.undo(open.parsed, if error { parses } else { usize::MAX });
         session.skipping |= error && open.end == b'H';
-        if let Verdict::Served(Answer { commit: Some(commit), .. }) = verdict
+        if let FinalAnswer::Served(Answer { commit: Some(commit), .. }) = verdict
             && !error
             && open.key != 0
         {
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -29,8 +29,8 @@
     out.into_iter().filter_map(bytes).collect()
 }
 
-fn served(length: usize) -> Verdict<Answer> {
-    Verdict::Served(Answer { bytes: vec![b'.'; length], commit: None })
+fn served(length: usize) -> FinalAnswer<Answer> {
+    FinalAnswer::Served(Answer { bytes: vec![b'.'; length], commit: None })
 }
 
 #[test]
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -6,7 +6,7 @@
 
 use super::{Message, Messages};
 use crate::Settings;
-use crate::core::Tally;
+use crate::core::Counters;
 use crate::threads::spawn;
 use crossbeam_channel::{Sender, bounded};
 use http::{HttpResponse, RequestError, Status};
@@ -46,7 +46,7 @@
     /// Yes or no.
     Answer(bool),
     /// The counters.
-    Counters(Tally),
+    Counters(Counters),
 }
 
 /// Where the event loop sends its answer.
@@ -148,15 +148,18 @@
 }
 
 /// The counters, one a line.
-fn counters_text(tally: &Tally, settings: &Settings) -> String {
+fn counters_text(tally: &Counters, settings: &Settings) -> String {
     let mut text = String::new();
-    for (class, ended) in settings.class_names.iter().zip(&tally.ended) {
-        for (name, count) in ["completed", "rejected", "failed"].iter().zip(ended) {
+    for (class, answers) in settings.class_names.iter().zip(&tally.answers) {
+        let counts =
+            [("completed", answers.served), ("rejected", answers.rejected), ("failed", answers.failed)];
+        for (name, count) in counts {
             let _ = writeln!(text, "downstream_requests.{class}.{name}={count}");
         }
     }
-    let (members, unavailable) = tally.members;
-    let _ = writeln!(text, "upstream_requests={}", tally.attempts);
+    let members = tally.members.listed;
+    let unavailable = tally.members.unavailable;
+    let _ = writeln!(text, "upstream_requests={}", tally.attempts_written);
     let _ = writeln!(text, "pending={}", tally.pending);
     let _ = writeln!(text, "members={members}");
     let _ = writeln!(text, "members_unavailable={unavailable}");
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -2,7 +2,7 @@
 //! thread. An idle connection has none.
 
 use super::{Message, Messages, clock::from_unix_ms, spawn};
-use crate::core::{Ending, Input, Job, JobId, LinkId};
+use crate::core::{ConnectionId, Input, JobId, JobResult, JobSpec};
 use crate::front::unit::{Catalogue, Progress, Script, Unit};
 use crate::front::{Answer, Work, millis};
 use crate::pg::{self, FrameReader};
@@ -38,7 +38,7 @@
 struct Order {
     lane: Arc<Lane>,
     job: JobId,
-    what: Job<Work>,
+    what: JobSpec<Work>,
     /// It is not begun later than this.
     by: Option<Instant>,
     state: Arc<AtomicU8>,
@@ -112,7 +112,7 @@
 impl Handle {
     /// Prepares a link: its first job opens it.
     pub fn open(
-        link: LinkId,
+        link: ConnectionId,
         address: SocketAddr,
         dial: Duration,
         messages: Messages,
@@ -124,11 +124,13 @@
     }
 
     /// Hands over a job; `false` if the link can't take it.
-    pub fn carry(&mut self, job: JobId, what: Job<Work>) -> bool {
+    pub fn carry(&mut self, job: JobId, what: JobSpec<Work>) -> bool {
         (self.state, self.job) = (Arc::new(AtomicU8::new(WAITING)), job);
         let by = match what {
-            Job::Attempt { within, .. } => Instant::now().checked_add(Duration::from_micros(within)),
-            Job::Probe => None,
+            JobSpec::Attempt { start_within: within, .. } => {
+                Instant::now().checked_add(Duration::from_micros(within))
+            }
+            JobSpec::Probe => None,
         };
         self.workers.hand(Order { lane: self.lane.clone(), job, what, by, state: self.state.clone() })
     }
@@ -174,7 +176,7 @@
 }
 
 struct Lane {
-    link: LinkId,
+    link: ConnectionId,
     address: SocketAddr,
     dial: Duration,
     messages: Messages,
@@ -194,13 +196,13 @@
 
 /// What became of a query.
 struct Reply {
-    ending: Ending<Answer>,
+    ending: JobResult<Answer>,
     open: bool,
 }
 
 impl Reply {
     fn plain(outcome: Outcome) -> Reply {
-        Reply { ending: Ending::plain(outcome), open: false }
+        Reply { ending: JobResult::from_outcome(outcome), open: false }
     }
 }
 
@@ -213,7 +215,7 @@
             *self.seat.lock().unwrap_or_else(|e| e.into_inner()) = Some(seat);
         } else {
             *self.slot.lock().unwrap_or_else(|e| e.into_inner()) = None;
-            told.push(Input::Closed(self.link));
+            told.push(Input::ConnectionClosed(self.link));
         }
         told
     }
@@ -221,7 +223,7 @@
     /// The link goes on with what is returned.
     fn job(&self, mut seat: Seat, order: Order, told: &mut Vec<Input<Work, Answer>>) -> Option<Seat> {
         if order.state.load(Ordering::SeqCst) == WITHDRAWN {
-            told.push(Input::Idle(self.link));
+            told.push(Input::ConnectionIdle(self.link));
             return Some(seat);
         }
         // Guards against a connection that the member closed while it was idle: writing to it would
@@ -229,10 +231,10 @@
         if seat.connection.as_ref().is_some_and(|(stream, _)| closed_by_peer(stream)) {
             seat = Seat::default();
         }
-        let check = matches!(&order.what, Job::Attempt { check: true, .. });
+        let check = matches!(&order.what, JobSpec::Attempt { verify_connection: true, .. });
         if check && let Some((stream, frames)) = &mut seat.connection {
             if !step(&order.state, WAITING, PREFACE) {
-                told.push(Input::Idle(self.link));
+                told.push(Input::ConnectionIdle(self.link));
                 return Some(seat);
             }
             let alive = answers(stream, frames, Instant::now() + self.dial);
@@ -242,7 +244,7 @@
                 return None;
             }
             if !alive {
-                self.tell(Input::Stale);
+                self.tell(Input::StaleConnectionFound);
                 seat = Seat::default();
             }
         }
@@ -258,21 +260,26 @@
                     frames: &mut frames,
                     state: &order.state,
                     by: order.by,
-                    written: &|| self.tell(Input::Written),
+                    written: &|| self.tell(Input::AttemptWritten),
                 };
                 let reply = talk.run(&order.what, &mut seat.catalogue);
                 seat.connection = Some((stream, frames));
                 match reply {
                     Some(reply) => reply,
                     None => {
-                        told.push(Input::Idle(self.link));
+                        told.push(Input::ConnectionIdle(self.link));
                         return Some(seat);
                     }
                 }
             }
         };
         let Reply { ending, open } = reply;
-        told.push(Input::Ended { link: self.link, job: order.job, ending, open });
+        told.push(Input::JobFinished {
+            connection: self.link,
+            job: order.job,
+            result: ending,
+            reusable: open,
+        });
         open.then_some(seat)
     }
 
@@ -373,18 +380,18 @@
 }
 
 impl Heard {
-    fn ending(self, outcome: Outcome, bytes: Vec<u8>) -> Ending<Answer> {
+    fn ending(self, outcome: Outcome, bytes: Vec<u8>) -> JobResult<Answer> {
         let answer = Some(Answer { bytes, commit: self.metadata.position });
-        Ending { outcome, metadata: self.metadata, report: self.report, answer }
+        JobResult { outcome, metadata: self.metadata, report: self.report, answer }
     }
 }
 
 impl Exchange<'_> {
     /// `None` if the job was withdrawn before anything was written.
-    fn run(&mut self, what: &Job<Work>, catalogue: &mut Catalogue) -> Option<Reply> {
+    fn run(&mut self, what: &JobSpec<Work>, catalogue: &mut Catalogue) -> Option<Reply> {
         let message = match what {
-            Job::Probe => pg::query_message(&[b"SHOW health"]),
-            Job::Attempt { work, allowed, .. } => match work.as_ref() {
+            JobSpec::Probe => pg::query_message(&[b"SHOW health"]),
+            JobSpec::Attempt { work, timeout: allowed, .. } => match work.as_ref() {
                 Work::Unit(unit) => return self.unit(unit, catalogue),
                 Work::Simple { text, wait: None } => pg::query_message(&[text]),
                 Work::Simple { text, wait: Some(wait) } => {
@@ -394,7 +401,7 @@
             },
         };
         if self.late() {
-            return Some(Reply { ending: Ending::plain(Outcome::NeverSent), open: true });
+            return Some(Reply { ending: JobResult::from_outcome(Outcome::NeverSent), open: true });
         }
         if !step(self.state, WAITING, SENDING) {
             return None;
@@ -402,7 +409,7 @@
         // It broke before the last byte was handed over: it never ran.
         Some(match self.write(&message) {
             Ok(()) => {
-                let probe = matches!(what, Job::Probe);
+                let probe = matches!(what, JobSpec::Probe);
                 if !probe {
                     (self.written)();
                 }
@@ -497,7 +504,7 @@
         let executes = unit.executes();
         let ahead = unit.careful || !executes;
         if self.late() {
-            return Some(Reply { ending: Ending::plain(Outcome::NeverSent), open: true });
+            return Some(Reply { ending: JobResult::from_outcome(Outcome::NeverSent), open: true });
         }
         // Before the script is made: it takes for prepared what it is about to prepare.
         if !step(self.state, WAITING, if ahead { PREFACE } else { SENDING }) {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -11,7 +11,7 @@
 pub use client_listener::{ListenError, client_listener};
 
 use crate::config::{Config, ConfigError};
-use crate::core::{Core, Effect, Input, LinkId};
+use crate::core::{ConnectionId, Core, Effect, Input};
 use crate::endpoint_list::EndpointList;
 use crate::front::platform::{Platform, Query};
 use crate::front::postgres::{Batch, Listen, Postgres};
@@ -165,7 +165,7 @@
         drain_at: None,
     };
     host.store.propose(Change::Set("proxy".into(), config.raw_settings.clone()));
-    let known = Input::List { full: true, members: config.known_endpoints.members() };
+    let known = Input::EndpointUpdate { full: true, members: config.known_endpoints.members() };
     host.core(clock.now(), known);
     if let Some(at) = config.admin_listen {
         let at = admin::listen(at, host.settings.clone(), messages.clone())?;
@@ -212,7 +212,7 @@
     ender: client::Ender,
     written: Receiver<()>,
     workers: link::Workers,
-    links: HashMap<LinkId, link::Handle>,
+    links: HashMap<ConnectionId, link::Handle>,
     clients: HashMap<ClientId, client::Handle>,
     most_clients: usize,
     /// Descriptors that the process may hold.
@@ -237,7 +237,7 @@
 impl Host {
     fn run(&mut self, inbox: &Receiver<Message>) {
         loop {
-            let mut due = self.core.due();
+            let mut due = self.core.next_timer_at();
             let kept = self.kept().map(|(at, _)| at);
             due = [due, self.ready_at, self.drain_at, kept].into_iter().flatten().min();
             if self.ending.is_some() {
@@ -259,8 +259,8 @@
             if let Some(message) = message {
                 self.take(now, message);
             }
-            if self.core.due().is_some_and(|at| at <= now) {
-                self.core(now, Input::Due);
+            if self.core.next_timer_at().is_some_and(|at| at <= now) {
+                self.core(now, Input::TimerDue);
             }
             if self.ready_at.is_some_and(|at| at <= now) {
                 self.ready(now);
@@ -291,7 +291,7 @@
                     self.close_idle(now);
                 }
                 let open = self.platform.open() + self.postgres.as_ref().map_or(0, Lobby::open);
-                let done = open == 0 && self.core.owed() == 0;
+                let done = open == 0 && self.core.pending_requests() == 0;
                 let late = now >= since + self.kill_after() - FAIL_BEFORE / 2;
                 if self.stopped.is_none() && now >= since + SERVE_FOR && (done || late) {
                     self.stopped = Some(false);
@@ -299,7 +299,7 @@
                 }
                 // Guards against a request that is read in the last moment and never answered.
                 let last = now >= since + self.kill_after() - FAIL_BEFORE / 4;
-                if self.stopped == Some(true) && self.core.owed() == 0 || last {
+                if self.stopped == Some(true) && self.core.pending_requests() == 0 || last {
                     self.linger(since + self.kill_after() - SPARED);
                     return;
                 }
@@ -333,7 +333,7 @@
     fn take(&mut self, now: Micros, message: Message) {
         match message {
             Message::Core(input) => {
-                if let Input::Closed(link) = &input {
+                if let Input::ConnectionClosed(link) = &input {
                     self.links.remove(link);
                 }
                 self.core(now, input);
@@ -346,7 +346,7 @@
                     // Guards against news that an ended watch had under way.
                     return;
                 }
-                let input = Input::List { full: list.complete, members: list.members() };
+                let input = Input::EndpointUpdate { full: list.complete, members: list.members() };
                 self.told = u64::MAX;
                 self.core(now, input);
                 self.store.propose(Change::Members(list));
@@ -356,7 +356,7 @@
             Message::Stored(list) => {
                 if list.revision > self.told && !list.endpoints.is_empty() {
                     self.told = list.revision;
-                    self.core(now, Input::List { full: true, members: list.members() });
+                    self.core(now, Input::EndpointUpdate { full: true, members: list.members() });
                 }
             }
             Message::Stopped => self.stopped = Some(true),
@@ -374,7 +374,7 @@
             Message::Admin(request, reply) => {
                 let response = match request {
                     AdminRequest::Ready => AdminResponse::Answer(self.ready_at.is_none()),
-                    AdminRequest::Counters => AdminResponse::Counters(self.core.tally()),
+                    AdminRequest::Counters => AdminResponse::Counters(self.core.counters()),
                     AdminRequest::SetInService(on) => {
                         tracing::info!(on, "service state set by an operator");
                         self.drain_at = (!on).then_some(now + NOTICED);
@@ -391,7 +391,7 @@
                     tracing::info!("told to end");
                     self.ending = Some((now, false));
                     let by = now + self.kill_after() - FAIL_BEFORE;
-                    self.core(now, Input::Ending { by });
+                    self.core(now, Input::ShutdownRequested { deadline: by });
                 }
             }
         }
@@ -518,9 +518,9 @@
                         client.credit();
                     }
                 }
-                Out::Take(arrival) => self.core(now, Input::Arrived(arrival)),
+                Out::Take(arrival) => self.core(now, Input::RequestReceived(arrival)),
                 Out::Note(change) => self.store.propose(change),
-                Out::Left(request) => self.core(now, Input::Left(request)),
+                Out::Left(request) => self.core(now, Input::ClientDisconnected(request)),
             }
         }
     }
@@ -529,46 +529,49 @@
     fn core(&mut self, now: Micros, input: Input<Work, Answer>) {
         for effect in self.core.step(now, input) {
             match effect {
-                Effect::Open { link, address } => {
+                Effect::OpenConnection { connection: link, address } => {
                     let dial = Duration::from_micros(self.settings.connect_timeout);
                     let messages = self.messages.clone();
                     let handle = link::Handle::open(link, address, dial, messages, &self.workers);
                     self.links.insert(link, handle);
                 }
-                Effect::Carry { link, job, what } => {
+                Effect::StartJob { connection: link, job, spec: what } => {
                     let carried = self.links.get_mut(&link).is_some_and(|l| l.carry(job, what));
                     // Guards against taking the proxy's own want of threads for the member's fault.
                     if !carried {
                         tracing::warn!("no thread for another job");
-                        let ending = crate::core::Ending::plain(crate::Outcome::NeverSent);
+                        let ending = crate::core::JobResult::from_outcome(crate::Outcome::NeverSent);
                         self.links.remove(&link);
-                        self.core(now, Input::Ended { link, job, ending, open: false });
-                        self.core(now, Input::Closed(link));
+                        self.core(
+                            now,
+                            Input::JobFinished { connection: link, job, result: ending, reusable: false },
+                        );
+                        self.core(now, Input::ConnectionClosed(link));
                     }
                 }
-                Effect::Abandon { link, job } => {
+                Effect::CancelJob { connection: link, job } => {
                     let (sent, open) = self.links.get(&link).map_or((true, false), |l| l.abandon(job));
                     if !open {
                         self.links.remove(&link);
                     }
-                    self.core(now, Input::Abandoned { job, sent, open });
+                    self.core(now, Input::JobCancelled { job, maybe_sent: sent, reusable: open });
                 }
-                Effect::Recall { link, job } => {
+                Effect::CancelUnsentJob { connection: link, job } => {
                     if let Some(open) = self.links.get(&link).and_then(|l| l.recall(job)) {
                         if !open {
                             self.links.remove(&link);
                         }
-                        self.core(now, Input::Abandoned { job, sent: false, open });
+                        self.core(now, Input::JobCancelled { job, maybe_sent: false, reusable: open });
                     }
                 }
-                Effect::Close(link) => {
+                Effect::CloseConnection(link) => {
                     if let Some(handle) = self.links.remove(&link) {
                         handle.cut();
                     }
                     // No thread is left with it that could say so.
-                    self.core(now, Input::Closed(link));
+                    self.core(now, Input::ConnectionClosed(link));
                 }
-                Effect::Answer { request, verdict } => {
+                Effect::Answer { request, answer: verdict } => {
                     if let Some(id) = self.desk.close(request) {
                         let extended = self.clients.get(&id).is_some_and(|c| c.extended);
                         let outs = match &mut self.postgres {
