--- /dev/null
+++ b/src/core/jobs.rs
@@ -0,0 +1,244 @@
+//! Jobs in flight: the attempts and probes that connections carry out, from their start to their result.
+
+use super::connections::JobConnection;
+use super::timers::TimerEvent;
+use super::{ConnectionId, Core, Effect, JobId, JobResult, JobSpec};
+use crate::{AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId, ResponseMetadata};
+
+/// A probe without an answer by then has failed.
+const PROBE_TIMEOUT: Micros = 250_000;
+/// The shortest timeout of an attempt, however close the deadline of its request is.
+const MIN_ATTEMPT_TIMEOUT: Micros = 1_000;
+/// Positions may be this far ahead of the clock: commits are rounded up, and clocks are read at different
+/// moments.
+const MAX_POSITION_LEAD: Micros = 250_000;
+/// A reused connection that is reset this soon had been dropped on the way while it was idle.
+const STALE_RESET_LIMIT: Micros = 10_000;
+
+/// What a job is for.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum JobPurpose {
+    /// An attempt of a request, counted from 0.
+    Attempt { request: RequestId, attempt: u32 },
+    /// A probe of the member.
+    Probe,
+}
+
+/// Why a job is cancelled.
+#[derive(Clone, Copy)]
+pub(super) enum CancelReason {
+    /// It has run out of time.
+    TimedOut,
+    /// Its result is not needed any more, or it must not be started any more.
+    NotNeeded,
+}
+
+/// A job that a connection has been given and whose result is not known yet.
+pub(super) struct InFlightJob {
+    pub connection: ConnectionId,
+    pub server: EndpointId,
+    pub purpose: JobPurpose,
+    /// The connection was idle before, not new.
+    reused: bool,
+    started_at: Micros,
+    /// Why it is being cancelled, from the cancellation on.
+    cancel_reason: Option<CancelReason>,
+}
+
+impl InFlightJob {
+    /// Whether this is an attempt of the request.
+    pub fn serves(&self, id: RequestId) -> bool {
+        matches!(self.purpose, JobPurpose::Attempt { request, .. } if request == id)
+    }
+
+    /// Whether this is an attempt that is not being cancelled yet.
+    fn is_live_attempt(&self) -> bool {
+        matches!(self.purpose, JobPurpose::Attempt { .. }) && self.cancel_reason.is_none()
+    }
+}
+
+/// An attempt that the router asks for.
+pub(super) struct AttemptOrder {
+    pub request: RequestId,
+    pub server: EndpointId,
+    pub timeout: Micros,
+    /// It must be started within this time, or not at all.
+    pub start_within: Micros,
+}
+
+impl<W, A> Core<W, A> {
+    /// Starts an attempt. Returns the event that tells the router if it could not be sent.
+    pub(super) fn start_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<Event> {
+        let AttemptOrder { request, server, .. } = order;
+        let pending = self.requests.get_mut(&request)?;
+        let attempt = pending.attempts;
+        pending.attempts += 1;
+        // Guards against a second execution, whatever the router asks for.
+        let allowed = attempt < self.settings.max_attempts && !pending.must_not_be_repeated();
+        let timeout = order.timeout.min(pending.deadline.saturating_sub(now)).max(MIN_ATTEMPT_TIMEOUT);
+        // Guards against a repeat that waits for its connection until its key is forgotten.
+        let start_within = order.start_within.min(pending.deduplication_time_left(now));
+        let idempotency = pending.idempotency;
+        let work = pending.work.clone();
+        if !allowed {
+            return Some(never_sent(request, attempt, server));
+        }
+        let Some(connection) = self.check_out(server) else {
+            return Some(never_sent(request, attempt, server));
+        };
+        let verify_connection = self.must_verify(now, &connection, idempotency);
+        let spec = JobSpec::Attempt { work, timeout, start_within, verify_connection };
+        let purpose = JobPurpose::Attempt { request, attempt };
+        let job = self.start_job(now, connection, server, purpose, timeout, spec);
+        if start_within < timeout {
+            self.timers.set(now.saturating_add(start_within), TimerEvent::StartLimit(job));
+        }
+        None
+    }
+
+    /// Starts a probe. Returns the event that tells the router if that is impossible.
+    pub(super) fn start_probe(&mut self, now: Micros, server: EndpointId) -> Option<Event> {
+        let Some(connection) = self.check_out(server) else {
+            return Some(Event::Probed { server, answered: false, report: LoadReport::default() });
+        };
+        self.start_job(now, connection, server, JobPurpose::Probe, PROBE_TIMEOUT, JobSpec::Probe);
+        None
+    }
+
+    fn start_job(
+        &mut self,
+        now: Micros,
+        connection: JobConnection,
+        server: EndpointId,
+        purpose: JobPurpose,
+        timeout: Micros,
+        spec: JobSpec<W>,
+    ) -> JobId {
+        self.last_job += 1;
+        let job = self.last_job;
+        let in_flight = InFlightJob {
+            connection: connection.id,
+            server,
+            purpose,
+            reused: connection.idle_since.is_some(),
+            started_at: now,
+            cancel_reason: None,
+        };
+        self.jobs.insert(job, in_flight);
+        self.timers.set(now + timeout, TimerEvent::JobTimeout(job));
+        self.effects.push(Effect::StartJob { connection: connection.id, job, spec });
+        job
+    }
+
+    /// Cancels a job, whether it has been sent or not.
+    pub(super) fn cancel_job(&mut self, id: JobId, reason: CancelReason) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        if job.cancel_reason.is_some() {
+            return;
+        }
+        job.cancel_reason = Some(reason);
+        self.effects.push(Effect::CancelJob { connection: job.connection, job: id });
+    }
+
+    /// Cancels those of the selected attempts that have not been started. Guards against an attempt that
+    /// waits for its connection to be opened or verified, and starts when its client has gone or its member
+    /// has been told to drain.
+    pub(super) fn cancel_unsent(&mut self, selected: impl Fn(JobId, &InFlightJob) -> bool) {
+        for (&id, job) in &self.jobs {
+            if job.is_live_attempt() && selected(id, job) {
+                self.effects.push(Effect::CancelUnsentJob { connection: job.connection, job: id });
+            }
+        }
+    }
+
+    /// A job has been cancelled: its outcome depends on how far it had come.
+    pub(super) fn job_cancelled(&mut self, now: Micros, id: JobId, maybe_sent: bool, reusable: bool) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        let reason = job.cancel_reason.unwrap_or(CancelReason::NotNeeded);
+        if !reusable {
+            self.pool.mark_broken(job.connection);
+        }
+        let outcome = match reason {
+            // A member that let a connection hang before the job was sent could not be reached.
+            CancelReason::TimedOut if !maybe_sent && !reusable => Outcome::ConnectFailed,
+            _ if !maybe_sent => Outcome::NeverSent,
+            CancelReason::TimedOut => Outcome::TimedOut,
+            CancelReason::NotNeeded => Outcome::Cancelled,
+        };
+        self.finish_job(now, id, JobResult::from_outcome(outcome));
+    }
+
+    /// Takes the result of a job, which may come after a cancellation has ended the job.
+    pub(super) fn finish_job(&mut self, now: Micros, id: JobId, mut result: JobResult<A>) {
+        let Some(job) = self.jobs.remove(&id) else { return };
+        drop_impossible_positions(now, &mut result);
+        match job.purpose {
+            JobPurpose::Attempt { request, attempt } => {
+                self.finish_attempt(now, &job, request, attempt, result);
+            }
+            JobPurpose::Probe => {
+                let answered = result.outcome == Outcome::Ok;
+                let report = result.report;
+                self.notify_router(now, Event::Probed { server: job.server, answered, report });
+            }
+        }
+    }
+
+    fn finish_attempt(
+        &mut self,
+        now: Micros,
+        job: &InFlightJob,
+        request: RequestId,
+        attempt: u32,
+        result: JobResult<A>,
+    ) {
+        let JobResult { outcome, metadata, report, answer } = result;
+        if may_have_executed(outcome)
+            && let Some(pending) = self.requests.get_mut(&request)
+        {
+            pending.mark_maybe_executed(job.started_at);
+        }
+        // An answer with `NeverSent` tells nothing of the member: it is an error of the statement itself.
+        if matches!(outcome, Outcome::Ok | Outcome::NeverSent)
+            && let Some(answer) = answer
+        {
+            self.serve_request(request, answer);
+        }
+        let elapsed = now.saturating_sub(job.started_at);
+        if outcome == Outcome::Reset && job.reused && elapsed < STALE_RESET_LIMIT {
+            self.distrust_idle_connections(now);
+        }
+        let finished = !self.requests.contains_key(&request);
+        let server = job.server;
+        let ended = AttemptResult { request, attempt, server, outcome, elapsed, metadata, finished, report };
+        self.notify_router(now, Event::AttemptEnded(ended));
+    }
+}
+
+/// Whether the member may have executed an attempt with this outcome.
+fn may_have_executed(outcome: Outcome) -> bool {
+    match outcome {
+        Outcome::ConnectFailed | Outcome::Full | Outcome::NotServable | Outcome::NeverSent => false,
+        Outcome::Ok | Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => true,
+    }
+}
+
+/// Guards against a position that no member can have reached yet: it would pass for fresh for ever.
+fn drop_impossible_positions<A>(now: Micros, result: &mut JobResult<A>) {
+    let is_possible = |position: &Micros| *position <= now + MAX_POSITION_LEAD;
+    result.metadata.position = result.metadata.position.filter(is_possible);
+    result.report.position = result.report.position.filter(is_possible);
+}
+
+fn never_sent(request: RequestId, attempt: u32, server: EndpointId) -> Event {
+    Event::AttemptEnded(AttemptResult {
+        request,
+        attempt,
+        server,
+        outcome: Outcome::NeverSent,
+        elapsed: 0,
+        metadata: ResponseMetadata::default(),
+        finished: false,
+        report: LoadReport::default(),
+    })
+}
--- /dev/null
+++ b/src/core/requests.rs
@@ -0,0 +1,145 @@
+//! Pending requests: admission, deadlines, and the one final answer that each of them gets.
+
+use super::timers::TimerEvent;
+use super::{Core, Effect, FinalAnswer, NewRequest};
+use crate::{Event, Idempotency, Micros, RequestId};
+use std::sync::Arc;
+
+/// Answers are given this long before the client's deadline, so that they arrive in time.
+const ANSWER_MARGIN: Micros = 5_000;
+/// A request that has any time left is admitted with at least this much.
+const MIN_REMAINING: Micros = 1_000;
+/// The router answers requests at their deadline. The reducer does so itself this much later if the router
+/// has not.
+const DEADLINE_GRACE: Micros = 3_000;
+
+/// A request that waits for its final answer.
+pub(super) struct PendingRequest<W> {
+    pub class: usize,
+    pub work: Arc<W>,
+    pub deadline: Micros,
+    /// The attempts that the router has asked for, those included that were not sent.
+    pub attempts: u32,
+    pub idempotency: Idempotency,
+    /// When the first attempt was sent of those that the member may have executed.
+    pub first_maybe_executed_at: Option<Micros>,
+}
+
+impl<W> PendingRequest<W> {
+    /// An attempt that was sent at this time may have been executed.
+    pub fn mark_maybe_executed(&mut self, sent_at: Micros) {
+        let earliest = self.first_maybe_executed_at.map_or(sent_at, |first| first.min(sent_at));
+        self.first_maybe_executed_at = Some(earliest);
+    }
+
+    /// Another attempt could take effect a second time, which the request's class rules out.
+    pub fn must_not_be_repeated(&self) -> bool {
+        self.idempotency == Idempotency::AtMostOnce && self.first_maybe_executed_at.is_some()
+    }
+
+    /// How long members still recognize a repeat by its idempotency key; [`Micros::MAX`] where no key is
+    /// needed.
+    pub fn deduplication_time_left(&self, now: Micros) -> Micros {
+        match (self.idempotency, self.first_maybe_executed_at) {
+            (Idempotency::Keyed { window, .. }, Some(first)) => (first + window).saturating_sub(now),
+            _ => Micros::MAX,
+        }
+    }
+}
+
+impl<W, A> Core<W, A> {
+    /// Admits a request and hands it to the router, or rejects it.
+    pub(super) fn admit_request(&mut self, now: Micros, new_request: NewRequest<W>) {
+        let NewRequest { mut request, work } = new_request;
+        let id = request.id;
+        let Some(class) = self.settings.classes.get(request.class) else {
+            return self.answer(id, request.class, FinalAnswer::Failed { maybe_executed: false });
+        };
+        let idempotency = class.idempotency;
+        self.counters.received += 1;
+        if self.requests.len() >= self.settings.max_pending {
+            return self.answer(id, request.class, FinalAnswer::Rejected { retry_after: 0 });
+        }
+        let client_limit = request.remaining.saturating_sub(ANSWER_MARGIN);
+        request.remaining = client_limit.min(self.time_until_shutdown(now));
+        // A pipelined request may have waited for earlier commands until its time was over.
+        if request.remaining == 0 {
+            return self.answer(id, request.class, FinalAnswer::Rejected { retry_after: 0 });
+        }
+        request.remaining = request.remaining.max(MIN_REMAINING);
+        let deadline = now + request.remaining;
+        let pending = PendingRequest {
+            class: request.class,
+            work,
+            deadline,
+            attempts: 0,
+            idempotency,
+            first_maybe_executed_at: None,
+        };
+        self.requests.insert(id, pending);
+        self.timers.set(deadline + DEADLINE_GRACE, TimerEvent::RequestDeadline(id));
+        self.notify_router(now, Event::Request(request));
+    }
+
+    /// The client has gone: no answer is owed any more.
+    pub(super) fn abandon_request(&mut self, now: Micros, id: RequestId) {
+        if self.requests.remove(&id).is_none() {
+            return;
+        }
+        self.counters.abandoned += 1;
+        self.release_request(now, id);
+    }
+
+    /// Answers a request at its deadline. Guards against a request that the router still holds then: the
+    /// client is owed its answer.
+    pub(super) fn expire_request(&mut self, now: Micros, id: RequestId) {
+        let Some(pending) = self.requests.remove(&id) else { return };
+        let in_flight = self.jobs.values().any(|job| job.serves(id));
+        let maybe_executed = in_flight || pending.first_maybe_executed_at.is_some();
+        let retry_is_harmless = pending.idempotency == Idempotency::Idempotent || !maybe_executed;
+        let answer = if retry_is_harmless {
+            FinalAnswer::Rejected { retry_after: 0 }
+        } else {
+            FinalAnswer::Failed { maybe_executed }
+        };
+        self.effects.push(Effect::Log(format!("request {id} was still pending at its deadline")));
+        self.answer(id, pending.class, answer);
+        self.release_request(now, id);
+    }
+
+    /// Lets go of the attempts of a request that is no longer pending.
+    fn release_request(&mut self, now: Micros, id: RequestId) {
+        self.notify_router(now, Event::ClientLeft(id));
+        self.cancel_unsent(|_, job| job.serves(id));
+    }
+
+    /// Answers a request with what a member has sent.
+    pub(super) fn serve_request(&mut self, id: RequestId, answer: A) {
+        if let Some(pending) = self.requests.remove(&id) {
+            self.answer(id, pending.class, FinalAnswer::Served(answer));
+        }
+    }
+
+    /// Rejects a request on behalf of the router.
+    pub(super) fn reject_request(&mut self, id: RequestId, retry_after: Micros) {
+        if let Some(pending) = self.requests.remove(&id) {
+            self.answer(id, pending.class, FinalAnswer::Rejected { retry_after });
+        }
+    }
+
+    /// Fails a request on behalf of the router.
+    pub(super) fn fail_request(&mut self, id: RequestId) {
+        if let Some(pending) = self.requests.remove(&id) {
+            let maybe_executed = pending.first_maybe_executed_at.is_some();
+            self.answer(id, pending.class, FinalAnswer::Failed { maybe_executed });
+        }
+    }
+
+    /// The one place where a final answer is given and counted. An unknown class has no counters.
+    fn answer(&mut self, request: RequestId, class: usize, answer: FinalAnswer<A>) {
+        if let Some(counts) = self.counters.answers.get_mut(class) {
+            counts.count(&answer);
+        }
+        self.effects.push(Effect::Answer { request, answer });
+    }
+}
--- /dev/null
+++ b/src/core/routing.rs
@@ -0,0 +1,47 @@
+//! The exchange with the [`Router`](crate::Router): events to it, and the actions that it asks for.
+
+use super::jobs::{AttemptOrder, CancelReason, JobPurpose};
+use super::timers::TimerEvent;
+use super::{Core, Effect};
+use crate::{Action, Event, Micros};
+use std::collections::VecDeque;
+
+impl<W, A> Core<W, A> {
+    /// Notifies the router of an event and carries out what it asks for. What cannot be carried out is an
+    /// event again.
+    pub(super) fn notify_router(&mut self, now: Micros, event: Event) {
+        let mut events = VecDeque::from([event]);
+        let mut actions = Vec::new();
+        while let Some(event) = events.pop_front() {
+            self.router.handle(now, event, &mut actions);
+            for action in actions.drain(..) {
+                events.extend(self.perform(now, action));
+            }
+        }
+    }
+
+    /// Carries out one action. Returns the event that tells the router of an immediate failure.
+    fn perform(&mut self, now: Micros, action: Action) -> Option<Event> {
+        match action {
+            Action::Send { request, server, timeout, within } => {
+                let order = AttemptOrder { request, server, timeout, start_within: within };
+                return self.start_attempt(now, order);
+            }
+            Action::Probe(server) => return self.start_probe(now, server),
+            Action::Reject { request, retry_after } => self.reject_request(request, retry_after),
+            Action::Fail(request) => self.fail_request(request),
+            Action::Cancel { request, attempt } => {
+                let purpose = JobPurpose::Attempt { request, attempt };
+                let found = self.jobs.iter().find(|(_, job)| job.purpose == purpose);
+                if let Some((&job, _)) = found {
+                    self.cancel_job(job, CancelReason::NotNeeded);
+                }
+            }
+            Action::Timer { token, after } => self.timers.set(now + after, TimerEvent::Router(token)),
+            // The endpoint list is always watched.
+            Action::Subscribe => {}
+            Action::Log(text) => self.effects.push(Effect::Log(text)),
+        }
+        None
+    }
+}
--- /dev/null
+++ b/src/core/shutdown.rs
@@ -0,0 +1,26 @@
+//! Shutdown: every pending request gets its final answer before the proxy ends.
+
+use super::Core;
+use super::timers::TimerEvent;
+use crate::Micros;
+
+impl<W, A> Core<W, A> {
+    /// Brings the deadlines of all pending requests forward to the end of the proxy.
+    pub(super) fn begin_shutdown(&mut self, deadline: Micros) {
+        self.shutdown_deadline = Some(deadline);
+        for (id, pending) in &mut self.requests {
+            if pending.deadline >= deadline {
+                pending.deadline = deadline;
+                self.timers.set(deadline, TimerEvent::RequestDeadline(*id));
+            }
+        }
+    }
+
+    /// How long the proxy still runs; [`Micros::MAX`] while no shutdown has been requested.
+    pub(super) fn time_until_shutdown(&self, now: Micros) -> Micros {
+        match self.shutdown_deadline {
+            Some(deadline) => deadline.saturating_sub(now),
+            None => Micros::MAX,
+        }
+    }
+}
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,8 +1,12 @@
 //! Crossings that only the order of inputs decides: each is stepped through the reducer by hand.
 
 use super::*;
-use crate::{Class, EndpointEntry, Requirement, Role, WhenBehind};
+use crate::{
+    Class, EndpointEntry, EndpointId, EndpointState, Idempotency, LoadReport, Outcome, Requirement,
+    ResponseMetadata, Role, WhenBehind,
+};
 use std::net::SocketAddr;
+use std::sync::Arc;
 
 const MS: Micros = 1000;
 const START: Micros = 1_000_000 * MS;
