--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,8 +1,8 @@
-//! Crossings that only the order of inputs decides: each is stepped through the reducer by hand.
+//! Races that only the order of the inputs decides: each is stepped through the reducer by hand.
 
 use super::*;
 use crate::{
-    Class, EndpointEntry, EndpointId, EndpointState, Idempotency, LoadReport, Outcome, Requirement,
+    Class, EndpointEntry, EndpointId, EndpointState, Idempotency, LoadReport, Outcome, Request, Requirement,
     ResponseMetadata, Role, WhenBehind,
 };
 use std::net::SocketAddr;
@@ -10,25 +10,44 @@
 
 const MS: Micros = 1000;
 const START: Micros = 1_000_000 * MS;
+const MAX_CONNECTIONS: usize = 8;
 
+/// The classes that [`core`] knows, by index.
+const BOUNDED_READ: usize = 0;
+const KEYED_WRITE: usize = 1;
+const AT_MOST_ONCE_WRITE: usize = 2;
+
+/// How far behind a bounded read may be.
+const STALENESS_BOUND: Micros = 200 * MS;
+/// How long members recognize the key of a keyed write.
+const KEY_WINDOW: Micros = 300 * MS;
+
+type TestCore = Core<(), ()>;
 type Effects = Vec<Effect<(), ()>>;
 
 fn class(need: Requirement, idempotency: Idempotency) -> Class {
     Class { need, idempotency, aim: 400 * MS, deadline: 2000 * MS, worth: 1.0, late_share: 0.5 }
 }
 
-fn member(n: u64, listed: EndpointState) -> ListedMember {
-    let member =
-        EndpointEntry { server: EndpointId(n), group: 1, zone: 0, listed, primary_hint: n == 1, started: 0 };
-    ListedMember { entry: member, address: SocketAddr::from(([127, 0, 0, 1], n as u16)) }
+fn member(number: u16, listed: EndpointState) -> ListedMember {
+    let entry = EndpointEntry {
+        server: EndpointId(number.into()),
+        group: 1,
+        zone: 0,
+        listed,
+        primary_hint: number == 1,
+        started: 0,
+    };
+    ListedMember { entry, address: SocketAddr::from(([127, 0, 0, 1], number)) }
 }
 
-/// A core with members 1, the primary, and 2; classes: 0 bounded reads, 1 keyed writes, 2 unsafe writes.
-fn core(cancel: bool) -> Core<(), ()> {
-    let keyed = Idempotency::Keyed { anywhere: true, window: 300 * MS };
+/// A reducer with two members, of which the first is hinted to be the primary. `cancel` says whether the
+/// router may cancel attempts.
+fn core(cancel: bool) -> TestCore {
+    let keyed = Idempotency::Keyed { anywhere: true, window: KEY_WINDOW };
     let settings = Settings {
         classes: vec![
-            class(Requirement::BoundedStaleness(200 * MS), Idempotency::Idempotent),
+            class(Requirement::BoundedStaleness(STALENESS_BOUND), Idempotency::Idempotent),
             class(Requirement::Write, keyed),
             class(Requirement::Write, Idempotency::AtMostOnce),
         ],
@@ -37,128 +56,161 @@
         cancel,
         ..Settings::default()
     };
-    let mut core = Core::new(settings, 7, START, 8);
+    let mut core = Core::new(settings, 7, START, MAX_CONNECTIONS);
     let members = vec![member(1, EndpointState::Ready), member(2, EndpointState::Ready)];
     core.step(START, Input::EndpointUpdate { full: true, members });
     core
 }
 
-fn ask(core: &mut Core<(), ()>, now: Micros, id: RequestId, class: usize) -> Effects {
-    let request = crate::Request { id, class, group: 1, remaining: 1900 * MS, ..Default::default() };
+fn receive_request(core: &mut TestCore, now: Micros, id: RequestId, class: usize) -> Effects {
+    let request = Request { id, class, group: 1, remaining: 1900 * MS, ..Default::default() };
     core.step(now, Input::RequestReceived(NewRequest { request, work: Arc::new(()) }))
 }
 
-/// The link and the job of the only attempt among the effects, and within what it must begin.
-fn carried(effects: &Effects) -> (ConnectionId, JobId, Micros) {
-    let mut jobs = effects.iter().filter_map(|e| match e {
-        Effect::StartJob { connection: link, job, spec: JobSpec::Attempt { start_within: within, .. } } => {
-            Some((*link, *job, *within))
-        }
-        _ => None,
-    });
-    let first = jobs.next().expect("an attempt");
-    assert!(jobs.next().is_none());
-    first
+/// The attempt that some effects start.
+struct StartedAttempt {
+    connection: ConnectionId,
+    job: JobId,
+    start_within: Micros,
 }
 
-fn recalled(effects: &Effects) -> Vec<JobId> {
-    effects
-        .iter()
-        .filter_map(|e| if let Effect::CancelUnsentJob { job, .. } = e { Some(*job) } else { None })
-        .collect()
+impl StartedAttempt {
+    /// The only attempt that is started among the effects.
+    fn only_one_in(effects: &Effects) -> Self {
+        let mut attempts = effects.iter().filter_map(|effect| match effect {
+            Effect::StartJob { connection, job, spec: JobSpec::Attempt { start_within, .. } } => {
+                Some(StartedAttempt { connection: *connection, job: *job, start_within: *start_within })
+            }
+            _ => None,
+        });
+        let first = attempts.next().expect("an attempt");
+        assert!(attempts.next().is_none());
+        first
+    }
+
+    /// The input that tells of its end; the connection stays open.
+    fn finished(&self, outcome: Outcome, role: Role, position: Micros) -> Input<(), ()> {
+        let metadata = ResponseMetadata { role: Some(role), position: Some(position) };
+        let answer = (outcome == Outcome::Ok).then_some(());
+        let result = JobResult { outcome, metadata, report: LoadReport::default(), answer };
+        Input::JobFinished { connection: self.connection, job: self.job, result, reusable: true }
+    }
+
+    /// The input that tells of its cancellation before it was sent; the connection stays open.
+    fn cancelled_unsent(&self) -> Input<(), ()> {
+        Input::JobCancelled { job: self.job, maybe_sent: false, reusable: true }
+    }
+}
+
+/// Receives a request and returns the attempt that it starts.
+fn start_request(core: &mut TestCore, now: Micros, id: RequestId, class: usize) -> StartedAttempt {
+    StartedAttempt::only_one_in(&receive_request(core, now, id, class))
+}
+
+/// The jobs that are cancelled if they have not been started.
+fn unsent_cancellations(effects: &Effects) -> Vec<JobId> {
+    let cancellation = |effect: &Effect<(), ()>| match effect {
+        Effect::CancelUnsentJob { job, .. } => Some(*job),
+        _ => None,
+    };
+    effects.iter().filter_map(cancellation).collect()
 }
 
-fn ended(link: ConnectionId, job: JobId, outcome: Outcome, role: Role, position: Micros) -> Input<(), ()> {
-    let metadata = ResponseMetadata { role: Some(role), position: Some(position) };
-    let answer = (outcome == Outcome::Ok).then_some(());
-    let ending = JobResult { outcome, metadata, report: LoadReport::default(), answer };
-    Input::JobFinished { connection: link, job, result: ending, reusable: true }
+fn closes(effects: &Effects, connection: ConnectionId) -> bool {
+    effects.iter().any(|effect| matches!(effect, Effect::CloseConnection(closed) if *closed == connection))
 }
 
 #[test]
-fn an_attempt_that_has_not_begun_is_recalled_when_its_client_leaves_whatever_may_be_cancelled() {
+fn unsent_attempt_is_cancelled_when_its_client_disconnects_even_if_the_router_may_not_cancel() {
     let mut core = core(false);
-    let (_, job, _) = carried(&ask(&mut core, START, 1, 2));
-    assert_eq!(recalled(&core.step(START + MS, Input::ClientDisconnected(1))), [job]);
-    // The answer to the recall ends it; nothing is owed, and nothing follows.
-    let after = core.step(START + MS, Input::JobCancelled { job, maybe_sent: false, reusable: true });
-    assert!(after.is_empty());
+    let attempt = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
+    let effects = core.step(START + MS, Input::ClientDisconnected(1));
+    assert_eq!(unsent_cancellations(&effects), [attempt.job]);
+    // The reply to the cancellation ends the attempt; no answer is owed, and nothing follows.
+    let effects = core.step(START + MS, attempt.cancelled_unsent());
+    assert!(effects.is_empty());
 }
 
 #[test]
-fn an_attempt_that_has_not_begun_is_recalled_when_its_member_drains_and_goes_on_at_no_charge() {
+fn unsent_attempt_is_cancelled_when_its_member_leaves_service_and_its_request_stays_pending() {
     for full in [false, true] {
         let mut core = core(true);
-        let (link, job, _) = carried(&ask(&mut core, START, 1, 2));
-        core.step(START + MS, ended(link, job, Outcome::Ok, Role::Primary, START));
-        let (_, job, _) = carried(&ask(&mut core, START + 2 * MS, 2, 2));
+        let first = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
+        core.step(START + MS, first.finished(Outcome::Ok, Role::Primary, START));
+        let second = start_request(&mut core, START + 2 * MS, 2, AT_MOST_ONCE_WRITE);
         let members = if full {
             vec![member(2, EndpointState::Ready)]
         } else {
             vec![member(1, EndpointState::Draining)]
         };
-        assert_eq!(recalled(&core.step(START + 3 * MS, Input::EndpointUpdate { full, members })), [job]);
-        let after = core.step(START + 3 * MS, Input::JobCancelled { job, maybe_sent: false, reusable: true });
-        assert!(!after.iter().any(|e| matches!(e, Effect::Answer { .. })), "it goes on: {full}");
+        let effects = core.step(START + 3 * MS, Input::EndpointUpdate { full, members });
+        assert_eq!(unsent_cancellations(&effects), [second.job]);
+        let effects = core.step(START + 3 * MS, second.cancelled_unsent());
+        let answered = effects.iter().any(|effect| matches!(effect, Effect::Answer { .. }));
+        assert!(!answered, "the request goes on; full update: {full}");
     }
 }
 
 #[test]
-fn a_bounded_read_says_how_long_its_data_is_young_enough_and_is_recalled_then() {
+fn bounded_read_must_start_while_the_replica_is_fresh_enough_and_is_cancelled_afterwards() {
     let mut core = core(true);
-    // Member 2 is heard as a replica whose data is 150 ms old.
-    let first = ask(&mut core, START, 1, 2);
-    let (link, job, _) = carried(&first);
-    let more = core.step(START, ended(link, job, Outcome::NotServable, Role::Replica, START - 150 * MS));
-    let (link, job, _) = carried(&more);
-    core.step(START + MS, ended(link, job, Outcome::Ok, Role::Primary, START));
-    let (_, job, within) = carried(&ask(&mut core, START + 10 * MS, 2, 0));
-    assert_eq!(within, 40 * MS, "200 ms less the 160 ms that it is old by now");
-    assert!(recalled(&core.step(START + 49 * MS, Input::TimerDue)).is_empty());
-    assert_eq!(recalled(&core.step(START + 51 * MS, Input::TimerDue)), [job]);
+    // The first attempt reaches a replica whose data is 150 ms old, the second one the primary.
+    let first = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
+    let effects = core.step(START, first.finished(Outcome::NotServable, Role::Replica, START - 150 * MS));
+    let second = StartedAttempt::only_one_in(&effects);
+    core.step(START + MS, second.finished(Outcome::Ok, Role::Primary, START));
+
+    let read = start_request(&mut core, START + 10 * MS, 2, BOUNDED_READ);
+    assert_eq!(read.start_within, 40 * MS, "the bound of 200 ms less an age of 160 ms by now");
+    let effects = core.step(START + 49 * MS, Input::TimerDue);
+    assert!(unsent_cancellations(&effects).is_empty());
+    let effects = core.step(START + 51 * MS, Input::TimerDue);
+    assert_eq!(unsent_cancellations(&effects), [read.job]);
 }
 
 #[test]
-fn a_repeat_must_begin_within_the_window_of_what_may_have_run() {
+fn keyed_retry_must_start_within_the_key_window_of_the_first_attempt() {
     let mut core = core(true);
-    let (link, job, within) = carried(&ask(&mut core, START, 1, 1));
-    assert_eq!(within, Micros::MAX);
-    let again = core.step(START + 100 * MS, ended(link, job, Outcome::Error, Role::Primary, START));
-    let within = carried(&again).2;
-    assert_eq!(within, 200 * MS, "300 ms from the first, of which 100 are over");
+    let first = start_request(&mut core, START, 1, KEYED_WRITE);
+    assert_eq!(first.start_within, Micros::MAX);
+    let effects = core.step(START + 100 * MS, first.finished(Outcome::Error, Role::Primary, START));
+    let retry = StartedAttempt::only_one_in(&effects);
+    assert_eq!(retry.start_within, 200 * MS, "the window of 300 ms less the 100 ms that have passed");
 }
 
 #[test]
-fn a_link_that_was_cut_as_its_job_ended_is_not_used_again() {
+fn connection_closed_just_as_its_job_finished_is_not_reused() {
     let mut core = core(true);
-    let (link, job, _) = carried(&ask(&mut core, START, 1, 2));
-    // The time of the attempt is up; its end is on the way already, and says that the link is open.
-    let late = core.step(START + 2000 * MS, Input::TimerDue);
-    assert!(late.iter().any(|e| matches!(e, Effect::CancelJob { .. })));
-    core.step(START + 2000 * MS, Input::JobCancelled { job, maybe_sent: true, reusable: false });
-    let end = core.step(START + 2000 * MS, ended(link, job, Outcome::Ok, Role::Primary, START));
-    assert!(end.iter().any(|e| matches!(e, Effect::CloseConnection(l) if *l == link)), "closed for good");
-    core.step(START + 2000 * MS, Input::ConnectionClosed(link));
-    let next = ask(&mut core, START + 2001 * MS, 2, 2);
-    assert!(next.iter().any(|e| matches!(e, Effect::OpenConnection { .. })), "the next one opens its own");
-    assert_ne!(carried(&next).0, link);
+    let attempt = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
+    // The attempt times out while its result is on the way, which says that the connection is reusable.
+    let now = START + 2000 * MS;
+    let effects = core.step(now, Input::TimerDue);
+    assert!(effects.iter().any(|effect| matches!(effect, Effect::CancelJob { .. })));
+    core.step(now, Input::JobCancelled { job: attempt.job, maybe_sent: true, reusable: false });
+    let effects = core.step(now, attempt.finished(Outcome::Ok, Role::Primary, START));
+    assert!(closes(&effects, attempt.connection), "it is closed for good");
+    core.step(now, Input::ConnectionClosed(attempt.connection));
+
+    let effects = receive_request(&mut core, START + 2001 * MS, 2, AT_MOST_ONCE_WRITE);
+    let opens_connection = effects.iter().any(|effect| matches!(effect, Effect::OpenConnection { .. }));
+    assert!(opens_connection, "the next request opens its own connection");
+    assert_ne!(StartedAttempt::only_one_in(&effects).connection, attempt.connection);
 }
 
 #[test]
-fn a_link_to_where_its_member_was_is_not_used_again() {
+fn connection_to_the_former_address_of_a_member_is_not_reused() {
     let mut core = core(true);
-    let (link, job, _) = carried(&ask(&mut core, START, 1, 2));
-    let there = SocketAddr::from(([127, 0, 0, 1], 99));
-    core.step(
-        START + MS,
-        Input::EndpointUpdate {
-            full: false,
-            members: vec![ListedMember { address: there, ..member(1, EndpointState::Ready) }],
-        },
-    );
-    let end = core.step(START + 2 * MS, ended(link, job, Outcome::Ok, Role::Primary, START));
-    assert!(end.iter().any(|e| matches!(e, Effect::CloseConnection(l) if *l == link)));
-    core.step(START + 2 * MS, Input::ConnectionClosed(link));
-    let next = ask(&mut core, START + 3 * MS, 2, 2);
-    assert!(next.iter().any(|e| matches!(e, Effect::OpenConnection { address, .. } if *address == there)));
+    let attempt = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
+    let new_address = SocketAddr::from(([127, 0, 0, 1], 99));
+    let moved = ListedMember { address: new_address, ..member(1, EndpointState::Ready) };
+    core.step(START + MS, Input::EndpointUpdate { full: false, members: vec![moved] });
+    let effects = core.step(START + 2 * MS, attempt.finished(Outcome::Ok, Role::Primary, START));
+    assert!(closes(&effects, attempt.connection));
+    core.step(START + 2 * MS, Input::ConnectionClosed(attempt.connection));
+
+    let effects = receive_request(&mut core, START + 3 * MS, 2, AT_MOST_ONCE_WRITE);
+    let opens_new_address = effects
+        .iter()
+        .any(|effect| matches!(effect, Effect::OpenConnection { address, .. } if *address == new_address));
+    assert!(opens_new_address);
 }
