--- a/src/core/connections.rs
+++ b/src/core/connections.rs
@@ -38,17 +38,17 @@
                 EndpointState::Draining | EndpointState::Gone => out_of_service.insert(entry.server),
             };
         }
-        let entries = members.into_iter().map(|member| member.entry).collect();
-        self.notify_router(now, Event::EndpointUpdate { full, members: entries });
+        let endpoints = members.into_iter().map(|member| member.entry).collect();
+        self.notify_router(now, Event::EndpointUpdate { full, members: endpoints });
         self.cancel_unsent(|_, job| {
-            let removed = full && !in_service.contains(&job.server);
-            removed || out_of_service.contains(&job.server)
+            let removed = full && !in_service.contains(&job.endpoint);
+            removed || out_of_service.contains(&job.endpoint)
         });
     }
 
     /// Takes a connection to a member out of the pool; opens one where none is idle.
-    pub(super) fn check_out(&mut self, server: EndpointId) -> Option<JobConnection> {
-        match self.pool.check_out(server) {
+    pub(super) fn check_out(&mut self, endpoint: EndpointId) -> Option<JobConnection> {
+        match self.pool.check_out(endpoint) {
             Checkout::Unavailable => None,
             Checkout::Reused { connection, idle_since } => {
                 Some(JobConnection { id: connection, idle_since: Some(idle_since) })
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -36,7 +36,7 @@
 /// A job that a connection has been given and whose result is not known yet.
 pub(super) struct InFlightJob {
     pub connection: ConnectionId,
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     pub purpose: JobPurpose,
     /// The connection was idle before, not new.
     reused: bool,
@@ -60,7 +60,7 @@
 /// An attempt that the router asks for.
 pub(super) struct AttemptOrder {
     pub request: RequestId,
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     pub timeout: Micros,
     /// It must be started within this time, or not at all.
     pub start_within: Micros,
@@ -69,7 +69,7 @@
 impl<W, A> Core<W, A> {
     /// Starts an attempt. Returns the event that tells the router if it could not be sent.
     pub(super) fn start_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<Event> {
-        let AttemptOrder { request, server, .. } = order;
+        let AttemptOrder { request, endpoint, .. } = order;
         let pending = self.requests.get_mut(&request)?;
         let attempt = pending.attempts;
         pending.attempts += 1;
@@ -81,15 +81,15 @@
         let idempotency = pending.idempotency;
         let work = pending.work.clone();
         if !allowed {
-            return Some(never_sent(request, attempt, server));
+            return Some(never_sent(request, attempt, endpoint));
         }
-        let Some(connection) = self.check_out(server) else {
-            return Some(never_sent(request, attempt, server));
+        let Some(connection) = self.check_out(endpoint) else {
+            return Some(never_sent(request, attempt, endpoint));
         };
         let verify_connection = self.must_verify(now, &connection, idempotency);
         let spec = JobSpec::Attempt { work, timeout, start_within, verify_connection };
         let purpose = JobPurpose::Attempt { request, attempt };
-        let job = self.start_job(now, connection, server, purpose, timeout, spec);
+        let job = self.start_job(now, connection, endpoint, purpose, timeout, spec);
         if start_within < timeout {
             self.timers.set(now.saturating_add(start_within), TimerEvent::StartLimit(job));
         }
@@ -97,11 +97,11 @@
     }
 
     /// Starts a probe. Returns the event that tells the router if that is impossible.
-    pub(super) fn start_probe(&mut self, now: Micros, server: EndpointId) -> Option<Event> {
-        let Some(connection) = self.check_out(server) else {
-            return Some(Event::Probed { server, answered: false, report: LoadReport::default() });
+    pub(super) fn start_probe(&mut self, now: Micros, endpoint: EndpointId) -> Option<Event> {
+        let Some(connection) = self.check_out(endpoint) else {
+            return Some(Event::Probed { server: endpoint, answered: false, report: LoadReport::default() });
         };
-        self.start_job(now, connection, server, JobPurpose::Probe, PROBE_TIMEOUT, JobSpec::Probe);
+        self.start_job(now, connection, endpoint, JobPurpose::Probe, PROBE_TIMEOUT, JobSpec::Probe);
         None
     }
 
@@ -109,7 +109,7 @@
         &mut self,
         now: Micros,
         connection: JobConnection,
-        server: EndpointId,
+        endpoint: EndpointId,
         purpose: JobPurpose,
         timeout: Micros,
         spec: JobSpec<W>,
@@ -118,7 +118,7 @@
         let job = self.last_job;
         let in_flight = InFlightJob {
             connection: connection.id,
-            server,
+            endpoint,
             purpose,
             reused: connection.idle_since.is_some(),
             started_at: now,
@@ -179,7 +179,7 @@
             JobPurpose::Probe => {
                 let answered = result.outcome == Outcome::Ok;
                 let report = result.report;
-                self.notify_router(now, Event::Probed { server: job.server, answered, report });
+                self.notify_router(now, Event::Probed { server: job.endpoint, answered, report });
             }
         }
     }
@@ -209,8 +209,16 @@
             self.distrust_idle_connections(now);
         }
         let finished = !self.requests.contains_key(&request);
-        let server = job.server;
-        let ended = AttemptResult { request, attempt, server, outcome, elapsed, metadata, finished, report };
+        let ended = AttemptResult {
+            request,
+            attempt,
+            server: job.endpoint,
+            outcome,
+            elapsed,
+            metadata,
+            finished,
+            report,
+        };
         self.notify_router(now, Event::AttemptEnded(ended));
     }
 }
@@ -230,11 +238,11 @@
     result.report.position = result.report.position.filter(is_possible);
 }
 
-fn never_sent(request: RequestId, attempt: u32, server: EndpointId) -> Event {
+fn never_sent(request: RequestId, attempt: u32, endpoint: EndpointId) -> Event {
     Event::AttemptEnded(AttemptResult {
         request,
         attempt,
-        server,
+        server: endpoint,
         outcome: Outcome::NeverSent,
         elapsed: 0,
         metadata: ResponseMetadata::default(),
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -13,7 +13,7 @@
 const FORGET_GONE_AFTER: Micros = 30_000_000;
 
 struct Connection {
-    server: EndpointId,
+    endpoint: EndpointId,
     address: SocketAddr,
     idle_since: Option<Micros>,
     /// It was closed in the middle of a job: it is not reused, whatever the job still reports.
@@ -88,8 +88,8 @@
             self.members.entry(entry.server).or_default().address = Some(*address);
         }
         let mut to_close = Vec::new();
-        for (server, member) in &mut self.members {
-            let listed = listed.iter().find(|listed| listed.entry.server == *server);
+        for (endpoint, member) in &mut self.members {
+            let listed = listed.iter().find(|listed| listed.entry.server == *endpoint);
             let state = listed.map(|listed| listed.entry.listed);
             let out_of_service = state.map_or(full, |state| state != EndpointState::Ready);
             to_close.extend(member.remove_unusable(out_of_service, &self.connections));
@@ -100,8 +100,8 @@
     }
 
     /// Takes the most recently used idle connection to a member, or a new one if there is room.
-    pub fn check_out(&mut self, server: EndpointId) -> Checkout {
-        let Some(member) = self.members.get_mut(&server) else {
+    pub fn check_out(&mut self, endpoint: EndpointId) -> Checkout {
+        let Some(member) = self.members.get_mut(&endpoint) else {
             return Checkout::Unavailable;
         };
         if let Some(connection) = member.idle.pop()
@@ -120,15 +120,15 @@
             }
         }
         self.last_id += 1;
-        let connection = Connection { server, address, idle_since: None, broken: false };
+        let connection = Connection { endpoint, address, idle_since: None, broken: false };
         self.connections.insert(self.last_id, connection);
         Checkout::New { connection: self.last_id, address, evicted }
     }
 
     fn evict_longest_idle(&mut self) -> Option<ConnectionId> {
-        let idle = self.connections.iter().filter_map(|(id, c)| Some((c.idle_since?, *id, c.server)));
-        let (_, oldest, server) = idle.min()?;
-        if let Some(member) = self.members.get_mut(&server) {
+        let idle = self.connections.iter().filter_map(|(id, c)| Some((c.idle_since?, *id, c.endpoint)));
+        let (_, oldest, endpoint) = idle.min()?;
+        if let Some(member) = self.members.get_mut(&endpoint) {
             member.remove_idle(oldest);
         }
         self.connections.remove(&oldest);
@@ -147,7 +147,7 @@
         if connection.broken {
             return CheckIn::Close;
         }
-        match self.members.get_mut(&connection.server) {
+        match self.members.get_mut(&connection.endpoint) {
             Some(member) if member.address == Some(connection.address) => {
                 connection.idle_since = Some(now);
                 member.idle.push(connection_id);
@@ -181,7 +181,7 @@
     /// A connection has been closed.
     pub fn remove(&mut self, connection: ConnectionId) {
         if let Some(removed) = self.connections.remove(&connection)
-            && let Some(member) = self.members.get_mut(&removed.server)
+            && let Some(member) = self.members.get_mut(&removed.endpoint)
         {
             member.remove_idle(connection);
         }
--- a/src/core/routing.rs
+++ b/src/core/routing.rs
@@ -23,11 +23,11 @@
     /// Carries out one action. Returns the event that tells the router of an immediate failure.
     fn perform(&mut self, now: Micros, action: Action) -> Option<Event> {
         match action {
-            Action::Send { request, server, timeout, within } => {
-                let order = AttemptOrder { request, server, timeout, start_within: within };
+            Action::Send { request, server: endpoint, timeout, within: start_within } => {
+                let order = AttemptOrder { request, endpoint, timeout, start_within };
                 return self.start_attempt(now, order);
             }
-            Action::Probe(server) => return self.start_probe(now, server),
+            Action::Probe(endpoint) => return self.start_probe(now, endpoint),
             Action::Reject { request, retry_after } => self.reject_request(request, retry_after),
             Action::Fail(request) => self.fail_request(request),
             Action::Cancel { request, attempt } => {
