--- /dev/null
+++ b/src/extended/execution.rs
@@ -0,0 +1,245 @@
+//! The execution of one batch on one member connection: the messages to write, the replies to expect, and
+//! which of these go to the client.
+
+use super::batch::{ExtendedBatch, ExtendedMessage, PreparedStatement};
+use super::statement_cache::{CacheLookup, PreparedStatementCache};
+use crate::pg;
+use crate::pg::message_tags::{backend, frontend};
+use std::collections::VecDeque;
+use std::sync::Arc;
+
+/// What a Describe or a Close refers to, as its first byte says.
+const STATEMENT: &[u8] = b"S";
+const PORTAL: &[u8] = b"P";
+/// Ends a name in a message.
+const NUL: &[u8] = &[0];
+
+/// The next reply of the member, or of the proxy in its place.
+enum ExpectedReply {
+    /// The proxy answers for the member, with a message that is nothing but this type byte and its length.
+    Synthesized(u8),
+    ParseComplete {
+        statement: Arc<PreparedStatement>,
+        forwarded: bool,
+    },
+    BindComplete {
+        forwarded: bool,
+    },
+    ParameterDescription,
+    /// RowDescription or NoData.
+    RowDescription,
+    /// The rows of an Execute, up to what ends them.
+    ExecuteResult,
+    CloseComplete {
+        forwarded: bool,
+    },
+}
+
+/// How a reply fits the one that was expected.
+struct Fit {
+    /// The reply completes what was expected.
+    completes: bool,
+    /// The reply is the client's.
+    forwarded: bool,
+}
+
+impl ExpectedReply {
+    /// How a reply of this type fits; `None` if the protocol does not allow it here.
+    fn fit(&self, tag: u8) -> Option<Fit> {
+        use backend::*;
+        let (allowed, forwarded) = match self {
+            ExpectedReply::Synthesized(_) => (false, false),
+            ExpectedReply::ParseComplete { forwarded, .. } => (tag == PARSE_COMPLETE, *forwarded),
+            ExpectedReply::BindComplete { forwarded } => (tag == BIND_COMPLETE, *forwarded),
+            ExpectedReply::ParameterDescription => (tag == PARAMETER_DESCRIPTION, true),
+            ExpectedReply::RowDescription => (matches!(tag, ROW_DESCRIPTION | NO_DATA), true),
+            ExpectedReply::ExecuteResult => {
+                (matches!(tag, DATA_ROW | COMMAND_COMPLETE | PORTAL_SUSPENDED | EMPTY_QUERY_RESPONSE), true)
+            }
+            ExpectedReply::CloseComplete { forwarded } => (tag == CLOSE_COMPLETE, *forwarded),
+        };
+        let completes = tag != DATA_ROW;
+        allowed.then_some(Fit { completes, forwarded })
+    }
+}
+
+/// What follows from a reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Progress {
+    /// More replies are due.
+    AwaitingReplies,
+    /// ReadyForQuery: the batch has ended.
+    Complete,
+    /// The member does not keep to the protocol.
+    ProtocolViolation,
+}
+
+/// The messages of a batch for one connection, and the replies to it so far.
+#[derive(Default)]
+pub struct BatchExecution {
+    /// The messages before the first Execute; all messages of a batch that executes nothing.
+    pub pre_execute: Vec<u8>,
+    /// The messages from the first Execute on.
+    pub from_execute: Vec<u8>,
+    /// An Execute has been added: messages go to `from_execute`.
+    executes: bool,
+    expected: VecDeque<ExpectedReply>,
+    /// How many of the expected replies belong to `from_execute`.
+    expected_from_execute: usize,
+    /// The client's replies.
+    pub response: Vec<u8>,
+    /// The SQLSTATE of the error that ended the batch.
+    pub error: Option<Vec<u8>>,
+}
+
+impl BatchExecution {
+    /// Prepares the execution of a batch on the connection that has these statements. What the batch prepares
+    /// counts as prepared there from now on.
+    pub fn new(batch: &ExtendedBatch, statements: &mut PreparedStatementCache) -> BatchExecution {
+        let mut execution = BatchExecution::default();
+        let mut expected_before_execute = 0;
+        for message in &batch.messages {
+            if matches!(message, ExtendedMessage::Execute { .. }) && !execution.executes {
+                execution.executes = true;
+                expected_before_execute = execution.expected.len();
+            }
+            execution.add(message, statements);
+        }
+        if execution.executes {
+            execution.expected_from_execute = execution.expected.len() - expected_before_execute;
+        }
+        execution
+    }
+
+    fn add(&mut self, message: &ExtendedMessage, statements: &mut PreparedStatementCache) {
+        match message {
+            ExtendedMessage::Parse(statement) => {
+                self.add_statement(statement, statements, true);
+            }
+            ExtendedMessage::Bind { portal, statement, arguments, reply_forwarded } => {
+                let name = self.add_statement(statement, statements, false);
+                self.put(frontend::BIND, &[portal, NUL, name.as_bytes(), NUL, arguments]);
+                self.expected.push_back(ExpectedReply::BindComplete { forwarded: *reply_forwarded });
+            }
+            ExtendedMessage::DescribeStatement(statement) => {
+                let name = self.add_statement(statement, statements, false);
+                self.put(frontend::DESCRIBE, &[STATEMENT, name.as_bytes(), NUL]);
+                self.expected.push_back(ExpectedReply::ParameterDescription);
+                self.expected.push_back(ExpectedReply::RowDescription);
+            }
+            ExtendedMessage::DescribePortal(portal) => {
+                self.put(frontend::DESCRIBE, &[PORTAL, portal, NUL]);
+                self.expected.push_back(ExpectedReply::RowDescription);
+            }
+            ExtendedMessage::Execute { portal, row_limit } => {
+                self.put(frontend::EXECUTE, &[portal, NUL, row_limit]);
+                self.expected.push_back(ExpectedReply::ExecuteResult);
+            }
+            ExtendedMessage::ClosePortal(portal) => {
+                self.put(frontend::CLOSE, &[PORTAL, portal, NUL]);
+                self.expected.push_back(ExpectedReply::CloseComplete { forwarded: true });
+            }
+            ExtendedMessage::CloseStatement => {
+                self.expected.push_back(ExpectedReply::Synthesized(backend::CLOSE_COMPLETE));
+            }
+        }
+    }
+
+    /// Makes sure that the member has a statement: its name there. `requested` says that the client asked for
+    /// it to be prepared and is owed a ParseComplete.
+    pub(super) fn add_statement(
+        &mut self,
+        statement: &Arc<PreparedStatement>,
+        statements: &mut PreparedStatementCache,
+        requested: bool,
+    ) -> String {
+        match statements.look_up(statement) {
+            CacheLookup::Hit { name } => {
+                if requested {
+                    self.expected.push_back(ExpectedReply::Synthesized(backend::PARSE_COMPLETE));
+                }
+                name
+            }
+            CacheLookup::Miss { name, evicted } => {
+                for evicted_name in evicted {
+                    self.put(frontend::CLOSE, &[STATEMENT, evicted_name.as_bytes(), NUL]);
+                    self.expected.push_back(ExpectedReply::CloseComplete { forwarded: false });
+                }
+                self.put(
+                    frontend::PARSE,
+                    &[name.as_bytes(), NUL, &statement.sql, NUL, &statement.parameter_types],
+                );
+                let statement = statement.clone();
+                self.expected.push_back(ExpectedReply::ParseComplete { statement, forwarded: requested });
+                name
+            }
+        }
+    }
+
+    fn put(&mut self, tag: u8, parts: &[&[u8]]) {
+        let messages = if self.executes { &mut self.from_execute } else { &mut self.pre_execute };
+        pg::put_message(messages, tag, parts);
+    }
+
+    /// Adds the proxy's own replies that are due next to the response.
+    fn add_synthesized_replies(&mut self) {
+        while let Some(ExpectedReply::Synthesized(tag)) = self.expected.front() {
+            pg::put_message(&mut self.response, *tag, &[]);
+            self.expected.pop_front();
+        }
+    }
+
+    /// Whether all messages of `pre_execute` have been answered, or one of them by an error.
+    pub fn pre_execute_answered(&mut self) -> bool {
+        if self.error.is_none() && self.expected.len() > self.expected_from_execute {
+            self.add_synthesized_replies();
+        }
+        self.error.is_some() || self.expected.len() <= self.expected_from_execute
+    }
+
+    /// Takes a reply of the member: its type byte and the whole message.
+    pub fn on_reply(&mut self, statements: &mut PreparedStatementCache, tag: u8, message: &[u8]) -> Progress {
+        if tag == backend::NOTICE_RESPONSE || tag == backend::PARAMETER_STATUS {
+            return Progress::AwaitingReplies;
+        }
+        self.add_synthesized_replies();
+        if tag == backend::READY_FOR_QUERY {
+            let complete = self.error.is_some() || self.expected.is_empty();
+            return if complete { Progress::Complete } else { Progress::ProtocolViolation };
+        }
+        if self.error.is_some() {
+            return Progress::AwaitingReplies;
+        }
+        if tag == backend::ERROR_RESPONSE {
+            self.on_error(statements, message);
+            return Progress::AwaitingReplies;
+        }
+        self.on_expected_reply(tag, message)
+    }
+
+    fn on_error(&mut self, statements: &mut PreparedStatementCache, message: &[u8]) {
+        let code = pg::error_field(pg::message_body(message), b'C').unwrap_or_default();
+        self.error = Some(code.to_vec());
+        self.response.extend_from_slice(message);
+        // The member skips all messages after the error: what they were to prepare is not prepared.
+        for expected in self.expected.drain(..) {
+            if let ExpectedReply::ParseComplete { statement, .. } = expected {
+                statements.remove(&statement);
+            }
+        }
+    }
+
+    fn on_expected_reply(&mut self, tag: u8, message: &[u8]) -> Progress {
+        let Some(fit) = self.expected.front().and_then(|expected| expected.fit(tag)) else {
+            return Progress::ProtocolViolation;
+        };
+        if fit.forwarded {
+            self.response.extend_from_slice(message);
+        }
+        if fit.completes {
+            self.expected.pop_front();
+        }
+        self.add_synthesized_replies();
+        Progress::AwaitingReplies
+    }
+}
--- /dev/null
+++ b/src/extended/tests.rs
@@ -0,0 +1,111 @@
+use super::*;
+use crate::pg;
+use std::collections::HashSet;
+use std::sync::Arc;
+
+fn statement(sql: &[u8]) -> Arc<PreparedStatement> {
+    Arc::new(PreparedStatement { sql: sql.to_vec(), parameter_types: vec![0, 0] })
+}
+
+fn bind(statement: &Arc<PreparedStatement>) -> ExtendedMessage {
+    ExtendedMessage::Bind {
+        portal: Vec::new(),
+        statement: statement.clone(),
+        arguments: vec![0; 6],
+        reply_forwarded: true,
+    }
+}
+
+fn execute() -> ExtendedMessage {
+    ExtendedMessage::Execute { portal: Vec::new(), row_limit: vec![0; 4] }
+}
+
+/// A reply without a body.
+fn reply(tag: u8) -> Vec<u8> {
+    let mut message = Vec::new();
+    pg::put_message(&mut message, tag, &[]);
+    message
+}
+
+/// The type bytes of these messages.
+fn tags(mut messages: &[u8]) -> String {
+    let mut tags = String::new();
+    while messages.len() >= 5 {
+        tags.push(messages[0] as char);
+        let length = u32::from_be_bytes([messages[1], messages[2], messages[3], messages[4]]) as usize;
+        messages = &messages[length + 1..];
+    }
+    tags
+}
+
+#[test]
+fn a_missing_statement_is_prepared_and_its_parse_complete_is_not_forwarded() {
+    let mut statements = PreparedStatementCache::default();
+    let select = statement(b"SELECT 1");
+    let batch = ExtendedBatch { messages: vec![bind(&select), execute()], confirm_before_execute: true };
+    let mut first = BatchExecution::new(&batch, &mut statements);
+    assert_eq!((tags(&first.pre_execute), tags(&first.from_execute)), ("PB".into(), "E".into()));
+    for tag in *b"12" {
+        assert!(!first.pre_execute_answered());
+        assert_eq!(first.on_reply(&mut statements, tag, &reply(tag)), Progress::AwaitingReplies);
+    }
+    assert!(first.pre_execute_answered());
+    first.on_reply(&mut statements, b'C', &reply(b'C'));
+    assert_eq!(first.on_reply(&mut statements, b'Z', &reply(b'Z')), Progress::Complete);
+    assert_eq!(tags(&first.response), "2C");
+    let second = BatchExecution::new(&batch, &mut statements);
+    assert_eq!(tags(&second.pre_execute), "B", "the statement is prepared by now");
+}
+
+#[test]
+fn parse_of_a_statement_already_prepared_by_another_client_is_answered_by_the_proxy_in_order() {
+    let mut statements = PreparedStatementCache::default();
+    let select = statement(b"SELECT 1");
+    let batch = || ExtendedBatch {
+        messages: vec![ExtendedMessage::Parse(select.clone()), bind(&select), execute()],
+        confirm_before_execute: false,
+    };
+    BatchExecution::new(&batch(), &mut statements);
+    let mut second = BatchExecution::new(&batch(), &mut statements);
+    assert_eq!(tags(&second.pre_execute), "B");
+    for tag in *b"2C" {
+        second.on_reply(&mut statements, tag, &reply(tag));
+    }
+    assert_eq!(tags(&second.response), "12C");
+}
+
+#[test]
+fn statements_skipped_after_an_error_do_not_count_as_prepared() {
+    let mut statements = PreparedStatementCache::default();
+    let misspelt = statement(b"SELEC 1");
+    let batch = ExtendedBatch { messages: vec![bind(&misspelt), execute()], confirm_before_execute: false };
+    let mut execution = BatchExecution::new(&batch, &mut statements);
+    let mut error = Vec::new();
+    pg::put_error_response(&mut error, "ERROR", "42601", "syntax", None);
+    execution.on_reply(&mut statements, b'E', &error);
+    assert_eq!(execution.on_reply(&mut statements, b'Z', &reply(b'Z')), Progress::Complete);
+    assert_eq!(tags(&BatchExecution::new(&batch, &mut statements).pre_execute), "PB");
+}
+
+#[test]
+fn the_statement_cache_is_bounded_and_never_reuses_names() {
+    let mut statements = PreparedStatementCache::default();
+    let mut names = HashSet::new();
+    for n in 0..500 {
+        let select = statement(format!("SELECT {n}").as_bytes());
+        let mut execution = BatchExecution::default();
+        assert!(names.insert(execution.add_statement(&select, &mut statements, true)));
+        assert_eq!(tags(&execution.pre_execute), if n < 128 { "P" } else { "CP" });
+    }
+    assert_eq!(statements.len(), 128);
+}
+
+#[test]
+fn replies_out_of_order_are_a_protocol_violation() {
+    let mut statements = PreparedStatementCache::default();
+    let select = statement(b"SELECT 1");
+    let batch = ExtendedBatch { messages: vec![bind(&select), execute()], confirm_before_execute: true };
+    let mut execution = BatchExecution::new(&batch, &mut statements);
+    assert_eq!(execution.on_reply(&mut statements, b'D', &reply(b'D')), Progress::ProtocolViolation);
+    assert_eq!(execution.on_reply(&mut statements, b'Z', &reply(b'Z')), Progress::ProtocolViolation);
+}
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -7,15 +7,14 @@
 pub mod postgres;
 #[cfg(test)]
 mod tests;
-pub mod unit;
 
 use crate::core::{FinalAnswer, NewRequest};
+use crate::exchange::{MemberRequest, MemberResponse, millis_rounded_up};
 use crate::pg::{self, ProtocolError, StartupPacket};
 use crate::store::Change;
 use crate::{Micros, Request, RequestId};
 use pipeline::{Access, Pipeline, Queued};
 use std::collections::{BTreeMap, HashSet};
-use std::ops::Range;
 
 /// A connection may be closed to make room when it has been idle this long, or has asked for nothing for this
 /// long since it came.
@@ -29,27 +28,6 @@
 /// The number of a client connection, never used twice.
 pub type ClientId = u64;
 
-/// What a request asks of a member.
-pub enum Work {
-    /// A statement as one simple query, and where the digits of its `d` stand.
-    Simple {
-        /// The bytes that came.
-        text: Vec<u8>,
-        /// What is to be rewritten.
-        wait: Option<Range<usize>>,
-    },
-    /// Extended-query messages up to a Sync.
-    Unit(unit::Unit),
-}
-
-/// What a member answered, as the bytes that came, without ReadyForQuery.
-pub struct Answer {
-    /// The bytes.
-    pub bytes: Vec<u8>,
-    /// The commit of a write, where the member told it.
-    pub commit: Option<Micros>,
-}
-
 /// What a client's reader found on the wire.
 pub enum Said<C> {
     /// A new connection, with the secret of its cancel key.
@@ -82,7 +60,7 @@
     /// A client may send one more command.
     Credit(ClientId),
     /// A request is taken.
-    Take(NewRequest<Work>),
+    Take(NewRequest<MemberRequest>),
     /// A request's client has gone or given it up.
     Left(RequestId),
     /// The store is to note this.
@@ -108,7 +86,7 @@
     /// How long the client waits.
     pub wait: Micros,
     /// What a member is asked.
-    pub work: Work,
+    pub work: MemberRequest,
 }
 
 impl Ask {
@@ -163,7 +141,7 @@
         &mut self,
         session: &mut Self::Session,
         context: Self::Context,
-        verdict: FinalAnswer<Answer>,
+        verdict: FinalAnswer<MemberResponse>,
     ) -> Vec<u8>;
 }
 
@@ -338,7 +316,7 @@
         now: Micros,
         id: ClientId,
         request: RequestId,
-        verdict: FinalAnswer<Answer>,
+        verdict: FinalAnswer<MemberResponse>,
     ) -> Vec<Out> {
         let mut out = Vec::new();
         let Some(client) = self.clients.get_mut(&id) else { return out };
@@ -352,7 +330,7 @@
             }
             verdict => verdict,
         };
-        let commit = if let FinalAnswer::Served(answer) = &verdict { answer.commit } else { None };
+        let commit = if let FinalAnswer::Served(answer) = &verdict { answer.commit_position } else { None };
         let (talk, session) = (&mut self.talk, &mut client.session);
         let before = client.pipeline.buffered();
         client.pipeline.finish(index, commit, |context| talk.finish(session, context, verdict));
@@ -408,7 +386,7 @@
         now: Micros,
         id: ClientId,
         crowded: bool,
-        requests: &mut Vec<NewRequest<Work>>,
+        requests: &mut Vec<NewRequest<MemberRequest>>,
     ) -> bool {
         let (mut from, mut answered) = (0, false);
         loop {
@@ -473,7 +451,7 @@
 
 /// A request as the core takes it. Its time counts from when its last byte was read, also where it had to wait for
 /// earlier commands: its client counts from when it was sent.
-fn arrival(id: RequestId, now: Micros, read_at: Micros, ask: Ask) -> NewRequest<Work> {
+fn arrival(id: RequestId, now: Micros, read_at: Micros, ask: Ask) -> NewRequest<MemberRequest> {
     let request = Request {
         id,
         class: ask.class,
@@ -488,11 +466,11 @@
 }
 
 /// Appends the error for a verdict that is not served, or the answer of one that is.
-pub fn put_verdict(out: &mut Vec<u8>, verdict: &FinalAnswer<Answer>) {
+pub fn put_verdict(out: &mut Vec<u8>, verdict: &FinalAnswer<MemberResponse>) {
     match verdict {
         FinalAnswer::Served(answer) => out.extend_from_slice(&answer.bytes),
         FinalAnswer::Rejected { retry_after } => {
-            let wait = (*retry_after > 0).then(|| millis(*retry_after));
+            let wait = (*retry_after > 0).then(|| millis_rounded_up(*retry_after));
             pg::put_error_response(
                 out,
                 "ERROR",
@@ -521,8 +499,3 @@
         }
     }
 }
-
-/// Whole milliseconds, rounded up.
-pub fn millis(span: Micros) -> u64 {
-    span.div_ceil(1000)
-}
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,8 +1,9 @@
 //! The platform's front: simple queries, one statement each, described by the comment that they carry.
 
-use super::{Answer, Ask, Protocol, Service, Step, Work, put_verdict};
+use super::{Ask, Protocol, Service, Step, put_verdict};
 use crate::clock::from_unix_ms;
 use crate::core::FinalAnswer;
+use crate::exchange::{MemberRequest, MemberResponse};
 use crate::pg::{self, statement};
 use crate::{Micros, Requirement, Settings};
 use std::ops::Range;
@@ -59,7 +60,7 @@
             repeat: fields.is_retry,
             name: id.ok_or("the comment holds no id, or an impossible one")?.to_vec(),
             wait: from_unix_ms(wait),
-            work: Work::Simple { text: Vec::new(), wait: None },
+            work: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
         };
         Ok(Asked::Request(Box::new(ask), place))
     }
@@ -97,7 +98,7 @@
                 pg::put_error_response(&mut bytes, "ERROR", pg::sqlstate::PROTOCOL_VIOLATION, why, None)
             }
             Ok(Asked::Request(ask, place)) => {
-                let work = Work::Simple { text: query.text, wait: Some(place) };
+                let work = MemberRequest::SimpleQuery { text: query.text, wait_digits: Some(place) };
                 return Step::Ask(Ask { work, ..*ask }, ());
             }
         }
@@ -105,7 +106,7 @@
         Step::Say(bytes)
     }
 
-    fn finish(&mut self, (): &mut (), (): (), verdict: FinalAnswer<Answer>) -> Vec<u8> {
+    fn finish(&mut self, (): &mut (), (): (), verdict: FinalAnswer<MemberResponse>) -> Vec<u8> {
         let mut bytes = Vec::new();
         put_verdict(&mut bytes, &verdict);
         pg::put_ready_for_query(&mut bytes);
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -5,10 +5,11 @@
 //! unseen by the client, where the rest of the unit uses them; after an Execute, such a unit takes no
 //! further one, as the implicit transaction has ended at the member.
 
-use super::unit::{Part, Prepared, Unit};
-use super::{Answer, Ask, Protocol, Service, Step, Work, put_verdict};
+use super::{Ask, Protocol, Service, Step, put_verdict};
 use crate::clock::from_unix_ms;
 use crate::core::FinalAnswer;
+use crate::exchange::{MemberRequest, MemberResponse};
+use crate::extended::{ExtendedBatch, ExtendedMessage, PreparedStatement};
 use crate::pg::{self, statement};
 use crate::store::{Change, Statement};
 use crate::{Idempotency, Micros, Requirement, Settings};
@@ -77,7 +78,7 @@
 /// What is known of a statement.
 #[derive(Clone)]
 struct Known {
-    prepared: Arc<Prepared>,
+    prepared: Arc<PreparedStatement>,
     class: usize,
     group: u32,
     wait: Micros,
@@ -98,7 +99,7 @@
 /// A statement that a unit prepares.
 struct Parsed {
     name: Vec<u8>,
-    prepared: Arc<Prepared>,
+    prepared: Arc<PreparedStatement>,
     /// What stood under this name.
     before: Option<Known>,
 }
@@ -139,7 +140,7 @@
     order: VecDeque<u64>,
     /// Statements that the store has not been told of, and those it has.
     news: Vec<Change>,
-    noted: HashSet<Arc<Prepared>>,
+    noted: HashSet<Arc<PreparedStatement>>,
 }
 
 impl Postgres {
@@ -188,7 +189,7 @@
             );
         }
         Ok(Known {
-            prepared: Arc::new(Prepared { sql: sql.to_vec(), types: types.to_vec() }),
+            prepared: Arc::new(PreparedStatement { sql: sql.to_vec(), parameter_types: types.to_vec() }),
             class,
             group: fields.group.unwrap_or(self.listen.group),
             wait: from_unix_ms(fields.timeout.map_or(self.listen.wait_ms, |timeout| timeout.millis))
@@ -216,7 +217,7 @@
         (effect, need)
     }
 
-    fn ask(&self, used: &[Known], key: u64, work: Work) -> Result<Ask, Refusal> {
+    fn ask(&self, used: &[Known], key: u64, work: MemberRequest) -> Result<Ask, Refusal> {
         let Some(first) = used.first() else { return malformed() };
         if used.iter().any(|k| k.group != first.group) {
             return no(
@@ -252,7 +253,8 @@
         let known = self.know(text, &[])?;
         let key = known.key;
         let wait = statement::parse_fields(text).timeout.map(|timeout| timeout.digits);
-        let ask = self.ask(&[known], key, Work::Simple { text: text.to_vec(), wait })?;
+        let ask =
+            self.ask(&[known], key, MemberRequest::SimpleQuery { text: text.to_vec(), wait_digits: wait })?;
         session.end_unit();
         Ok(Step::Ask(ask, Open { parsed: Vec::new(), key, end: b'Q' }))
     }
@@ -273,7 +275,7 @@
             parts.iter().for_each(|_| pg::put_message(&mut bytes, b'3', &[]));
             return Ok(Step::Say(self.end(session, batch.end, bytes)));
         }
-        let executes = parts.iter().any(|p| matches!(p, Part::Execute { .. }));
+        let executes = parts.iter().any(|p| matches!(p, ExtendedMessage::Execute { .. }));
         if executes && session.executed {
             session.undo(open.parsed, 0);
             return no(
@@ -282,9 +284,11 @@
             );
         }
         session.executed |= executes;
-        let mut ask = self.ask(&used, key, Work::Simple { text: Vec::new(), wait: None })?;
+        let mut ask =
+            self.ask(&used, key, MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None })?;
         let careful = self.settings.classes[ask.class].idempotency != Idempotency::Idempotent;
-        ask.work = Work::Unit(Unit { parts, careful });
+        ask.work =
+            MemberRequest::Extended(ExtendedBatch { messages: parts, confirm_before_execute: careful });
         open.key = key;
         if batch.end != b'H' {
             session.end_unit();
@@ -297,7 +301,7 @@
         session: &mut Session,
         message: &[u8],
         open: &mut Open,
-        parts: &mut Vec<Part>,
+        parts: &mut Vec<ExtendedMessage>,
         used: &mut Vec<Known>,
         key: &mut u64,
     ) -> Result<(), Refusal> {
@@ -322,7 +326,7 @@
                 }
                 let known = self.know(sql, types)?;
                 self.note(&known.prepared);
-                parts.push(Part::Parse(known.prepared.clone()));
+                parts.push(ExtendedMessage::Parse(known.prepared.clone()));
                 used.push(known.clone());
                 let prepared = known.prepared.clone();
                 let before = session.statements.insert(name.to_vec(), known);
@@ -339,11 +343,11 @@
                 *key = if *key == 0 { own } else { *key };
                 let bound = Portal { known: known.clone(), key: own, tail: tail.to_vec(), flushed: false };
                 session.portals.insert(portal.to_vec(), bound);
-                parts.push(Part::Bind {
+                parts.push(ExtendedMessage::Bind {
                     portal: portal.to_vec(),
                     statement: known.prepared.clone(),
-                    tail: tail.to_vec(),
-                    visible: true,
+                    arguments: tail.to_vec(),
+                    reply_forwarded: true,
                 });
                 used.push(known);
             }
@@ -353,7 +357,7 @@
                     return malformed();
                 };
                 self.portal(session, portal, parts, used, key)?;
-                parts.push(Part::Execute { portal: portal.to_vec(), rows: rows.to_vec() });
+                parts.push(ExtendedMessage::Execute { portal: portal.to_vec(), row_limit: rows.to_vec() });
             }
             b'D' | b'C' => {
                 let Some((&kind, rest)) = body.split_first() else { return malformed() };
@@ -361,20 +365,22 @@
                 match (tag, kind) {
                     (b'D', b'S') => {
                         let known = self.statement(session, name)?;
-                        parts.push(Part::DescribeStatement(known.prepared.clone()));
+                        parts.push(ExtendedMessage::DescribeStatement(known.prepared.clone()));
                         used.push(known);
                     }
                     (b'D', b'P') => {
                         self.portal(session, name, parts, used, key)?;
-                        parts.push(Part::DescribePortal(name.to_vec()));
+                        parts.push(ExtendedMessage::DescribePortal(name.to_vec()));
                     }
                     (b'C', b'S') => {
                         session.statements.remove(name);
-                        parts.push(Part::CloseStatement);
+                        parts.push(ExtendedMessage::CloseStatement);
                     }
                     (b'C', b'P') => match session.portals.remove(name) {
-                        Some(portal) if !portal.flushed => parts.push(Part::ClosePortal(name.to_vec())),
-                        _ => parts.push(Part::CloseStatement),
+                        Some(portal) if !portal.flushed => {
+                            parts.push(ExtendedMessage::ClosePortal(name.to_vec()))
+                        }
+                        _ => parts.push(ExtendedMessage::CloseStatement),
                     },
                     _ => return malformed(),
                 }
@@ -384,7 +390,7 @@
         Ok(())
     }
 
-    fn note(&mut self, prepared: &Arc<Prepared>) {
+    fn note(&mut self, prepared: &Arc<PreparedStatement>) {
         if self.noted.len() >= NOTED {
             self.noted.clear();
         }
@@ -392,7 +398,7 @@
             && self.noted.insert(prepared.clone())
             && let Ok(sql) = String::from_utf8(prepared.sql.clone())
         {
-            self.news.push(Change::Prepared(Statement { sql, types: prepared.types.clone() }));
+            self.news.push(Change::Prepared(Statement { sql, types: prepared.parameter_types.clone() }));
         }
     }
 
@@ -408,7 +414,7 @@
         &self,
         session: &mut Session,
         name: &[u8],
-        parts: &mut Vec<Part>,
+        parts: &mut Vec<ExtendedMessage>,
         used: &mut Vec<Known>,
         key: &mut u64,
     ) -> Result<(), Refusal> {
@@ -418,11 +424,11 @@
         if portal.flushed {
             portal.flushed = false;
             *key = if *key == 0 { portal.key } else { *key };
-            parts.push(Part::Bind {
+            parts.push(ExtendedMessage::Bind {
                 portal: name.to_vec(),
                 statement: portal.known.prepared.clone(),
-                tail: portal.tail.clone(),
-                visible: false,
+                arguments: portal.tail.clone(),
+                reply_forwarded: false,
             });
             used.push(portal.known.clone());
         }
@@ -555,13 +561,13 @@
         std::mem::take(&mut self.news)
     }
 
-    fn finish(&mut self, session: &mut Session, open: Open, verdict: FinalAnswer<Answer>) -> Vec<u8> {
+    fn finish(&mut self, session: &mut Session, open: Open, verdict: FinalAnswer<MemberResponse>) -> Vec<u8> {
         let mut bytes = Vec::new();
         put_verdict(&mut bytes, &verdict);
         let (parses, error) = tally(&bytes);
         session.undo(open.parsed, if error { parses } else { usize::MAX });
         session.skipping |= error && open.end == b'H';
-        if let FinalAnswer::Served(Answer { commit: Some(commit), .. }) = verdict
+        if let FinalAnswer::Served(MemberResponse { commit_position: Some(commit), .. }) = verdict
             && !error
             && open.key != 0
         {
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -14,7 +14,7 @@
         repeat: false,
         name: vec![id],
         wait: 1_000_000,
-        work: Work::Simple { text: Vec::new(), wait: None },
+        work: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
     };
     Said::Command(Query { at: 0, text: Vec::new(), fields: Ok(Asked::Request(Box::new(ask), 0..0)) })
 }
@@ -29,8 +29,8 @@
     out.into_iter().filter_map(bytes).collect()
 }
 
-fn served(length: usize) -> FinalAnswer<Answer> {
-    FinalAnswer::Served(Answer { bytes: vec![b'.'; length], commit: None })
+fn served(length: usize) -> FinalAnswer<MemberResponse> {
+    FinalAnswer::Served(MemberResponse { bytes: vec![b'.'; length], commit_position: None })
 }
 
 #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -62,6 +62,8 @@
 mod config;
 mod core;
 mod endpoint_list;
+mod exchange;
+mod extended;
 mod front;
 mod interface;
 mod net;
--- /dev/null
+++ b/src/net/member/connection.rs
@@ -0,0 +1,185 @@
+//! A connection to a member: it is opened for its first job, checked before it is used again, and opened anew
+//! where it turns out to be dead.
+
+use super::connect::{OpenConnection, connect};
+use super::job::{AssignedJob, JobExecution, JobReply};
+use super::liveness::answers_empty_query;
+use crate::Outcome;
+use crate::core::{ConnectionId, Input};
+use crate::exchange::{MemberRequest, MemberResponse};
+use crate::extended::PreparedStatementCache;
+use crate::net::{Message, Messages};
+use crate::sockets::closed_by_peer;
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+/// What the event loop is told of a connection and its jobs.
+pub(super) type Event = Input<MemberRequest, MemberResponse>;
+
+/// A connection to a member, opened or to be opened.
+pub(super) struct MemberConnection {
+    link: ConnectionId,
+    address: SocketAddr,
+    /// For opening the connection, and for a liveness check.
+    connect_timeout: Duration,
+    messages: Messages,
+    /// The present socket, for whoever cuts the connection.
+    cut_target: Mutex<Option<Arc<TcpStream>>>,
+    /// The state of the connection while no job is under way; a job takes it. `None` also once it has ended.
+    idle_state: Mutex<Option<ConnectionState>>,
+}
+
+/// What belongs to the present connection; the default has yet to be opened.
+#[derive(Default)]
+struct ConnectionState {
+    open: Option<OpenConnection>,
+    statements: PreparedStatementCache,
+}
+
+impl ConnectionState {
+    fn is_unusable(&self) -> bool {
+        self.open.as_ref().is_some_and(|open| closed_by_peer(&open.stream))
+    }
+}
+
+/// What a liveness check before a job found.
+enum Liveness {
+    Alive,
+    Dead,
+    /// The job was withdrawn before the check.
+    WithdrawnBefore,
+    /// The job was withdrawn during the check, which cuts the connection: nothing has been executed.
+    WithdrawnDuring,
+}
+
+impl MemberConnection {
+    /// A connection to the member at this address that has yet to be opened.
+    pub(super) fn new(
+        link: ConnectionId,
+        address: SocketAddr,
+        connect_timeout: Duration,
+        messages: Messages,
+    ) -> MemberConnection {
+        MemberConnection {
+            link,
+            address,
+            connect_timeout,
+            messages,
+            cut_target: Mutex::new(None),
+            idle_state: Mutex::new(Some(ConnectionState::default())),
+        }
+    }
+
+    /// Ends the connection, whatever it is doing.
+    pub(super) fn cut(&self) {
+        if let Some(stream) = self.cut_target().as_ref() {
+            let _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+
+    /// Runs a job; what the event loop is to be told.
+    pub(super) fn run_job(&self, job: AssignedJob) -> Vec<Event> {
+        let state = self.idle_state().take();
+        let mut events = Vec::new();
+        if let Some(state) = state.and_then(|state| self.run_job_with(state, &job, &mut events)) {
+            *self.idle_state() = Some(state);
+        } else {
+            *self.cut_target() = None;
+            events.push(Input::ConnectionClosed(self.link));
+        }
+        events
+    }
+
+    /// Tells the event loop.
+    pub(super) fn notify(&self, event: Event) {
+        let _ = self.messages.send(Message::Core(event));
+    }
+
+    fn cut_target(&self) -> MutexGuard<'_, Option<Arc<TcpStream>>> {
+        self.cut_target.lock().unwrap_or_else(|e| e.into_inner())
+    }
+
+    fn idle_state(&self) -> MutexGuard<'_, Option<ConnectionState>> {
+        self.idle_state.lock().unwrap_or_else(|e| e.into_inner())
+    }
+
+    /// Runs a job on the connection; the state with which the connection goes on, `None` if it has ended.
+    fn run_job_with(
+        &self,
+        mut state: ConnectionState,
+        job: &AssignedJob,
+        events: &mut Vec<Event>,
+    ) -> Option<ConnectionState> {
+        if job.state.is_withdrawn() {
+            events.push(Input::ConnectionIdle(self.link));
+            return Some(state);
+        }
+        // Guards against a connection that the member closed while it was idle: writing to it would count as
+        // sent. It is opened anew, and the job has not begun.
+        if state.is_unusable() {
+            state = ConnectionState::default();
+        }
+        if job.wants_liveness_check()
+            && let Some(open) = &mut state.open
+        {
+            match self.check_liveness(open, job) {
+                Liveness::Alive => {}
+                Liveness::Dead => {
+                    self.notify(Input::StaleConnectionFound);
+                    state = ConnectionState::default();
+                }
+                Liveness::WithdrawnBefore => {
+                    events.push(Input::ConnectionIdle(self.link));
+                    return Some(state);
+                }
+                Liveness::WithdrawnDuring => return None,
+            }
+        }
+        let Some(JobReply { ending, reusable }) = self.execute(&mut state, job) else {
+            events.push(Input::ConnectionIdle(self.link));
+            return Some(state);
+        };
+        events.push(Input::JobFinished { connection: self.link, job: job.job, result: ending, reusable });
+        reusable.then_some(state)
+    }
+
+    fn check_liveness(&self, open: &mut OpenConnection, job: &AssignedJob) -> Liveness {
+        if !job.state.start_preparing() {
+            return Liveness::WithdrawnBefore;
+        }
+        let alive = answers_empty_query(open, Instant::now() + self.connect_timeout);
+        let _ = open.stream.set_read_timeout(None);
+        if !job.state.return_to_queued() {
+            return Liveness::WithdrawnDuring;
+        }
+        if alive { Liveness::Alive } else { Liveness::Dead }
+    }
+
+    /// Opens the connection where it is not open, and executes the job on it; `None` if the job was withdrawn
+    /// before anything was written.
+    fn execute(&self, state: &mut ConnectionState, job: &AssignedJob) -> Option<JobReply> {
+        let mut open = match state.open.take() {
+            Some(open) => open,
+            None => match self.open() {
+                Ok(open) => open,
+                Err(outcome) => return Some(JobReply::failed(outcome)),
+            },
+        };
+        let mut execution = JobExecution {
+            connection: &mut open,
+            state: &job.state,
+            start_deadline: job.start_deadline,
+            on_written: &|| self.notify(Input::AttemptWritten),
+        };
+        let reply = execution.run(&job.what, &mut state.statements);
+        state.open = Some(open);
+        reply
+    }
+
+    fn open(&self) -> Result<OpenConnection, Outcome> {
+        let open = connect(self.address, self.connect_timeout).map_err(|error| error.outcome())?;
+        *self.cut_target() = Some(open.stream.clone());
+        Ok(open)
+    }
+}
--- /dev/null
+++ b/src/net/member/job.rs
@@ -0,0 +1,155 @@
+//! A job on a member connection: what is written for it, and what it ends with.
+
+use super::connect::OpenConnection;
+use super::connection::MemberConnection;
+use super::job_state::JobState;
+use super::load_report::MemberStatus;
+use crate::core::{JobId, JobResult, JobSpec};
+use crate::exchange::{MemberRequest, MemberResponse, millis_rounded_up};
+use crate::extended::PreparedStatementCache;
+use crate::{Micros, Outcome, pg};
+use std::io::{ErrorKind, Write};
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// The simple query that asks a member for its load report.
+const HEALTH_CHECK: &[u8] = b"SHOW health";
+
+/// A job as it is handed to a worker.
+pub(super) struct AssignedJob {
+    /// The connection to run it on.
+    pub(super) connection: Arc<MemberConnection>,
+    /// The number of the job.
+    pub(super) job: JobId,
+    /// What is to be done.
+    pub(super) what: JobSpec<MemberRequest>,
+    /// The job must not begin later than this.
+    pub(super) start_deadline: Option<Instant>,
+    /// How far the job has come.
+    pub(super) state: Arc<JobState>,
+}
+
+impl AssignedJob {
+    /// Whether an open connection is to be checked before the job begins.
+    pub(super) fn wants_liveness_check(&self) -> bool {
+        matches!(self.what, JobSpec::Attempt { verify_connection: true, .. })
+    }
+}
+
+/// How a job ended on its connection.
+pub(super) struct JobReply {
+    /// What the event loop is told.
+    pub(super) ending: JobResult<MemberResponse>,
+    /// The connection may take another job.
+    pub(super) reusable: bool,
+}
+
+impl JobReply {
+    /// The job ended with this outcome, without a response, and the connection is of no further use.
+    pub(super) fn failed(outcome: Outcome) -> JobReply {
+        JobReply { ending: JobResult::from_outcome(outcome), reusable: false }
+    }
+
+    /// The job ended before anything was written for it.
+    pub(super) fn not_begun() -> JobReply {
+        JobReply { ending: JobResult::from_outcome(Outcome::NeverSent), reusable: true }
+    }
+
+    /// The member answered to the end.
+    pub(super) fn answered(
+        outcome: Outcome,
+        status: MemberStatus,
+        bytes: Vec<u8>,
+        connection: &OpenConnection,
+    ) -> JobReply {
+        // Guards against bytes after a complete reply: they would be taken for the next job's.
+        let reusable = connection.frames.buffered().is_empty();
+        JobReply { ending: status.into_ending(outcome, bytes), reusable }
+    }
+}
+
+/// The execution of one job on an open connection, classified exactly as the protocol's table has it.
+pub(super) struct JobExecution<'a> {
+    /// The connection.
+    pub(super) connection: &'a mut OpenConnection,
+    /// How far the job has come.
+    pub(super) state: &'a JobState,
+    /// The job must not begin later than this.
+    pub(super) start_deadline: Option<Instant>,
+    /// Called when the last byte of an attempt has been written.
+    pub(super) on_written: &'a dyn Fn(),
+}
+
+impl JobExecution<'_> {
+    /// Runs the job; `None` if it was withdrawn before anything was written.
+    pub(super) fn run(
+        &mut self,
+        what: &JobSpec<MemberRequest>,
+        statements: &mut PreparedStatementCache,
+    ) -> Option<JobReply> {
+        match what {
+            JobSpec::Probe => self.run_simple_query(&pg::query_message(&[HEALTH_CHECK]), true),
+            JobSpec::Attempt { work, timeout: allowed, .. } => match work.as_ref() {
+                MemberRequest::Extended(batch) => self.run_batch(batch, statements),
+                MemberRequest::SimpleQuery { text, wait_digits } => {
+                    let message = simple_query(text, wait_digits.as_ref(), *allowed);
+                    self.run_simple_query(&message, false)
+                }
+            },
+        }
+    }
+
+    fn run_simple_query(&mut self, message: &[u8], health_check: bool) -> Option<JobReply> {
+        if self.start_deadline_passed() {
+            return Some(JobReply::not_begun());
+        }
+        if !self.state.begin() {
+            return None;
+        }
+        if self.write(message).is_err() {
+            // The connection broke before the last byte was handed over: the query was never executed.
+            return Some(JobReply::failed(Outcome::ConnectFailed));
+        }
+        if !health_check {
+            (self.on_written)();
+        }
+        Some(self.read_simple_query_reply(health_check))
+    }
+
+    /// Whether it is too late to begin: what was true when the job was decided on may not be so any more.
+    /// Guards against a connection that takes long to open.
+    pub(super) fn start_deadline_passed(&self) -> bool {
+        self.start_deadline.is_some_and(|deadline| Instant::now() > deadline)
+    }
+
+    /// Writes all of it.
+    pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), WriteError> {
+        let mut written = 0;
+        while written < bytes.len() {
+            match (&*self.connection.stream).write(&bytes[written..]) {
+                Ok(n) if n > 0 => written += n,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                _ => return Err(WriteError { written }),
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The connection broke while a request was written.
+pub(super) struct WriteError {
+    /// How many bytes had been handed over.
+    pub(super) written: usize,
+}
+
+/// The query message of a statement, with the time that this proxy still waits put in for `wait_digits`.
+fn simple_query(text: &[u8], wait_digits: Option<&Range<usize>>, allowed: Micros) -> Vec<u8> {
+    match wait_digits {
+        None => pg::query_message(&[text]),
+        Some(digits) => {
+            let wait = millis_rounded_up(allowed).to_string();
+            pg::query_message(&[&text[..digits.start], wait.as_bytes(), &text[digits.end..]])
+        }
+    }
+}
--- /dev/null
+++ b/src/net/member/load_report.rs
@@ -0,0 +1,116 @@
+//! What a member's replies tell of the member: its role, its position and its load report.
+
+#[cfg(test)]
+mod tests;
+
+use crate::core::JobResult;
+use crate::exchange::MemberResponse;
+use crate::net::clock::from_unix_ms;
+use crate::pg::message_tags::backend;
+use crate::pg::{self, statement};
+use crate::{LoadReport, Micros, Outcome, ResponseMetadata, Role};
+
+/// The ParameterStatus that tells the member's role.
+const ROLE_PARAMETER: &[u8] = b"recovery";
+/// The ParameterStatus that tells the member's position, as Unix time in milliseconds.
+const POSITION_PARAMETER: &[u8] = b"lsn_ms";
+/// The ParameterStatus that carries a load report.
+const LOAD_REPORT_PARAMETER: &[u8] = b"health";
+
+/// The field of a load report that tells the member's position, as Unix time in seconds.
+const POSITION_FIELD: &str = "x0";
+/// The field of a load report that tells the member's role.
+const ROLE_FIELD: &str = "x1";
+const ROLE_PRIMARY: f64 = 1.0;
+const ROLE_REPLICA: f64 = 0.0;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// What the replies to a job told of the member.
+#[derive(Default)]
+pub(super) struct MemberStatus {
+    metadata: ResponseMetadata,
+    report: LoadReport,
+}
+
+impl MemberStatus {
+    /// Takes the body of a ParameterStatus. One that is malformed or has another name tells nothing.
+    pub(super) fn on_parameter(&mut self, body: &[u8]) {
+        let Some((name, value)) = parameter(body) else { return };
+        match name {
+            ROLE_PARAMETER => {
+                self.metadata.role = match value {
+                    b"off" => Some(Role::Primary),
+                    b"on" => Some(Role::Replica),
+                    _ => None,
+                }
+            }
+            POSITION_PARAMETER => {
+                let millis = statement::parse_number(value).filter(|millis| *millis > 0);
+                self.metadata.position = millis.map(from_unix_ms);
+            }
+            LOAD_REPORT_PARAMETER => self.on_load_report(value),
+            _ => {}
+        }
+    }
+
+    /// Takes a load report. One that can't be read completely tells nothing.
+    pub(super) fn on_load_report(&mut self, text: &[u8]) {
+        self.report = parse_load_report(text).unwrap_or_default();
+    }
+
+    /// How a job ended whose response these bytes are.
+    pub(super) fn into_ending(self, outcome: Outcome, bytes: Vec<u8>) -> JobResult<MemberResponse> {
+        let response = MemberResponse { bytes, commit_position: self.metadata.position };
+        JobResult { outcome, metadata: self.metadata, report: self.report, answer: Some(response) }
+    }
+}
+
+/// Name and value of a ParameterStatus.
+fn parameter(body: &[u8]) -> Option<(&[u8], &[u8])> {
+    if !pg::is_well_formed(backend::PARAMETER_STATUS, body) {
+        return None;
+    }
+    let (name, rest) = pg::split_c_string(body)?;
+    let (value, _) = pg::split_c_string(rest)?;
+    Some((name, value))
+}
+
+/// Reads a load report: fields as `name=number`, separated by commas. Unknown fields are passed over; `None`
+/// if anything else can't be read.
+fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
+    for field in std::str::from_utf8(text).ok()?.split(',') {
+        let (name, value) = field.split_once('=')?;
+        let value = value.trim().parse::<f64>().ok()?;
+        if !value.is_finite() {
+            return None;
+        }
+        match name.trim() {
+            POSITION_FIELD if value >= 0.0 => report.position = position_of(value),
+            POSITION_FIELD => return None,
+            ROLE_FIELD => report.role = Some(parse_role(value)?),
+            _ => {}
+        }
+    }
+    Some(report)
+}
+
+/// A position of a load report; 0 tells none.
+///
+/// Guards against taking seconds for milliseconds, the unit of positions beside replies: the member passed
+/// for years behind, reads that need anything were refused there, and the role that it reported counted as
+/// outdated.
+fn position_of(seconds: f64) -> Option<Micros> {
+    let position = (seconds * MICROS_PER_SECOND) as Micros;
+    (position > 0).then_some(position)
+}
+
+fn parse_role(value: f64) -> Option<Role> {
+    if value == ROLE_PRIMARY {
+        Some(Role::Primary)
+    } else if value == ROLE_REPLICA {
+        Some(Role::Replica)
+    } else {
+        None
+    }
+}
--- /dev/null
+++ b/src/net/member/mod.rs
@@ -0,0 +1,115 @@
+//! Connections to members. A job on one has a thread to itself, so that a member that hangs stalls nothing
+//! but that thread. A connection without a job has none.
+
+mod connect;
+mod connection;
+mod extended_query;
+mod job;
+mod job_state;
+mod liveness;
+mod load_report;
+mod outcome;
+mod simple_query;
+mod worker_pool;
+
+pub use worker_pool::WorkerPool;
+
+use super::Messages;
+use crate::core::{ConnectionId, JobId, JobSpec};
+use crate::exchange::MemberRequest;
+use connection::MemberConnection;
+use job::AssignedJob;
+use job_state::JobState;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// What became of the withdrawal of a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Withdrawal {
+    /// The last byte of the request may have been sent, so that the member may execute it.
+    pub maybe_sent: bool,
+    /// The connection may take another job. If not, it has been cut.
+    pub reusable: bool,
+}
+
+impl Withdrawal {
+    /// The job had begun, and the connection was cut.
+    pub const CUT: Withdrawal = Withdrawal { maybe_sent: true, reusable: false };
+}
+
+/// The event loop's end of a connection to a member.
+pub struct MemberHandle {
+    connection: Arc<MemberConnection>,
+    workers: WorkerPool,
+    /// The latest job and its state.
+    job: JobId,
+    state: Arc<JobState>,
+}
+
+impl MemberHandle {
+    /// Prepares a connection to the member at this address: its first job opens it, within `connect_timeout`.
+    pub fn new(
+        link: ConnectionId,
+        address: SocketAddr,
+        connect_timeout: Duration,
+        messages: Messages,
+        workers: &WorkerPool,
+    ) -> MemberHandle {
+        let connection = MemberConnection::new(link, address, connect_timeout, messages);
+        MemberHandle {
+            connection: Arc::new(connection),
+            workers: workers.clone(),
+            job: 0,
+            state: Arc::new(JobState::withdrawn()),
+        }
+    }
+
+    /// Starts a job on the connection; `false` if there is no thread for it.
+    pub fn start_job(&mut self, job: JobId, what: JobSpec<MemberRequest>) -> bool {
+        self.job = job;
+        self.state = Arc::new(JobState::queued());
+        let start_deadline = match what {
+            JobSpec::Attempt { start_within: within, .. } => {
+                Instant::now().checked_add(Duration::from_micros(within))
+            }
+            JobSpec::Probe => None,
+        };
+        self.workers.dispatch(AssignedJob {
+            connection: self.connection.clone(),
+            job,
+            what,
+            start_deadline,
+            state: self.state.clone(),
+        })
+    }
+
+    /// Withdraws a job that has not begun; `None` if it has begun. A connection in use for a liveness check,
+    /// or for what comes before an Execute, is cut.
+    pub fn withdraw_unsent(&self, job: JobId) -> Option<Withdrawal> {
+        if self.job != job {
+            return None;
+        }
+        if self.state.withdraw_queued() {
+            return Some(Withdrawal { maybe_sent: false, reusable: true });
+        }
+        if self.state.withdraw_preparing() {
+            self.cut();
+            return Some(Withdrawal { maybe_sent: false, reusable: false });
+        }
+        None
+    }
+
+    /// Withdraws a job, whether it has begun or not. If it has begun, the connection is cut.
+    pub fn abandon(&self, job: JobId) -> Withdrawal {
+        self.withdraw_unsent(job).unwrap_or_else(|| {
+            self.cut();
+            Withdrawal::CUT
+        })
+    }
+
+    /// Ends the connection, whatever it is doing.
+    pub fn cut(&self) {
+        self.connection.cut();
+    }
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,7 +5,7 @@
 pub mod client;
 mod client_listener;
 pub mod discovery;
-pub mod link;
+pub mod member;
 
 pub use crate::threads::spawn;
 pub use client_listener::{ListenError, client_listener};
@@ -13,15 +13,17 @@
 use crate::config::{Config, ConfigError};
 use crate::core::{ConnectionId, Core, Effect, Input};
 use crate::endpoint_list::EndpointList;
+use crate::exchange::{MemberRequest, MemberResponse};
 use crate::front::platform::{Platform, Query};
 use crate::front::postgres::{Batch, Listen, Postgres};
-use crate::front::{Answer, ClientId, Desk, Lobby, Out, Said, Service, Work};
+use crate::front::{ClientId, Desk, Lobby, Out, Said, Service};
 use crate::store::{Change, State, Store, StoreConfig};
 use crate::{Micros, Settings, clock};
 use admin::{AdminRequest, AdminResponse};
 use clock::Clock;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use discovery::{EventSink, ReceiverClosed, Watch, WatchEvent};
+use member::Withdrawal;
 use std::collections::HashMap;
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -67,7 +69,7 @@
 /// What reaches the loop.
 pub enum Message {
     /// For the core.
-    Core(Input<Work, Answer>),
+    Core(Input<MemberRequest, MemberResponse>),
     /// An update of the endpoint list.
     Discovery(WatchEvent),
     /// SIGHUP: the configuration as the file has it now, or why it can't be used.
@@ -143,7 +145,7 @@
         messages: messages.clone(),
         ender,
         written,
-        workers: link::Workers::default(),
+        workers: member::WorkerPool::default(),
         links: HashMap::new(),
         clients: HashMap::new(),
         most_clients: budget - budget / 2,
@@ -202,7 +204,7 @@
 
 struct Host {
     clock: Clock,
-    core: Core<Work, Answer>,
+    core: Core<MemberRequest, MemberResponse>,
     platform: Lobby<Platform>,
     postgres: Option<Lobby<Postgres>>,
     desk: Desk,
@@ -211,8 +213,8 @@
     messages: Messages,
     ender: client::Ender,
     written: Receiver<()>,
-    workers: link::Workers,
-    links: HashMap<ConnectionId, link::Handle>,
+    workers: member::WorkerPool,
+    links: HashMap<ConnectionId, member::MemberHandle>,
     clients: HashMap<ClientId, client::Handle>,
     most_clients: usize,
     /// Descriptors that the process may hold.
@@ -526,17 +528,17 @@
     }
 
     /// One step of the reducer, and all that follows from it.
-    fn core(&mut self, now: Micros, input: Input<Work, Answer>) {
+    fn core(&mut self, now: Micros, input: Input<MemberRequest, MemberResponse>) {
         for effect in self.core.step(now, input) {
             match effect {
                 Effect::OpenConnection { connection: link, address } => {
                     let dial = Duration::from_micros(self.settings.connect_timeout);
                     let messages = self.messages.clone();
-                    let handle = link::Handle::open(link, address, dial, messages, &self.workers);
+                    let handle = member::MemberHandle::new(link, address, dial, messages, &self.workers);
                     self.links.insert(link, handle);
                 }
                 Effect::StartJob { connection: link, job, spec: what } => {
-                    let carried = self.links.get_mut(&link).is_some_and(|l| l.carry(job, what));
+                    let carried = self.links.get_mut(&link).is_some_and(|l| l.start_job(job, what));
                     // Guards against taking the proxy's own want of threads for the member's fault.
                     if !carried {
                         tracing::warn!("no thread for another job");
@@ -550,18 +552,20 @@
                     }
                 }
                 Effect::CancelJob { connection: link, job } => {
-                    let (sent, open) = self.links.get(&link).map_or((true, false), |l| l.abandon(job));
+                    let withdrawal = self.links.get(&link).map_or(Withdrawal::CUT, |l| l.abandon(job));
+                    let Withdrawal { maybe_sent: sent, reusable: open } = withdrawal;
                     if !open {
                         self.links.remove(&link);
                     }
                     self.core(now, Input::JobCancelled { job, maybe_sent: sent, reusable: open });
                 }
                 Effect::CancelUnsentJob { connection: link, job } => {
-                    if let Some(open) = self.links.get(&link).and_then(|l| l.recall(job)) {
+                    let withdrawal = self.links.get(&link).and_then(|l| l.withdraw_unsent(job));
+                    if let Some(Withdrawal { maybe_sent: sent, reusable: open }) = withdrawal {
                         if !open {
                             self.links.remove(&link);
                         }
-                        self.core(now, Input::JobCancelled { job, maybe_sent: false, reusable: open });
+                        self.core(now, Input::JobCancelled { job, maybe_sent: sent, reusable: open });
                     }
                 }
                 Effect::CloseConnection(link) => {
