--- a/src/store/transport.rs
+++ b/src/store/transport.rs
@@ -23,7 +23,7 @@
 /// The longest frame between replicas.
 const MAX_FRAME_BYTES: u64 = 64 << 20;
 
-/// Sends frames to a replica, over one connection at a time, until the channel's senders are gone. FrameReader
+/// Sends frames to a replica, over one connection at a time, until the channel's senders are gone. Frames
 /// that can't be sent are dropped: the raft sends again.
 pub fn send_frames(address: SocketAddr, frames: &Receiver<Frame>) {
     while let Ok(first) = frames.recv() {
