--- a/src/balance.rs
+++ b/src/balance.rs
@@ -4,17 +4,14 @@
 //! out at each member and sends a read to the group's replica with the fewest, ties in turn; writes and reads
 //! of the latest data go to the member last heard as primary. What departs from it is marked "Departure".
 
+use crate::estimators::{
+    DecayingRate, GroupQueueingDelay, LatencyBaselines, QueueingDelay, ReplicationEstimate,
+};
 use crate::{interface::*, random::RandomSource};
 use std::collections::BTreeMap;
 
 const TICK_BATCHES: u64 = 4; // Batches between two runs of the periodic work (held requests, probes).
 const TICK_MIN: Micros = 10_000; // Shortest span between two runs of the periodic work.
-const BASE_WINDOW: u32 = 24; // Answers averaged for one reading of a class's unloaded time.
-const BASE_FALL: f64 = 0.3; // Part of a faster and a slower reading taken over: load must not be the norm.
-const BASE_RISE: f64 = 0.02;
-const BASE_GUESS: f64 = 0.25; // First guess of a class's unloaded time, as a share of its aim, ...
-const BASE_PRIOR: f64 = 3.0; // ... and the answers that it weighs as much as, until the first reading.
-const PRESS_GAIN: f64 = 0.15; // Weight of one attempt in what a member, a group and all let attempts wait.
 const LIMIT_START: f64 = 6.0; // Attempts allowed at a member at first, and the least and most.
 const LIMIT_LEAST: f64 = 1.0;
 const LIMIT_GAIN: f64 = 0.5;
@@ -24,7 +21,6 @@
 const SHED_FROM: f64 = 0.15; // Work is shed from this share of their aims that attempts wait, all this above.
 const SHED_SPAN: f64 = 0.6;
 const SHED_LESS: f64 = 2.0; // Shedding yields to the limits by this for each attempt out at a member.
-const WAIT_FADE: f64 = 5_000_000.0; // A group's wait fades to that of all groups in this span.
 const FAULT_GAIN: f64 = 0.2; // Weight of one outcome in a member's failure share, and of a trial's.
 const TRIAL_GAIN: f64 = 0.5;
 const FAULT_GAIN_ALL: f64 = 0.05; // Weight of one outcome in the failure share of all members.
@@ -47,8 +43,6 @@
 const ROOM_DEAR: f64 = 1.4;
 const REPEAT_WORTH: f64 = 0.3; // Chance that a client's repeat still meets the aim, run from its first try.
 const LONG: f64 = 5.0; // A read is long at this multiple of the lightest class.
-const LAG_FADE: f64 = 3_000_000.0; // A lag not seen again fades over this span: replicas catch up.
-const RATE_SPAN: f64 = 3_000_000.0; // Span of the moving rates.
 const UNTOLD: Micros = 4_000_000; // The list tells of a restart within this; until then back is just started.
 const IN_USE: usize = 2; // Of equals, so many replicas of a group are used while their connections last.
 const USED: Micros = 80; // A connection is taken to last for so many hundredths of what a member allows.
@@ -86,12 +80,10 @@
     quick: Micros, // The latest send answered without a wait: what was out for long before it is lost.
     used: Micros,  // When it was last sent to.
     turn: u64,     // The number of its last send: of equals, the longest without is next. Starts at random.
-    position: Micros, // The highest that is known, when it was learned, and the lag then.
-    position_at: Micros,
-    lag: f64,
+    replication: ReplicationEstimate,
     replica_at: Micros, // When it was heard as a replica, 0 if it was heard as the primary since.
     limit: f64,         // Own attempts that it may have, and the share of their aims that they wait.
-    press: f64,
+    press: QueueingDelay,
     fault: f64,
     aside: bool,
     trial_at: Micros,
@@ -111,7 +103,7 @@
     primary: Option<usize>,
     primary_at: Micros,
     round_at: Micros,
-    wait: [(f64, Micros); 2], // The share of their aims that attempts waited, at replicas and the primary.
+    wait: [GroupQueueingDelay; 2], // Of attempts, at replicas and at the primary.
 }
 
 #[derive(Default)]
@@ -151,33 +143,30 @@
     groups: BTreeMap<GroupId, Group>,
     requests: BTreeMap<RequestId, Pending>,
     commits: BTreeMap<u64, (GroupId, Micros)>,
-    /// Of each class its unloaded time, the sum and number of the answers for the next reading, and if it had
-    /// one; of all classes together, the sum and number of answers' times as shares of the first guess.
-    base: Vec<(f64, f64, u32, bool)>,
-    pace: (f64, f64),
+    base: LatencyBaselines,
     retries: f64,
     trials: f64,
-    rate: (f64, Micros),
+    rate: DecayingRate,
     sends: u64,
-    served: Vec<(f64, Micros)>, // Requests a second of each class that members served for this router, ...
-    sharing: f64,               // ... and how many share them.
-    offered: Vec<(f64, Micros)>, // The requests that came, the same way, ...
-    members: f64,               // ... and how many may be used at all.
+    served: Vec<DecayingRate>, // Requests a second of each class that members served for this router, ...
+    sharing: f64,              // ... and how many share them.
+    offered: Vec<DecayingRate>, // The requests that came, the same way, ...
+    members: f64,              // ... and how many may be used at all.
     born: Micros,
     unchecked: bool, // Members answer also from data that is too old: only this router keeps it out.
-    wait: [f64; 2],  // The share of their aims that attempts waited in all groups, at replicas and primaries.
+    wait: [QueueingDelay; 2], // Of attempts in all groups, at replicas and at primaries.
     fault_all: f64,  // The share of attempts at all members that failed lately.
-    tenant_rate: Vec<(f64, Micros)>,
+    tenant_rate: Vec<DecayingRate>,
 }
 
 impl Router {
     /// A router that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let base = settings.classes.iter().map(|c| (c.aim as f64 * BASE_GUESS, 0.0, 0, false)).collect();
-        let rates = vec![(0.0, now); settings.classes.len()];
+        let base = LatencyBaselines::new(&settings.classes);
+        let rates = vec![DecayingRate::new(now); settings.classes.len()];
         Router {
             unchecked: settings.when_behind == WhenBehind::Answers,
-            tenant_rate: vec![(0.0, now); settings.quotas.len()],
+            tenant_rate: vec![DecayingRate::new(now); settings.quotas.len()],
             cfg: settings,
             random: RandomSource::new(seed),
             now,
@@ -263,7 +252,7 @@
                     let probe_at = now + self.random.below(PROBE_MIN * Micros::from(self.cfg.instances));
                     let turn = self.random.below(TURN_START);
                     // A trial comes first where it costs no time: where trials reach all members in a second.
-                    let trials = decay(self.rate.0, self.rate.1, now) * TRIAL_SHARE;
+                    let trials = self.rate.at(now) * TRIAL_SHARE;
                     let doubted = !first && (m.started == 0 || trials > self.servers.len() as f64);
                     self.index.insert(m.server, s);
                     self.servers[s] = Server {
@@ -318,10 +307,7 @@
     }
 
     fn on_position(&mut self, s: usize, position: Micros) {
-        let now = self.now;
-        let v = &mut self.servers[s];
-        let lag = now.saturating_sub(position.max(v.position)) as f64;
-        (v.lag, v.position_at, v.position) = (lag, now, v.position.max(position));
+        self.servers[s].replication.record(position, self.now);
     }
 
     /// It runs: what answers after refused connections may have just started.
@@ -351,16 +337,14 @@
     /// The position that a member is expected to have by now, or is known to have where only that is safe.
     fn expected(&self, s: usize) -> Micros {
         match self.cfg.when_behind {
-            WhenBehind::Answers => self.servers[s].position,
+            WhenBehind::Answers => self.servers[s].replication.known_position(),
             WhenBehind::Refuses => self.guess(s),
             WhenBehind::Waits(wait) => self.guess(s) + wait / 2,
         }
     }
 
     fn guess(&self, s: usize) -> Micros {
-        let v = &self.servers[s];
-        let fade = (-((self.now - v.position_at) as f64) / LAG_FADE).exp();
-        v.position.max(self.now.saturating_sub((v.lag * fade) as Micros))
+        self.servers[s].replication.estimated_position(self.now)
     }
 
     /// Departure: where only draining binds, a member that the list calls gone is used while it answers.
@@ -395,17 +379,16 @@
     fn on_request(&mut self, req: Request, out: &mut Vec<Action>) {
         let now = self.now;
         let luck = self.random.fraction();
-        self.rate = (decay(self.rate.0, self.rate.1, now) + 1e6 / RATE_SPAN, now);
-        self.retries = (self.retries + RETRY_SHARE).min((self.rate.0 * RETRY_SHARE).max(1.0));
+        self.rate.record(now);
+        self.retries = (self.retries + RETRY_SHARE).min((self.rate.at(now) * RETRY_SHARE).max(1.0));
         self.trials = (self.trials + TRIAL_SHARE).min(1.0);
         let Some(class) = self.cfg.classes.get(req.class) else { return out.push(Action::Fail(req.id)) };
-        let rate = &mut self.offered[req.class];
-        *rate = (decay(rate.0, rate.1, now) + 1e6 / RATE_SPAN, now);
+        self.offered[req.class].record(now);
         let repeat = class.late_share + (1.0 - class.late_share) * REPEAT_WORTH;
         let mut worth = class.worth * if req.repeat { repeat } else { 1.0 };
         if let Some(rate) = self.tenant_rate.get_mut(req.tenant) {
-            *rate = (decay(rate.0, rate.1, now) + 1e6 / RATE_SPAN, now);
-            if rate.0 * f64::from(self.cfg.instances) > self.cfg.quotas[req.tenant] {
+            rate.record(now);
+            if rate.at(now) * f64::from(self.cfg.instances) > self.cfg.quotas[req.tenant] {
                 worth *= self.cfg.over_quota_share;
             }
         }
@@ -434,7 +417,7 @@
         };
         let may_send = p.ran.is_none_or(|ran| ((self.now - ran) as f64) < window);
         let end = if class.late_share > 0.0 { p.deadline } else { p.aim_at };
-        let base = self.base[p.req.class].0;
+        let base = self.base.unloaded(p.req.class);
         let open = self.groups.get(&p.req.group).is_some_and(|g| g.members.iter().any(|s| self.usable(*s)));
         if !open || !may_send || self.now >= end || p.attempts >= self.cfg.max_attempts {
             return self.give_up(id, out);
@@ -597,7 +580,7 @@
         // of equal counts the others come first for the rest, since long reads may keep it from applying.
         let well = |s: &usize| self.well(*s) && group.primary != Some(*s);
         let gathers = group.members.iter().copied().filter(well).min_by_key(|s| self.servers[*s].id);
-        let gathers = gathers.filter(|_| (0..self.base.len()).any(|c| self.long(c)));
+        let gathers = gathers.filter(|_| (0..self.cfg.classes.len()).any(|c| self.long(c)));
         let linked = |s: &&usize| self.now < self.servers[**s].used + self.cfg.idle_timeout * USED / 100;
         let linked: Vec<_> = open.iter().filter(|s| group.primary != Some(**s) && linked(s)).collect();
         let mut best = None;
@@ -629,11 +612,14 @@
     /// is shed by how long attempts wait in the group, the cheapest first. Guards against any overload.
     fn has_room(&self, p: &Pending, s: usize) -> bool {
         let class = &self.cfg.classes[p.req.class];
-        let top = self.cfg.classes.iter().zip(&self.base).map(|(c, b)| c.worth / b.0).fold(0.0, f64::max);
+        let top = self.cfg.classes.iter().zip(self.base.all()).map(|(c, b)| c.worth / b).fold(0.0, f64::max);
         // Writes rank by what is left of their own worth, as they can go nowhere but to the primary.
-        let best =
-            if class.need == Requirement::Write { class.worth / self.base[p.req.class].0 } else { top };
-        let rank = (p.worth / self.base[p.req.class].0 / best.max(1e-12)).clamp(0.0, 1.0).sqrt();
+        let best = if class.need == Requirement::Write {
+            class.worth / self.base.unloaded(p.req.class)
+        } else {
+            top
+        };
+        let rank = (p.worth / self.base.unloaded(p.req.class) / best.max(1e-12)).clamp(0.0, 1.0).sqrt();
         // A primary is kept for what only it can do: all else ranks lower there.
         let rank = if self.part(s) > self.bound(p.req.class) { rank * ROOM_CHEAP } else { rank };
         let limit = self.servers[s].limit * (ROOM_CHEAP + (ROOM_DEAR - ROOM_CHEAP) * rank);
@@ -660,8 +646,7 @@
 
     fn waited(&self, s: usize) -> f64 {
         let part = self.part(s);
-        let ((own, at), all) = (self.groups[&self.servers[s].group].wait[part], self.wait[part]);
-        all + (own - all) * (-((self.now - at) as f64) / WAIT_FADE).exp()
+        self.groups[&self.servers[s].group].wait[part].estimate(self.wait[part], self.now)
     }
 
     /// Departure: a cold member gets a share of what a warm one serves for this router. Work too small for a
@@ -672,7 +657,7 @@
         if !self.cold(&self.servers[s]) {
             return true;
         }
-        let (work, bound, base) = (self.cold_saved(s, class), self.bound(class), self.base[class].0);
+        let (work, bound, base) = (self.cold_saved(s, class), self.bound(class), self.base.unloaded(class));
         let asked = self.work(&self.offered, |c| self.bound(c) as f64);
         // What little has been asked so far is taken for as much as a member serves. Guards against a surge.
         let asked = (asked / self.groups.len() as f64).max(self.each()).max(1e-12);
@@ -685,8 +670,8 @@
     }
 
     fn long(&self, class: usize) -> bool {
-        let lightest = self.base.iter().map(|b| b.0).fold(f64::INFINITY, f64::min);
-        self.cfg.classes[class].need == Requirement::Any && self.base[class].0 > LONG * lightest
+        let lightest = self.base.all().fold(f64::INFINITY, f64::min);
+        self.cfg.classes[class].need == Requirement::Any && self.base.unloaded(class) > LONG * lightest
     }
 
     /// Cold by the list, without connections, or back from that so lately that the list may not say so yet.
@@ -714,7 +699,7 @@
         let ((saved, at), rate) = (v.cold_work[bound], self.cold_rate(s, bound));
         let most = rate * self.cfg.fall_time as f64 * COLD_SAVED / (1 + bound) as f64 / 1e6;
         // Of what only a primary can do a whole request may be saved, as it comes seldom at one router.
-        let most = most.max(self.base[class].0 * bound as f64);
+        let most = most.max(self.base.unloaded(class) * bound as f64);
         (saved + rate * (self.now - at.max(v.started)) as f64 / 1e6).min(most)
     }
 
@@ -723,13 +708,14 @@
     fn each(&self) -> f64 {
         let served = self.work(&self.served, |_| 1.0) / self.sharing.max(1.0);
         let asked = self.work(&self.offered, |_| 1.0) / self.members.max(1.0);
-        let learnt = self.now > self.born + RATE_SPAN as Micros && self.sharing * 2.0 >= self.members;
+        let learnt =
+            self.now > self.born + DecayingRate::SPAN as Micros && self.sharing * 2.0 >= self.members;
         if learnt { asked.min(served) } else { asked }
     }
 
     /// The work of requests that come or are served at these rates, in their unloaded time a second.
-    fn work(&self, rates: &[(f64, Micros)], weight: impl Fn(usize) -> f64) -> f64 {
-        (0..rates.len()).map(|c| weight(c) * decay(rates[c].0, rates[c].1, self.now) * self.base[c].0).sum()
+    fn work(&self, rates: &[DecayingRate], weight: impl Fn(usize) -> f64) -> f64 {
+        (0..rates.len()).map(|c| weight(c) * rates[c].at(self.now) * self.base.unloaded(c)).sum()
     }
 
     fn send(&mut self, id: RequestId, s: usize, search: bool, out: &mut Vec<Action>) {
@@ -738,7 +724,7 @@
         let (saved, bound) = (self.cold_saved(s, class), self.bound(class));
         let within = if self.unchecked { self.begins(&self.requests[&id], s) } else { Micros::MAX };
         let p = self.requests.get_mut(&id).expect("just found");
-        let (class, base) = (&self.cfg.classes[class], self.base[class].0);
+        let (class, base) = (&self.cfg.classes[class], self.base.unloaded(class));
         let end = if class.late_share > 0.0 || now >= p.aim_at { p.deadline } else { p.aim_at };
         let most = match class.idempotency {
             _ if search && class.idempotency != Idempotency::AtMostOnce => base * TRIAL_TIME,
@@ -764,7 +750,7 @@
             (Requirement::Any | Requirement::Write, _)
             | (Requirement::ReadYourWrites | Requirement::Latest, 0) => Micros::MAX,
             (Requirement::BoundedStaleness(bound), 0) => {
-                (self.servers[s].position + bound).saturating_sub(self.now)
+                (self.servers[s].replication.known_position() + bound).saturating_sub(self.now)
             }
             _ => NOTICE / 2,
         }
@@ -821,11 +807,10 @@
         }
         self.on_report(s, report);
         let gain = if self.servers[s].aside { TRIAL_GAIN } else { FAULT_GAIN };
-        let (lost, base) = (self.cfg.classes[o.class].aim / 2, self.base[o.class].0);
+        let (lost, base) = (self.cfg.classes[o.class].aim / 2, self.base.unloaded(o.class));
         match outcome {
             Outcome::Ok => {
-                let rate = &mut self.served[o.class];
-                *rate = (decay(rate.0, rate.1, now) + 1e6 / RATE_SPAN, now);
+                self.served[o.class].record(now);
                 self.took(s, o, elapsed, true);
                 self.fault(s, 0.0, gain, "", out);
             }
@@ -855,8 +840,7 @@
                 };
                 // Of a request that is over, nobody knows any more what it wanted.
                 if wanted > 0 {
-                    let v = &mut self.servers[s];
-                    (v.lag, v.position_at) = (v.lag.max(now.saturating_sub(wanted) as f64), now);
+                    self.servers[s].replication.record_missing(wanted, now);
                 }
             }
             Outcome::NotServable => {
@@ -906,48 +890,26 @@
             return;
         }
         if answered {
-            self.learn(class, elapsed as f64);
+            self.base.record(class, elapsed);
         }
         // No answer is a whole wait, however little time the client had left.
-        let (base, aim) = (self.base[class].0, self.cfg.classes[class].aim as f64);
+        let (base, aim) = (self.base.unloaded(class), self.cfg.classes[class].aim as f64);
         let wait = if answered { ((elapsed as f64 - base) / aim).clamp(0.0, 1.0) } else { 1.0 };
-        let (part, own) = (self.part(s), self.waited(s));
-        self.wait[part] += (wait - self.wait[part]) * PRESS_GAIN;
+        let part = self.part(s);
         if let Some(g) = self.groups.get_mut(&self.servers[s].group) {
-            let rare = 1.0 - (-((self.now - g.wait[part].1) as f64) / WAIT_FADE).exp();
-            g.wait[part] = (own + (wait - own) * rare.max(PRESS_GAIN), self.now);
+            g.wait[part].record(wait, self.wait[part], self.now);
         }
+        self.wait[part].record(wait);
         let v = &mut self.servers[s];
         v.quick = if wait == 0.0 { v.quick.max(sent) } else { v.quick };
-        v.press += (wait - v.press) * PRESS_GAIN;
-        if v.press > PRESSED && wait > 0.0 {
+        v.press.record(wait);
+        if v.press.share() > PRESSED && wait > 0.0 {
             v.limit = (v.limit * (1.0 - LIMIT_CUT)).max(LIMIT_LEAST);
-        } else if v.press < PRESSED && v.out.len() as f64 + 1.0 >= v.limit * ROOM_CHEAP {
+        } else if v.press.share() < PRESSED && v.out.len() as f64 + 1.0 >= v.limit * ROOM_CHEAP {
             v.limit = (v.limit + LIMIT_GAIN * v.limit.min(1.0 / v.limit)).min(LIMIT_MOST);
         }
     }
 
-    /// Takes an answer's time in. Guards against going by the guess for minutes where a class is rare.
-    fn learn(&mut self, class: usize, elapsed: f64) {
-        let guess = |class: usize| self.cfg.classes[class].aim as f64 * BASE_GUESS;
-        self.pace = (self.pace.0 + elapsed / guess(class), self.pace.1 + 1.0);
-        let pace = ((BASE_PRIOR + self.pace.0) / (BASE_PRIOR + self.pace.1)).min(1.0);
-        let b = &mut self.base[class];
-        (b.1, b.2) = (b.1 + elapsed, b.2 + 1);
-        for (class, b) in self.base.iter_mut().enumerate() {
-            let (first, n) = (guess(class), f64::from(b.2));
-            if !b.3 {
-                b.0 = ((BASE_PRIOR * first * pace + b.1) / (BASE_PRIOR + n)).min(first);
-            } else if b.2 >= BASE_WINDOW {
-                let mean = b.1 / n;
-                b.0 += (mean - b.0).min(b.0) * if mean < b.0 { BASE_FALL } else { BASE_RISE };
-            }
-            if b.2 >= BASE_WINDOW {
-                *b = (b.0, 0.0, 0, true);
-            }
-        }
-    }
-
     /// Tries held requests again, at once where the primary has just been found.
     fn wake(&mut self, group: Option<GroupId>, found: bool, out: &mut Vec<Action>) {
         let due = |p: &Pending| p.held.is_some_and(|at| found || at <= self.now);
@@ -967,13 +929,15 @@
         self.probe(out);
         if self.commits.len() > COMMITS_KEPT {
             let (groups, servers) = (&self.groups, &self.servers);
-            self.commits.retain(|_, (g, at)| groups[g].members.iter().any(|s| servers[*s].position < *at));
+            self.commits.retain(|_, (g, at)| {
+                groups[g].members.iter().any(|s| servers[*s].replication.known_position() < *at)
+            });
         }
     }
 
     fn probe(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        let rate = decay(self.rate.0, self.rate.1, now);
+        let rate = self.rate.at(now);
         let usual = (self.servers.len() as f64 / (PROBE_SHARE * rate).max(0.001) * 1e6) as Micros;
         let all = if self.cfg.probes { self.servers.len() } else { 0 };
         for s in 0..all {
@@ -987,7 +951,7 @@
             let led = self.leads(group).is_some_and(|p| self.well(p));
             let hurry = if led && !v.down { 1 } else { PROBE_HURRY };
             let span = (usual / hurry).max(PROBE_MIN / hurry);
-            if hurry == 1 && now < v.position_at + span {
+            if hurry == 1 && now < v.replication.observed_at() + span {
                 continue; // Answers have told the same lately.
             }
             self.servers[s].probe_at = now + span - span / 8 + self.random.below(span / 4);
@@ -1001,8 +965,3 @@
         v.probing = true;
     }
 }
-
-/// A moving rate or flow as it stands now, where nothing was added since.
-fn decay(value: f64, at: Micros, now: Micros) -> f64 {
-    value * (-(now.saturating_sub(at) as f64) / RATE_SPAN).exp()
-}
--- /dev/null
+++ b/src/estimators/mod.rs
@@ -0,0 +1,15 @@
+//! Estimators that the routing policy reads: moving rates, averages and baselines. They measure and decide
+//! nothing.
+
+mod latency_baseline;
+mod queueing_delay;
+mod rate;
+mod replication;
+
+#[cfg(test)]
+mod tests;
+
+pub(crate) use latency_baseline::LatencyBaselines;
+pub(crate) use queueing_delay::{GroupQueueingDelay, QueueingDelay};
+pub(crate) use rate::DecayingRate;
+pub(crate) use replication::ReplicationEstimate;
--- /dev/null
+++ b/src/estimators/queueing_delay.rs
@@ -0,0 +1,47 @@
+//! How long attempts wait for service, as a share of their latency objective.
+
+use crate::Micros;
+
+/// The weight of one attempt in an average.
+const GAIN: f64 = 0.15;
+/// The time constant with which the average of a group fades to the average of all groups.
+const GROUP_SPAN: f64 = 5_000_000.0;
+
+/// A moving average over attempts.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct QueueingDelay(f64);
+
+impl QueueingDelay {
+    /// Takes the delay of one attempt in.
+    pub(crate) fn record(&mut self, delay: f64) {
+        self.0 += (delay - self.0) * GAIN;
+    }
+
+    /// The average, a share of the latency objective between 0 and 1.
+    pub(crate) fn share(&self) -> f64 {
+        self.0
+    }
+}
+
+/// The average of one group, which fades to the average of all groups while nothing is seen of the group.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct GroupQueueingDelay {
+    share: f64,
+    updated_at: Micros,
+}
+
+impl GroupQueueingDelay {
+    /// The delay to expect in this group now.
+    pub(crate) fn estimate(&self, all_groups: QueueingDelay, now: Micros) -> f64 {
+        let fade = (-((now - self.updated_at) as f64) / GROUP_SPAN).exp();
+        all_groups.0 + (self.share - all_groups.0) * fade
+    }
+
+    /// Takes the delay of one attempt in; it weighs the more, the longer ago the last one was.
+    pub(crate) fn record(&mut self, delay: f64, all_groups: QueueingDelay, now: Micros) {
+        let estimate = self.estimate(all_groups, now);
+        let staleness = 1.0 - (-((now - self.updated_at) as f64) / GROUP_SPAN).exp();
+        self.share = estimate + (delay - estimate) * staleness.max(GAIN);
+        self.updated_at = now;
+    }
+}
--- /dev/null
+++ b/src/estimators/rate.rs
@@ -0,0 +1,31 @@
+//! A moving rate of events.
+
+use crate::Micros;
+
+/// Events per second, averaged with exponential decay.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct DecayingRate {
+    per_second: f64,
+    updated_at: Micros,
+}
+
+impl DecayingRate {
+    /// The time constant of the decay.
+    pub(crate) const SPAN: f64 = 3_000_000.0;
+
+    /// A rate of zero.
+    pub(crate) fn new(now: Micros) -> Self {
+        DecayingRate { per_second: 0.0, updated_at: now }
+    }
+
+    /// Counts one event.
+    pub(crate) fn record(&mut self, now: Micros) {
+        self.per_second = self.at(now) + 1e6 / Self::SPAN;
+        self.updated_at = now;
+    }
+
+    /// The rate per second as it stands now, with no event since the last one recorded.
+    pub(crate) fn at(&self, now: Micros) -> f64 {
+        self.per_second * (-(now.saturating_sub(self.updated_at) as f64) / Self::SPAN).exp()
+    }
+}
--- /dev/null
+++ b/src/estimators/replication.rs
@@ -0,0 +1,45 @@
+//! How far an endpoint has applied the commits of its group.
+
+use crate::Micros;
+
+/// The time constant with which a lag that is not seen again fades: replicas catch up.
+const LAG_SPAN: f64 = 3_000_000.0;
+
+/// The replication position of an endpoint: a time up to which it has applied all commits.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct ReplicationEstimate {
+    position: Micros,
+    observed_at: Micros,
+    lag: f64,
+}
+
+impl ReplicationEstimate {
+    /// The highest position that is known; positions never go back.
+    pub(crate) fn known_position(&self) -> Micros {
+        self.position
+    }
+
+    /// When something was last learned of the position.
+    pub(crate) fn observed_at(&self) -> Micros {
+        self.observed_at
+    }
+
+    /// The position that it is likely to have by now.
+    pub(crate) fn estimated_position(&self, now: Micros) -> Micros {
+        let fade = (-((now - self.observed_at) as f64) / LAG_SPAN).exp();
+        self.position.max(now.saturating_sub((self.lag * fade) as Micros))
+    }
+
+    /// Takes in a position that it has told.
+    pub(crate) fn record(&mut self, position: Micros, now: Micros) {
+        self.position = self.position.max(position);
+        self.lag = now.saturating_sub(self.position) as f64;
+        self.observed_at = now;
+    }
+
+    /// Takes in that it did not have a position yet.
+    pub(crate) fn record_missing(&mut self, position: Micros, now: Micros) {
+        self.lag = self.lag.max(now.saturating_sub(position) as f64);
+        self.observed_at = now;
+    }
+}
--- /dev/null
+++ b/src/estimators/tests.rs
@@ -0,0 +1,70 @@
+//! Tests of the estimators.
+
+use super::*;
+use crate::{Class, Idempotency, Micros, Requirement};
+
+const SECOND: Micros = 1_000_000;
+
+fn class(latency_objective: Micros) -> Class {
+    Class {
+        need: Requirement::Any,
+        idempotency: Idempotency::Idempotent,
+        aim: latency_objective,
+        deadline: 2 * SECOND,
+        worth: 1.0,
+        late_share: 0.0,
+    }
+}
+
+#[test]
+fn a_rate_converges_to_the_rate_of_events_and_decays_without_them() {
+    let mut rate = DecayingRate::new(0);
+    for event in 1..=1000 {
+        rate.record(event * SECOND / 50);
+    }
+    let settled = rate.at(20 * SECOND);
+    assert!((45.0..55.0).contains(&settled), "{settled}");
+    let later = rate.at(20 * SECOND + DecayingRate::SPAN as Micros);
+    assert!((later / settled - (-1.0f64).exp()).abs() < 1e-9, "{later}");
+}
+
+#[test]
+fn a_baseline_follows_faster_answers_quickly_and_slower_ones_slowly() {
+    let mut baselines = LatencyBaselines::new(&[class(400_000)]);
+    assert_eq!(baselines.unloaded(0), 100_000.0);
+    (0..200).for_each(|_| baselines.record(0, 20_000));
+    let fast = baselines.unloaded(0);
+    assert!((19_000.0..25_000.0).contains(&fast), "{fast}");
+    (0..100).for_each(|_| baselines.record(0, 300_000));
+    let loaded = baselines.unloaded(0);
+    assert!(loaded < 1.2 * fast, "load must not become the norm: {loaded}");
+}
+
+#[test]
+fn a_class_without_answers_shares_the_pace_of_the_others() {
+    let mut baselines = LatencyBaselines::new(&[class(400_000), class(800_000)]);
+    (0..50).for_each(|_| baselines.record(0, 10_000));
+    assert!(baselines.unloaded(1) < 60_000.0, "{}", baselines.unloaded(1));
+}
+
+#[test]
+fn a_group_delay_fades_to_the_delay_of_all_groups() {
+    let mut group = GroupQueueingDelay::default();
+    let all = QueueingDelay::default();
+    group.record(1.0, all, 10 * SECOND);
+    assert!(group.estimate(all, 10 * SECOND) > 0.8);
+    assert!(group.estimate(all, 60 * SECOND) < 0.01);
+}
+
+#[test]
+fn a_replication_position_never_goes_back_and_its_lag_fades() {
+    let mut replication = ReplicationEstimate::default();
+    replication.record(9 * SECOND, 10 * SECOND);
+    replication.record(8 * SECOND, 10 * SECOND);
+    assert_eq!(replication.known_position(), 9 * SECOND);
+    assert_eq!(replication.estimated_position(10 * SECOND), 9 * SECOND);
+    assert!(replication.estimated_position(20 * SECOND) > 19 * SECOND);
+    replication.record_missing(5 * SECOND, 10 * SECOND);
+    assert_eq!(replication.known_position(), 9 * SECOND);
+    assert_eq!(replication.observed_at(), 10 * SECOND);
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -62,6 +62,7 @@
 mod config;
 mod core;
 mod endpoint_list;
+mod estimators;
 mod exchange;
 mod extended;
 mod front;
