--- a/src/balance.rs
+++ b/src/balance.rs
@@ -165,7 +165,7 @@
         let base = LatencyBaselines::new(&settings.classes);
         let rates = vec![DecayingRate::new(now); settings.classes.len()];
         Router {
-            unchecked: settings.when_behind == WhenBehind::Answers,
+            unchecked: settings.stale_read_behavior == StaleReadBehavior::Serve,
             tenant_rate: vec![DecayingRate::new(now); settings.quotas.len()],
             cfg: settings,
             random: RandomSource::new(seed),
@@ -187,18 +187,18 @@
         if self.tick_due == 0 {
             let after = 1 + self.random.below(self.tick_span());
             self.tick_due = self.now + after;
-            out.push(Action::Timer { token: TICK, after });
+            out.push(Action::SetTimer { token: TICK, after });
             out.extend(self.cfg.list_on_request.then_some(Action::Subscribe));
         } else if self.now > self.tick_due + STALL {
             (self.stalled, self.tick_due) = (self.now, self.now);
         }
         match event {
-            Event::EndpointUpdate { full, members } => self.on_list(full, members, out),
-            Event::EndpointListFailed => out.push(Action::Timer { token: ASK, after: ASK_AGAIN }),
-            Event::Timer(ASK) => out.push(Action::Subscribe),
+            Event::EndpointUpdate { full, endpoints: members } => self.on_list(full, members, out),
+            Event::EndpointListFailed => out.push(Action::SetTimer { token: ASK, after: ASK_AGAIN }),
+            Event::TimerFired(ASK) => out.push(Action::Subscribe),
             Event::Request(req) => self.on_request(req, out),
             Event::AttemptEnded(ended) => self.on_outcome(ended, out),
-            Event::Probed { server, answered, report } => {
+            Event::Probed { endpoint: server, answered, report } => {
                 if let Some(&s) = self.index.get(&server) {
                     (self.servers[s].probing, self.servers[s].silent) = (false, !answered);
                     let group = self.servers[s].group;
@@ -213,15 +213,15 @@
                     self.wake(Some(group), after.is_some() && after != before, out);
                 }
             }
-            Event::ClientLeft(id) => self.finish(id, out),
-            Event::Timer(TICK) => self.on_tick(out),
-            Event::Timer(_) => {}
+            Event::ClientDisconnected(id) => self.finish(id, out),
+            Event::TimerFired(TICK) => self.on_tick(out),
+            Event::TimerFired(_) => {}
         }
     }
 
     /// How many members the list names, and how many of them are avoided now.
     pub fn members(&self) -> (usize, usize) {
-        let listed = self.servers.iter().filter(|v| v.listed != EndpointState::Gone);
+        let listed = self.servers.iter().filter(|v| v.listed != EndpointState::Removed);
         let avoided = listed.clone().filter(|v| v.aside || v.down || v.listed == EndpointState::Draining);
         (listed.count(), avoided.count())
     }
@@ -231,16 +231,17 @@
     }
 
     fn on_list(&mut self, full: bool, members: Vec<EndpointEntry>, out: &mut Vec<Action>) {
-        for s in self.servers.iter_mut().filter(|s| full && !members.iter().any(|m| m.server == s.id)) {
-            s.listed = EndpointState::Gone;
+        for s in self.servers.iter_mut().filter(|s| full && !members.iter().any(|m| m.endpoint == s.id)) {
+            s.listed = EndpointState::Removed;
         }
         let (first, now, mut named) = (self.servers.is_empty(), self.now, Vec::new());
         for m in members {
-            let s = match self.index.get(&m.server) {
+            let s = match self.index.get(&m.endpoint) {
                 Some(&s) => s,
                 None => {
                     // The place of one that is forgotten is used again: members may come and go for ever.
-                    let gone = |v: &Server| v.listed == EndpointState::Gone && now > v.last_answer + FORGET;
+                    let gone =
+                        |v: &Server| v.listed == EndpointState::Removed && now > v.last_answer + FORGET;
                     let s = self.servers.iter().position(|v| gone(v) && v.out.is_empty());
                     let s = s.unwrap_or(self.servers.len());
                     self.servers.resize_with(self.servers.len().max(s + 1), Server::default);
@@ -253,12 +254,12 @@
                     let turn = self.random.below(TURN_START);
                     // A trial comes first where it costs no time: where trials reach all members in a second.
                     let trials = self.rate.at(now) * TRIAL_SHARE;
-                    let doubted = !first && (m.started == 0 || trials > self.servers.len() as f64);
-                    self.index.insert(m.server, s);
+                    let doubted = !first && (m.started_at == 0 || trials > self.servers.len() as f64);
+                    self.index.insert(m.endpoint, s);
                     self.servers[s] = Server {
-                        id: m.server,
+                        id: m.endpoint,
                         group: m.group,
-                        started: m.started,
+                        started: m.started_at,
                         limit: LIMIT_START,
                         vouched: first,
                         // Only a told start lets a new one be tried at once: being cold bounds what it gets.
@@ -276,8 +277,8 @@
                 group.members.push(s);
             }
             let v = &mut self.servers[s];
-            if m.started != v.started {
-                (v.started, v.cold_work, v.fault) = (m.started, [(0.0, now); 2], 0.0);
+            if m.started_at != v.started {
+                (v.started, v.cold_work, v.fault) = (m.started_at, [(0.0, now); 2], 0.0);
                 (v.aside, v.down) = (false, false);
                 group.primary = group.primary.filter(|p| *p != s);
             }
@@ -285,9 +286,8 @@
                 group.round_at = now;
                 named.push(m.group);
             }
-            (v.listed, v.hint, v.zone) = (m.listed, m.primary_hint, m.zone);
-            v.drained =
-                m.listed == EndpointState::Draining || (v.drained && m.listed != EndpointState::Ready);
+            (v.listed, v.hint, v.zone) = (m.state, m.primary_hint, m.zone);
+            v.drained = m.state == EndpointState::Draining || (v.drained && m.state != EndpointState::Ready);
         }
         let usable: Vec<_> = (0..self.servers.len()).filter(|s| self.usable(*s)).collect();
         self.members = usable.len() as f64;
@@ -336,10 +336,10 @@
 
     /// The position that a member is expected to have by now, or is known to have where only that is safe.
     fn expected(&self, s: usize) -> Micros {
-        match self.cfg.when_behind {
-            WhenBehind::Answers => self.servers[s].replication.known_position(),
-            WhenBehind::Refuses => self.guess(s),
-            WhenBehind::Waits(wait) => self.guess(s) + wait / 2,
+        match self.cfg.stale_read_behavior {
+            StaleReadBehavior::Serve => self.servers[s].replication.known_position(),
+            StaleReadBehavior::Reject => self.guess(s),
+            StaleReadBehavior::WaitThenReject(wait) => self.guess(s) + wait / 2,
         }
     }
 
@@ -351,8 +351,8 @@
     /// Guards against lists that are wrong or old, even empty; costs an attempt where the list is right.
     fn usable(&self, s: usize) -> bool {
         let v = &self.servers[s];
-        let doubted = self.cfg.only_draining_binds && !v.drained && v.vouched && !v.down;
-        v.listed == EndpointState::Ready || (v.listed == EndpointState::Gone && doubted)
+        let doubted = self.cfg.removed_endpoints_usable && !v.drained && v.vouched && !v.down;
+        v.listed == EndpointState::Ready || (v.listed == EndpointState::Removed && doubted)
     }
 
     /// Departure: a member whose failures stand out is set aside and taken back by single trials. Guards
@@ -384,23 +384,24 @@
         self.trials = (self.trials + TRIAL_SHARE).min(1.0);
         let Some(class) = self.cfg.classes.get(req.class) else { return out.push(Action::Fail(req.id)) };
         self.offered[req.class].record(now);
-        let repeat = class.late_share + (1.0 - class.late_share) * REPEAT_WORTH;
-        let mut worth = class.worth * if req.repeat { repeat } else { 1.0 };
+        let repeat = class.late_value + (1.0 - class.late_value) * REPEAT_WORTH;
+        let mut worth = class.priority_weight * if req.is_retry { repeat } else { 1.0 };
         if let Some(rate) = self.tenant_rate.get_mut(req.tenant) {
             rate.record(now);
             if rate.at(now) * f64::from(self.cfg.instances) > self.cfg.quotas[req.tenant] {
-                worth *= self.cfg.over_quota_share;
+                worth *= self.cfg.over_quota_weight;
             }
         }
-        let need = match class.need {
+        let need = match class.requirement {
             Requirement::Latest => now,
             Requirement::ReadYourWrites if self.cfg.remember_commits => {
                 self.commits.get(&req.session).map_or(0, |c| c.1)
             }
-            Requirement::ReadYourWrites => req.since_write.map_or(0, |ago| now.saturating_sub(ago)),
+            Requirement::ReadYourWrites => req.time_since_write.map_or(0, |ago| now.saturating_sub(ago)),
             _ => 0,
         };
-        let (id, deadline, aim_at) = (req.id, now + req.remaining, now + class.aim.min(req.remaining));
+        let (id, deadline, aim_at) =
+            (req.id, now + req.remaining, now + class.latency_objective.min(req.remaining));
         let pending = Pending { deadline, aim_at, need, worth, luck, req, ..Pending::default() };
         self.requests.insert(id, pending);
         self.advance(id, out);
@@ -416,13 +417,13 @@
             Idempotency::AtMostOnce => 0.0,
         };
         let may_send = p.ran.is_none_or(|ran| ((self.now - ran) as f64) < window);
-        let end = if class.late_share > 0.0 { p.deadline } else { p.aim_at };
+        let end = if class.late_value > 0.0 { p.deadline } else { p.aim_at };
         let base = self.base.unloaded(p.req.class);
         let open = self.groups.get(&p.req.group).is_some_and(|g| g.members.iter().any(|s| self.usable(*s)));
         if !open || !may_send || self.now >= end || p.attempts >= self.cfg.max_attempts {
             return self.give_up(id, out);
         }
-        let choice = match class.need {
+        let choice = match class.requirement {
             Requirement::Write | Requirement::Latest => self.choose_primary(id),
             _ => self.choose_replica(id, out),
         };
@@ -468,7 +469,7 @@
             return self.rest(id);
         }
         // Where members do not check, reads leave the search to writes and probes.
-        let blind = self.unchecked && self.cfg.classes[class].need == Requirement::Latest;
+        let blind = self.unchecked && self.cfg.classes[class].requirement == Requirement::Latest;
         if blind || (p.missed == 0 && self.now < group.round_at) {
             return Choice::Hold;
         }
@@ -493,7 +494,7 @@
     /// Holds a request, ever longer. Guards against a primary that refuses connections using all attempts up.
     fn rest(&mut self, id: RequestId) -> Choice {
         let p = self.requests.get_mut(&id).expect("checked by the caller");
-        let late = self.cfg.classes[p.req.class].late_share > 0.0;
+        let late = self.cfg.classes[p.req.class].late_value > 0.0;
         let left = if late { p.deadline } else { p.aim_at }.saturating_sub(self.now);
         let wait = (left >> self.cfg.max_attempts.saturating_sub(p.attempts).min(63)).max(ROUND_WAIT);
         p.again_at = self.now + if p.attempts == 0 { 0 } else { wait };
@@ -556,7 +557,7 @@
 
     /// The position that a read needs, 0 for none.
     fn need(&self, p: &Pending) -> Micros {
-        match self.cfg.classes[p.req.class].need {
+        match self.cfg.classes[p.req.class].requirement {
             Requirement::BoundedStaleness(bound) => self.now.saturating_sub(bound),
             _ => p.need,
         }
@@ -612,10 +613,16 @@
     /// is shed by how long attempts wait in the group, the cheapest first. Guards against any overload.
     fn has_room(&self, p: &Pending, s: usize) -> bool {
         let class = &self.cfg.classes[p.req.class];
-        let top = self.cfg.classes.iter().zip(self.base.all()).map(|(c, b)| c.worth / b).fold(0.0, f64::max);
+        let top = self
+            .cfg
+            .classes
+            .iter()
+            .zip(self.base.all())
+            .map(|(c, b)| c.priority_weight / b)
+            .fold(0.0, f64::max);
         // Writes rank by what is left of their own worth, as they can go nowhere but to the primary.
-        let best = if class.need == Requirement::Write {
-            class.worth / self.base.unloaded(p.req.class)
+        let best = if class.requirement == Requirement::Write {
+            class.priority_weight / self.base.unloaded(p.req.class)
         } else {
             top
         };
@@ -630,13 +637,16 @@
 
     /// To send to it costs a crossing between zones.
     fn away(&self, v: &Server) -> bool {
-        v.zone != self.cfg.zone && self.cfg.crossing_price > 0.0
+        v.zone != self.cfg.zone && self.cfg.cross_zone_cost > 0.0
     }
 
     /// Own attempts out at a member, less those that are lost.
     fn pending(&self, s: usize) -> usize {
         let v = &self.servers[s];
-        v.out.iter().filter(|o| o.sent + self.cfg.classes[o.class].aim * 3 / 2 >= v.quick).count()
+        v.out
+            .iter()
+            .filter(|o| o.sent + self.cfg.classes[o.class].latency_objective * 3 / 2 >= v.quick)
+            .count()
     }
 
     /// The part that a member plays in its group: 0 for a replica, 1 for the primary.
@@ -671,33 +681,33 @@
 
     fn long(&self, class: usize) -> bool {
         let lightest = self.base.all().fold(f64::INFINITY, f64::min);
-        self.cfg.classes[class].need == Requirement::Any && self.base.unloaded(class) > LONG * lightest
+        self.cfg.classes[class].requirement == Requirement::Any && self.base.unloaded(class) > LONG * lightest
     }
 
     /// Cold by the list, without connections, or back from that so lately that the list may not say so yet.
     fn cold(&self, v: &Server) -> bool {
         v.down
-            || (v.started > 0 && self.now < v.started + self.cfg.cold_time)
+            || (v.started > 0 && self.now < v.started + self.cfg.slow_start_duration)
             || (v.back_at > v.started && self.now < v.back_at + UNTOLD)
     }
 
     /// 1 for a class that only the primary can serve.
     fn bound(&self, class: usize) -> usize {
-        usize::from(matches!(self.cfg.classes[class].need, Requirement::Write | Requirement::Latest))
+        usize::from(matches!(self.cfg.classes[class].requirement, Requirement::Write | Requirement::Latest))
     }
 
     fn cold_rate(&self, s: usize, bound: usize) -> f64 {
         let v = &self.servers[s];
         let since = if v.down { self.now } else { v.started.max(v.back_at) };
-        let age = self.now.saturating_sub(since) as f64 / self.cfg.cold_time.max(1) as f64;
-        let part = self.cfg.cold_from + (1.0 - self.cfg.cold_from) * age;
-        self.each() * part * [COLD_SHARE, COLD_LEAD][bound] * self.cfg.fall_multiple
+        let age = self.now.saturating_sub(since) as f64 / self.cfg.slow_start_duration.max(1) as f64;
+        let part = self.cfg.slow_start_capacity + (1.0 - self.cfg.slow_start_capacity) * age;
+        self.each() * part * [COLD_SHARE, COLD_LEAD][bound] * self.cfg.overload_multiple
     }
 
     fn cold_saved(&self, s: usize, class: usize) -> f64 {
         let (v, bound) = (&self.servers[s], self.bound(class));
         let ((saved, at), rate) = (v.cold_work[bound], self.cold_rate(s, bound));
-        let most = rate * self.cfg.fall_time as f64 * COLD_SAVED / (1 + bound) as f64 / 1e6;
+        let most = rate * self.cfg.overload_window as f64 * COLD_SAVED / (1 + bound) as f64 / 1e6;
         // Of what only a primary can do a whole request may be saved, as it comes seldom at one router.
         let most = most.max(self.base.unloaded(class) * bound as f64);
         (saved + rate * (self.now - at.max(v.started)) as f64 / 1e6).min(most)
@@ -725,7 +735,7 @@
         let within = if self.unchecked { self.begins(&self.requests[&id], s) } else { Micros::MAX };
         let p = self.requests.get_mut(&id).expect("just found");
         let (class, base) = (&self.cfg.classes[class], self.base.unloaded(class));
-        let end = if class.late_share > 0.0 || now >= p.aim_at { p.deadline } else { p.aim_at };
+        let end = if class.late_value > 0.0 || now >= p.aim_at { p.deadline } else { p.aim_at };
         let most = match class.idempotency {
             _ if search && class.idempotency != Idempotency::AtMostOnce => base * TRIAL_TIME,
             Idempotency::Keyed { window, .. } => (window as f64 * WINDOW_TRY).max(KEYED_TIME * base),
@@ -740,13 +750,13 @@
         v.cold_work[bound] = ((saved - base).max(-base), now);
         v.cold_work[1].0 -= base * (1 - bound) as f64; // What is read there is not left for writes.
         v.trial_at = v.trial_at.max(now + TRIAL_WAIT);
-        out.push(Action::Send { request: id, server: v.id, timeout: timeout.max(1), within });
+        out.push(Action::Send { request: id, endpoint: v.id, timeout: timeout.max(1), start_within: within });
     }
 
     /// Departure: how long an attempt may wait for its connection where members do not check. Guards against
     /// data that was fresh enough when a member was picked, and a primary that is none any more.
     fn begins(&self, p: &Pending, s: usize) -> Micros {
-        match (self.cfg.classes[p.req.class].need, self.part(s)) {
+        match (self.cfg.classes[p.req.class].requirement, self.part(s)) {
             (Requirement::Any | Requirement::Write, _)
             | (Requirement::ReadYourWrites | Requirement::Latest, 0) => Micros::MAX,
             (Requirement::BoundedStaleness(bound), 0) => {
@@ -759,9 +769,9 @@
     /// The final answer of a request that is given up, at once.
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(p) = self.requests.get(&id) else { return };
-        let Class { idempotency, aim, .. } = self.cfg.classes[p.req.class];
+        let Class { idempotency, latency_objective: aim, .. } = self.cfg.classes[p.req.class];
         let anywhere =
-            matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { anywhere: true, .. });
+            matches!(idempotency, Idempotency::Idempotent | Idempotency::Keyed { across_groups: true, .. });
         if anywhere || (p.ran.is_none() && p.flying.is_none()) {
             let wait = aim / 2 + self.random.below(aim / 2);
             let retry_after = if self.cfg.retry_after { wait.min(self.cfg.max_retry_after) } else { 0 };
@@ -782,8 +792,16 @@
     }
 
     fn on_outcome(&mut self, ended: AttemptResult, out: &mut Vec<Action>) {
-        let AttemptResult { request: id, attempt, server, outcome, elapsed, metadata, finished, report } =
-            ended;
+        let AttemptResult {
+            request: id,
+            attempt,
+            endpoint: server,
+            outcome,
+            elapsed,
+            metadata,
+            finished,
+            report,
+        } = ended;
         let Some(&s) = self.index.get(&server) else { return };
         let now = self.now;
         let mine = |o: &Out| o.request == id && o.attempt == attempt;
@@ -791,7 +809,7 @@
         let o = self.servers[s].out.swap_remove(at);
         let group_id = self.servers[s].group;
         let before = self.groups.get(&group_id).and_then(|g| g.primary);
-        let need = self.cfg.classes[o.class].need;
+        let need = self.cfg.classes[o.class].requirement;
         let silent = self.servers[s].last_answer < o.sent && o.sent >= self.stalled;
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::NotServable) {
             self.servers[s].last_answer = now;
@@ -807,7 +825,7 @@
         }
         self.on_report(s, report);
         let gain = if self.servers[s].aside { TRIAL_GAIN } else { FAULT_GAIN };
-        let (lost, base) = (self.cfg.classes[o.class].aim / 2, self.base.unloaded(o.class));
+        let (lost, base) = (self.cfg.classes[o.class].latency_objective / 2, self.base.unloaded(o.class));
         match outcome {
             Outcome::Ok => {
                 self.served[o.class].record(now);
@@ -829,7 +847,7 @@
             Outcome::TimedOut | Outcome::Full => {
                 self.took(s, o, elapsed, false);
                 if silent {
-                    self.servers[s].down |= self.servers[s].listed == EndpointState::Gone;
+                    self.servers[s].down |= self.servers[s].listed == EndpointState::Removed;
                     self.fault(s, 1.0, gain, "no answer", out);
                 }
             }
@@ -893,7 +911,7 @@
             self.base.record(class, elapsed);
         }
         // No answer is a whole wait, however little time the client had left.
-        let (base, aim) = (self.base.unloaded(class), self.cfg.classes[class].aim as f64);
+        let (base, aim) = (self.base.unloaded(class), self.cfg.classes[class].latency_objective as f64);
         let wait = if answered { ((elapsed as f64 - base) / aim).clamp(0.0, 1.0) } else { 1.0 };
         let part = self.part(s);
         if let Some(g) = self.groups.get_mut(&self.servers[s].group) {
@@ -923,7 +941,7 @@
     }
 
     fn on_tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Timer { token: TICK, after: self.tick_span() });
+        out.push(Action::SetTimer { token: TICK, after: self.tick_span() });
         self.tick_due = self.now + self.tick_span();
         self.wake(None, false, out);
         self.probe(out);
@@ -942,7 +960,7 @@
         let all = if self.cfg.probes { self.servers.len() } else { 0 };
         for s in 0..all {
             let v = &self.servers[s];
-            let bound = v.drained || !v.vouched || !self.cfg.only_draining_binds;
+            let bound = v.drained || !v.vouched || !self.cfg.removed_endpoints_usable;
             if v.probing || now < v.probe_at || (v.listed != EndpointState::Ready && bound) {
                 continue;
             }
--- a/src/core/connections.rs
+++ b/src/core/connections.rs
@@ -33,13 +33,13 @@
         let mut in_service = BTreeSet::new();
         let mut out_of_service = BTreeSet::new();
         for ListedMember { entry, .. } in &members {
-            match entry.listed {
-                EndpointState::Ready => in_service.insert(entry.server),
-                EndpointState::Draining | EndpointState::Gone => out_of_service.insert(entry.server),
+            match entry.state {
+                EndpointState::Ready => in_service.insert(entry.endpoint),
+                EndpointState::Draining | EndpointState::Removed => out_of_service.insert(entry.endpoint),
             };
         }
         let endpoints = members.into_iter().map(|member| member.entry).collect();
-        self.notify_router(now, Event::EndpointUpdate { full, members: endpoints });
+        self.notify_router(now, Event::EndpointUpdate { full, endpoints });
         self.cancel_unsent(|_, job| {
             let removed = full && !in_service.contains(&job.endpoint);
             removed || out_of_service.contains(&job.endpoint)
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -99,7 +99,7 @@
     /// Starts a probe. Returns the event that tells the router if that is impossible.
     pub(super) fn start_probe(&mut self, now: Micros, endpoint: EndpointId) -> Option<Event> {
         let Some(connection) = self.check_out(endpoint) else {
-            return Some(Event::Probed { server: endpoint, answered: false, report: LoadReport::default() });
+            return Some(Event::Probed { endpoint, answered: false, report: LoadReport::default() });
         };
         self.start_job(now, connection, endpoint, JobPurpose::Probe, PROBE_TIMEOUT, JobSpec::Probe);
         None
@@ -179,7 +179,7 @@
             JobPurpose::Probe => {
                 let answered = result.outcome == Outcome::Ok;
                 let report = result.report;
-                self.notify_router(now, Event::Probed { server: job.endpoint, answered, report });
+                self.notify_router(now, Event::Probed { endpoint: job.endpoint, answered, report });
             }
         }
     }
@@ -212,7 +212,7 @@
         let ended = AttemptResult {
             request,
             attempt,
-            server: job.endpoint,
+            endpoint: job.endpoint,
             outcome,
             elapsed,
             metadata,
@@ -242,7 +242,7 @@
     Event::AttemptEnded(AttemptResult {
         request,
         attempt,
-        server: endpoint,
+        endpoint,
         outcome: Outcome::NeverSent,
         elapsed: 0,
         metadata: ResponseMetadata::default(),
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -115,7 +115,7 @@
     fn fire_due_timers(&mut self, now: Micros) {
         while let Some(event) = self.timers.pop_due(now) {
             match event {
-                TimerEvent::Router(token) => self.notify_router(now, Event::Timer(token)),
+                TimerEvent::Router(token) => self.notify_router(now, Event::TimerFired(token)),
                 TimerEvent::JobTimeout(job) => self.cancel_job(job, CancelReason::TimedOut),
                 // What the router based its choice on no longer holds.
                 TimerEvent::StartLimit(job) => self.cancel_unsent(|id, _| id == job),
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -85,12 +85,12 @@
         listed: &[ListedMember],
     ) -> Vec<ConnectionId> {
         for ListedMember { entry, address } in listed {
-            self.members.entry(entry.server).or_default().address = Some(*address);
+            self.members.entry(entry.endpoint).or_default().address = Some(*address);
         }
         let mut to_close = Vec::new();
         for (endpoint, member) in &mut self.members {
-            let listed = listed.iter().find(|listed| listed.entry.server == *endpoint);
-            let state = listed.map(|listed| listed.entry.listed);
+            let listed = listed.iter().find(|listed| listed.entry.endpoint == *endpoint);
+            let state = listed.map(|listed| listed.entry.state);
             let out_of_service = state.map_or(full, |state| state != EndpointState::Ready);
             to_close.extend(member.remove_unusable(out_of_service, &self.connections));
             member.track_absence(now, full, state);
@@ -207,7 +207,7 @@
     /// Notes since when the member has been gone; `state` is its entry in the update, if it has one.
     fn track_absence(&mut self, now: Micros, full: bool, state: Option<EndpointState>) {
         match state {
-            Some(EndpointState::Gone) => self.gone_since = self.gone_since.or(Some(now)),
+            Some(EndpointState::Removed) => self.gone_since = self.gone_since.or(Some(now)),
             Some(EndpointState::Ready | EndpointState::Draining) => self.gone_since = None,
             None if full => self.gone_since = self.gone_since.or(Some(now)),
             None => {}
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -109,7 +109,7 @@
 
     /// Lets go of the attempts of a request that is no longer pending.
     fn release_request(&mut self, now: Micros, id: RequestId) {
-        self.notify_router(now, Event::ClientLeft(id));
+        self.notify_router(now, Event::ClientDisconnected(id));
         self.cancel_unsent(|_, job| job.serves(id));
     }
 
--- a/src/core/routing.rs
+++ b/src/core/routing.rs
@@ -23,7 +23,7 @@
     /// Carries out one action. Returns the event that tells the router of an immediate failure.
     fn perform(&mut self, now: Micros, action: Action) -> Option<Event> {
         match action {
-            Action::Send { request, server: endpoint, timeout, within: start_within } => {
+            Action::Send { request, endpoint, timeout, start_within } => {
                 let order = AttemptOrder { request, endpoint, timeout, start_within };
                 return self.start_attempt(now, order);
             }
@@ -37,7 +37,7 @@
                     self.cancel_job(job, CancelReason::NotNeeded);
                 }
             }
-            Action::Timer { token, after } => self.timers.set(now + after, TimerEvent::Router(token)),
+            Action::SetTimer { token, after } => self.timers.set(now + after, TimerEvent::Router(token)),
             // The endpoint list is always watched.
             Action::Subscribe => {}
             Action::Log(text) => self.effects.push(Effect::Log(text)),
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::{
     Class, EndpointEntry, EndpointId, EndpointState, Idempotency, LoadReport, Outcome, Request, Requirement,
-    ResponseMetadata, Role, WhenBehind,
+    ResponseMetadata, Role, StaleReadBehavior,
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,18 +25,25 @@
 type TestCore = Core<(), ()>;
 type Effects = Vec<Effect<(), ()>>;
 
-fn class(need: Requirement, idempotency: Idempotency) -> Class {
-    Class { need, idempotency, aim: 400 * MS, deadline: 2000 * MS, worth: 1.0, late_share: 0.5 }
+fn class(requirement: Requirement, idempotency: Idempotency) -> Class {
+    Class {
+        requirement,
+        idempotency,
+        latency_objective: 400 * MS,
+        deadline: 2000 * MS,
+        priority_weight: 1.0,
+        late_value: 0.5,
+    }
 }
 
-fn member(number: u16, listed: EndpointState) -> ListedMember {
+fn member(number: u16, state: EndpointState) -> ListedMember {
     let entry = EndpointEntry {
-        server: EndpointId(number.into()),
+        endpoint: EndpointId(number.into()),
         group: 1,
         zone: 0,
-        listed,
+        state,
         primary_hint: number == 1,
-        started: 0,
+        started_at: 0,
     };
     ListedMember { entry, address: SocketAddr::from(([127, 0, 0, 1], number)) }
 }
@@ -44,14 +51,14 @@
 /// A reducer with two members, of which the first is hinted to be the primary. `cancel` says whether the
 /// router may cancel attempts.
 fn core(cancel: bool) -> TestCore {
-    let keyed = Idempotency::Keyed { anywhere: true, window: KEY_WINDOW };
+    let keyed = Idempotency::Keyed { across_groups: true, window: KEY_WINDOW };
     let settings = Settings {
         classes: vec![
             class(Requirement::BoundedStaleness(STALENESS_BOUND), Idempotency::Idempotent),
             class(Requirement::Write, keyed),
             class(Requirement::Write, Idempotency::AtMostOnce),
         ],
-        when_behind: WhenBehind::Answers,
+        stale_read_behavior: StaleReadBehavior::Serve,
         probes: false,
         cancel,
         ..Settings::default()
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -83,16 +83,16 @@
         let listed = self.listed_state();
         let address = match self.address.parse() {
             Ok(address) => address,
-            Err(_) if listed == EndpointState::Gone => NO_ADDRESS,
+            Err(_) if listed == EndpointState::Removed => NO_ADDRESS,
             Err(_) => return None,
         };
         let entry = EndpointEntry {
-            server: endpoint_id(&self.uid),
+            endpoint: endpoint_id(&self.uid),
             group: self.group,
             zone: 0,
-            listed,
+            state: listed,
             primary_hint: self.recovery == RECOVERY_OFF,
-            started: from_unix_ms(self.started_unix_ms.max(0.0) as u64),
+            started_at: from_unix_ms(self.started_unix_ms.max(0.0) as u64),
         };
         Some(ListedMember { entry, address })
     }
@@ -101,7 +101,7 @@
         match self.state.as_str() {
             STATE_SERVING => EndpointState::Ready,
             STATE_DRAINING => EndpointState::Draining,
-            _ => EndpointState::Gone,
+            _ => EndpointState::Removed,
         }
     }
 }
--- a/src/endpoint_list/tests.rs
+++ b/src/endpoint_list/tests.rs
@@ -25,7 +25,7 @@
             {"uid":"b","endpoint":"127.0.0.1:2","state":"DELETED"}]}"#,
     ));
     assert_eq!((known.revision, uids(&known)), (2, vec!["a".to_string()]));
-    assert_eq!(known.members()[0].entry.listed, EndpointState::Draining);
+    assert_eq!(known.members()[0].entry.state, EndpointState::Draining);
     known.merge(list(r#"{"rev":3,"all":true,"targets":[]}"#));
     assert!(known.complete && known.endpoints.is_empty());
 }
@@ -38,5 +38,8 @@
     );
     let members = listed.members();
     assert_eq!(members.len(), 1);
-    assert_eq!((members[0].entry.server, members[0].entry.listed), (endpoint_id("b"), EndpointState::Gone));
+    assert_eq!(
+        (members[0].entry.endpoint, members[0].entry.state),
+        (endpoint_id("b"), EndpointState::Removed)
+    );
 }
--- a/src/estimators/latency_baseline.rs
+++ b/src/estimators/latency_baseline.rs
@@ -34,7 +34,7 @@
     /// First guesses only.
     pub(crate) fn new(classes: &[Class]) -> Self {
         let classes = classes.iter().map(|class| {
-            let first_guess = class.aim as f64 * FIRST_GUESS;
+            let first_guess = class.latency_objective as f64 * FIRST_GUESS;
             Baseline { first_guess, unloaded: first_guess, sum: 0.0, samples: 0, measured: false }
         });
         LatencyBaselines { classes: classes.collect(), ..LatencyBaselines::default() }
--- a/src/estimators/tests.rs
+++ b/src/estimators/tests.rs
@@ -7,12 +7,12 @@
 
 fn class(latency_objective: Micros) -> Class {
     Class {
-        need: Requirement::Any,
+        requirement: Requirement::Any,
         idempotency: Idempotency::Idempotent,
-        aim: latency_objective,
+        latency_objective,
         deadline: 2 * SECOND,
-        worth: 1.0,
-        late_share: 0.0,
+        priority_weight: 1.0,
+        late_value: 0.0,
     }
 }
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,5 +1,5 @@
 //! The fronts: each turns what clients say into requests for the core, and verdicts into answers. What they
-//! have in common is the [`Lobby`]: connections, their [`Pipeline`]s of commands, cancels and closing. A front's
+//! have in common is the [`ConnectionManager`]: connections, their [`Pipeline`]s of commands, cancels and closing. A front's
 //! own way of talking is its [`Protocol`].
 
 mod pipeline;
@@ -8,9 +8,10 @@
 #[cfg(test)]
 mod tests;
 
+use crate::client::{ClientEvent, ClientId, ParsedRequest};
 use crate::core::{FinalAnswer, NewRequest};
 use crate::exchange::{MemberRequest, MemberResponse, millis_rounded_up};
-use crate::pg::{self, ProtocolError, StartupPacket};
+use crate::pg::{self, StartupPacket};
 use crate::store::Change;
 use crate::{Micros, Request, RequestId};
 use pipeline::{Access, Pipeline, Queued};
@@ -25,95 +26,49 @@
 /// begins behind an unfinished one.
 const REORDERED_BYTES: usize = 160 * 1024;
 
-/// The number of a client connection, never used twice.
-pub type ClientId = u64;
-
-/// What a client's reader found on the wire.
-pub enum Said<C> {
-    /// A new connection, with the secret of its cancel key.
-    Connected {
-        /// The secret.
-        secret: u32,
-    },
-    /// An opening packet.
-    Opening(StartupPacket),
-    /// A command, read whole.
-    Command(C),
-    /// A message that this front does not serve.
-    Unsupported,
-    /// The client says that it is done.
-    Terminate,
-    /// A message that breaks the protocol.
-    Malformed(ProtocolError),
-    /// The connection has ended.
-    Gone,
-}
-
 /// What a front wants done.
-pub enum Out {
+pub enum FrontEffect {
     /// Write to a client.
     Write(ClientId, Vec<u8>),
     /// Close a client's connection once all is written.
     Close(ClientId),
-    /// Close it if nothing of another command has come: [`Lobby::forget`] is told if so.
-    Retire(ClientId),
+    /// Close it if nothing of another command has come: [`ConnectionManager::forget`] is told if so.
+    CloseIfIdle(ClientId),
     /// A client may send one more command.
-    Credit(ClientId),
+    CommandAnswered(ClientId),
     /// A request is taken.
-    Take(NewRequest<MemberRequest>),
+    StartRequest(NewRequest<MemberRequest>),
     /// A request's client has gone or given it up.
-    Left(RequestId),
+    AbandonRequest(RequestId),
     /// The store is to note this.
-    Note(Change),
-}
-
-/// What is asked of the core.
-pub struct Ask {
-    /// The class.
-    pub class: usize,
-    /// It changes data.
-    pub writes: bool,
-    /// The group.
-    pub group: u32,
-    /// The session, 0 for none.
-    pub session: u64,
-    /// The position that a read must see, as time on the core's clock.
-    pub after: Option<Micros>,
-    /// A client's retry.
-    pub repeat: bool,
-    /// The request's own name, which no other open request may have; empty for none.
-    pub name: Vec<u8>,
-    /// How long the client waits.
-    pub wait: Micros,
-    /// What a member is asked.
-    pub work: MemberRequest,
+    RecordChange(Change),
 }
 
-impl Ask {
+impl ParsedRequest {
     fn access(&self) -> Access {
         Access { writes: self.writes, group: self.group, session: self.session }
     }
 }
 
 /// What a command comes to.
-pub enum Step<P: Protocol + ?Sized> {
+pub enum CommandStep<P: Protocol + ?Sized> {
     /// It waits for the proxy to be ready.
-    Wait(P::Command),
+    Defer(P::Command),
     /// It is answered with this at once.
-    Say(Vec<u8>),
+    Reply(Vec<u8>),
     /// It is a request.
-    Ask(Ask, P::Context),
+    Forward(ParsedRequest, P::Context),
 }
 
 /// Whether the front layer may send clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Service {
+pub enum ServiceState {
     /// Not known yet: empty queries wait.
     Starting,
     /// Yes.
-    In,
+    InService,
     /// No: an operator has taken this proxy out of service. Open connections are served.
-    Out,
+    OutOfService,
 }
 
 /// A front's own way of talking.
@@ -131,7 +86,12 @@
         false
     }
     /// Takes a connection's next command.
-    fn start(&mut self, session: &mut Self::Session, command: Self::Command, service: Service) -> Step<Self>;
+    fn start(
+        &mut self,
+        session: &mut Self::Session,
+        command: Self::Command,
+        service: ServiceState,
+    ) -> CommandStep<Self>;
     /// What the store is to note since the last call.
     fn notes(&mut self) -> Vec<Change> {
         Vec::new()
@@ -147,14 +107,14 @@
 
 /// Hands out request numbers to both fronts, and remembers whose they are.
 #[derive(Default)]
-pub struct Desk {
+pub struct RequestRegistry {
     last: RequestId,
     owners: BTreeMap<RequestId, (ClientId, Vec<u8>)>,
     /// The names of open requests.
     names: HashSet<Vec<u8>>,
 }
 
-impl Desk {
+impl RequestRegistry {
     /// `None` if a request of that name is open.
     fn open(&mut self, client: ClientId, name: Vec<u8>) -> Option<RequestId> {
         if !name.is_empty() && !self.names.insert(name.clone()) {
@@ -188,10 +148,10 @@
 }
 
 /// The connections of a front.
-pub struct Lobby<P: Protocol> {
+pub struct ConnectionManager<P: Protocol> {
     talk: P,
     clients: BTreeMap<ClientId, Client<P>>,
-    service: Service,
+    service: ServiceState,
     /// Connections are closed between requests.
     closing: bool,
     /// Bytes of replies that wait for those of earlier commands, over all clients, and the most there may be.
@@ -199,17 +159,22 @@
     most_reordered: usize,
 }
 
-impl<P: Protocol> Lobby<P> {
+impl<P: Protocol> ConnectionManager<P> {
     /// A front without connections, of whose finished replies so many bytes may wait for earlier ones.
     pub fn new(talk: P, most_reordered: usize) -> Self {
-        let (clients, service) = (BTreeMap::new(), Service::Starting);
-        Lobby { talk, clients, service, closing: false, reordered: 0, most_reordered }
+        let (clients, service) = (BTreeMap::new(), ServiceState::Starting);
+        ConnectionManager { talk, clients, service, closing: false, reordered: 0, most_reordered }
     }
 
     /// The proxy can serve, or is taken out of service or back: commands that waited for that go on.
-    pub fn serve(&mut self, service: Service, desk: &mut Desk, now: Micros) -> Vec<Out> {
+    pub fn serve(
+        &mut self,
+        service: ServiceState,
+        desk: &mut RequestRegistry,
+        now: Micros,
+    ) -> Vec<FrontEffect> {
         self.service = service;
-        self.closing &= service == Service::Out;
+        self.closing &= service == ServiceState::OutOfService;
         let mut out = Vec::new();
         for id in self.clients.keys().copied().collect::<Vec<_>>() {
             self.next(desk, now, id, &mut out);
@@ -218,7 +183,7 @@
     }
 
     /// From now on connections are closed between requests.
-    pub fn close(&mut self) -> Vec<Out> {
+    pub fn close(&mut self) -> Vec<FrontEffect> {
         self.closing = true;
         let mut out = Vec::new();
         for id in self.clients.keys().copied().collect::<Vec<_>>() {
@@ -265,46 +230,54 @@
     }
 
     /// Takes what a client said.
-    pub fn said(&mut self, desk: &mut Desk, now: Micros, id: ClientId, said: Said<P::Command>) -> Vec<Out> {
+    pub fn said(
+        &mut self,
+        desk: &mut RequestRegistry,
+        now: Micros,
+        id: ClientId,
+        said: ClientEvent<P::Command>,
+    ) -> Vec<FrontEffect> {
         let mut out = Vec::new();
-        if let Said::Connected { secret } = said {
+        if let ClientEvent::Connected { secret } = said {
             let (pipeline, session) = (Pipeline::default(), P::Session::default());
             let client = Client { secret, asked: false, pipeline, free_at: now, session };
             self.clients.insert(id, client);
             return out;
         }
         // A cancel is heard also where there was no room for the connection that brings it.
-        if let Said::Opening(StartupPacket::CancelRequest { process, secret }) = said {
+        if let ClientEvent::Opening(StartupPacket::CancelRequest { process, secret }) = said {
             self.gone(desk, id, &mut out);
             self.cancel(desk, now, process, secret, &mut out);
             return out;
         }
         let Some(client) = self.clients.get_mut(&id) else { return out };
         match said {
-            Said::Connected { .. } => {}
-            Said::Opening(StartupPacket::EncryptionRequest) => out.push(Out::Write(id, b"N".to_vec())),
-            Said::Opening(StartupPacket::Startup) => {
+            ClientEvent::Connected { .. } => {}
+            ClientEvent::Opening(StartupPacket::EncryptionRequest) => {
+                out.push(FrontEffect::Write(id, b"N".to_vec()))
+            }
+            ClientEvent::Opening(StartupPacket::Startup) => {
                 let mut bytes = Vec::new();
                 pg::put_startup_response(&mut bytes, id as u32, client.secret);
-                out.push(Out::Write(id, bytes));
+                out.push(FrontEffect::Write(id, bytes));
             }
-            Said::Opening(StartupPacket::CancelRequest { .. }) => {}
-            Said::Command(command) => {
+            ClientEvent::Opening(StartupPacket::CancelRequest { .. }) => {}
+            ClientEvent::Command(command) => {
                 client.pipeline.push(command);
                 self.next(desk, now, id, &mut out);
                 self.close_if_idle(id, &mut out);
             }
-            Said::Unsupported => self.fatal(
+            ClientEvent::Unsupported => self.fatal(
                 desk,
                 id,
                 pg::sqlstate::FEATURE_NOT_SUPPORTED,
                 "only simple queries are served here",
                 &mut out,
             ),
-            Said::Malformed(why) => {
+            ClientEvent::Malformed(why) => {
                 self.fatal(desk, id, pg::sqlstate::PROTOCOL_VIOLATION, &why.to_string(), &mut out)
             }
-            Said::Terminate | Said::Gone => self.gone(desk, id, &mut out),
+            ClientEvent::Terminate | ClientEvent::Disconnected => self.gone(desk, id, &mut out),
         }
         out
     }
@@ -312,12 +285,12 @@
     /// Gives a request its final answer.
     pub fn answer(
         &mut self,
-        desk: &mut Desk,
+        desk: &mut RequestRegistry,
         now: Micros,
         id: ClientId,
         request: RequestId,
         verdict: FinalAnswer<MemberResponse>,
-    ) -> Vec<Out> {
+    ) -> Vec<FrontEffect> {
         let mut out = Vec::new();
         let Some(client) = self.clients.get_mut(&id) else { return out };
         let Some(index) = client.pipeline.position(request) else { return out };
@@ -342,7 +315,7 @@
 
     /// Moves a client's commands on: looks at those that have come, lets go of the replies whose turn it is, and
     /// begins what may begin. On a connection, answers arrive in the order of its commands.
-    fn next(&mut self, desk: &mut Desk, now: Micros, id: ClientId, out: &mut Vec<Out>) {
+    fn next(&mut self, desk: &mut RequestRegistry, now: Micros, id: ClientId, out: &mut Vec<FrontEffect>) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let before = client.pipeline.buffered();
         let mut requests = Vec::new();
@@ -351,8 +324,8 @@
             // Before any request is handed on: its answer may come at once, and belongs behind these.
             while let Some(reply) = client.pipeline.next_reply(now) {
                 client.free_at = now;
-                out.push(Out::Write(id, reply));
-                out.push(Out::Credit(id));
+                out.push(FrontEffect::Write(id, reply));
+                out.push(FrontEffect::CommandAnswered(id));
             }
             let crowded = self.reordered >= self.most_reordered / 2;
             if !Self::begin(client, desk, now, id, crowded, &mut requests) {
@@ -360,21 +333,21 @@
             }
         }
         self.reordered = self.reordered + client.pipeline.buffered() - before;
-        out.extend(requests.into_iter().map(Out::Take));
+        out.extend(requests.into_iter().map(FrontEffect::StartRequest));
     }
 
     /// Looks at the commands that have come, in their order.
-    fn plan(talk: &mut P, client: &mut Client<P>, service: Service, out: &mut Vec<Out>) {
+    fn plan(talk: &mut P, client: &mut Client<P>, service: ServiceState, out: &mut Vec<FrontEffect>) {
         while let Some(Queued { index, command, unfinished }) = client.pipeline.next_queued() {
             if P::must_wait(&command, &unfinished) {
                 return client.pipeline.put_back(index, command);
             }
             let step = talk.start(&mut client.session, command, service);
-            out.extend(talk.notes().into_iter().map(Out::Note));
+            out.extend(talk.notes().into_iter().map(FrontEffect::RecordChange));
             match step {
-                Step::Wait(command) => return client.pipeline.put_back(index, command),
-                Step::Say(reply) => client.pipeline.reply(index, reply),
-                Step::Ask(ask, context) => client.pipeline.defer(index, ask, context),
+                CommandStep::Defer(command) => return client.pipeline.put_back(index, command),
+                CommandStep::Reply(reply) => client.pipeline.reply(index, reply),
+                CommandStep::Forward(ask, context) => client.pipeline.defer(index, ask, context),
             }
         }
     }
@@ -382,7 +355,7 @@
     /// Begins the requests whose turn it is; `true` if one of them was answered here, so that more may follow.
     fn begin(
         client: &mut Client<P>,
-        desk: &mut Desk,
+        desk: &mut RequestRegistry,
         now: Micros,
         id: ClientId,
         crowded: bool,
@@ -410,40 +383,54 @@
         }
     }
 
-    fn close_if_idle(&mut self, id: ClientId, out: &mut Vec<Out>) {
+    fn close_if_idle(&mut self, id: ClientId, out: &mut Vec<FrontEffect>) {
         let idle = self.clients.get(&id).is_some_and(|c| c.pipeline.is_empty());
         if self.closing && idle {
-            out.push(Out::Retire(id));
+            out.push(FrontEffect::CloseIfIdle(id));
         }
     }
 
-    fn gone(&mut self, desk: &mut Desk, id: ClientId, out: &mut Vec<Out>) {
+    fn gone(&mut self, desk: &mut RequestRegistry, id: ClientId, out: &mut Vec<FrontEffect>) {
         if let Some(client) = self.clients.remove(&id) {
             self.reordered -= client.pipeline.buffered();
             for request in client.pipeline.running() {
                 desk.close(request);
-                out.push(Out::Left(request));
+                out.push(FrontEffect::AbandonRequest(request));
             }
-            out.push(Out::Close(id));
+            out.push(FrontEffect::Close(id));
         }
     }
 
     /// An error after which the connection cannot go on.
-    fn fatal(&mut self, desk: &mut Desk, id: ClientId, code: &str, text: &str, out: &mut Vec<Out>) {
+    fn fatal(
+        &mut self,
+        desk: &mut RequestRegistry,
+        id: ClientId,
+        code: &str,
+        text: &str,
+        out: &mut Vec<FrontEffect>,
+    ) {
         let mut bytes = Vec::new();
         pg::put_error_response(&mut bytes, "FATAL", code, text, None);
-        out.push(Out::Write(id, bytes));
+        out.push(FrontEffect::Write(id, bytes));
         self.gone(desk, id, out);
     }
 
     /// Calls off the first command that is not answered: in PostgreSQL, the one that runs.
-    fn cancel(&mut self, desk: &mut Desk, now: Micros, process: u32, secret: u32, out: &mut Vec<Out>) {
+    fn cancel(
+        &mut self,
+        desk: &mut RequestRegistry,
+        now: Micros,
+        process: u32,
+        secret: u32,
+        out: &mut Vec<FrontEffect>,
+    ) {
         let found = self.clients.iter().find(|(id, c)| **id as u32 == process && c.secret == secret);
         if let Some((&id, client)) = found
             && let Some(request) = client.pipeline.first_running()
         {
             desk.close(request);
-            out.push(Out::Left(request));
+            out.push(FrontEffect::AbandonRequest(request));
             out.extend(self.answer(desk, now, id, request, FinalAnswer::Failed { maybe_executed: true }));
         }
     }
@@ -451,16 +438,16 @@
 
 /// A request as the core takes it. Its time counts from when its last byte was read, also where it had to wait for
 /// earlier commands: its client counts from when it was sent.
-fn arrival(id: RequestId, now: Micros, read_at: Micros, ask: Ask) -> NewRequest<MemberRequest> {
+fn arrival(id: RequestId, now: Micros, read_at: Micros, ask: ParsedRequest) -> NewRequest<MemberRequest> {
     let request = Request {
         id,
         class: ask.class,
         group: ask.group,
         session: ask.session,
         tenant: 0,
-        since_write: ask.after.map(|after| now.saturating_sub(after)),
+        time_since_write: ask.after.map(|after| now.saturating_sub(after)),
         remaining: ask.wait.saturating_sub(now.saturating_sub(read_at)),
-        repeat: ask.repeat,
+        is_retry: ask.repeat,
     };
     NewRequest { request, work: ask.work.into() }
 }
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -3,7 +3,8 @@
 //! Commands run side by side where PostgreSQL's order allows it, and their replies leave in the order of the
 //! commands. `docs/design-pipelining.md` says which pairs may overlap, and why.
 
-use super::{Ask, Protocol};
+use super::Protocol;
+use crate::client::ParsedRequest;
 use crate::{Micros, RequestId};
 use std::collections::VecDeque;
 
@@ -31,7 +32,7 @@
     /// Read, and not looked at yet.
     Queued(P::Command),
     /// It waits for earlier commands.
-    Deferred(Box<Ask>, P::Context),
+    Deferred(Box<ParsedRequest>, P::Context),
     /// The core has it.
     Running(RequestId, P::Context),
     /// Its reply waits for those of earlier commands.
@@ -83,7 +84,7 @@
     /// When its last byte was read.
     pub read_at: Micros,
     /// What it asks of the core.
-    pub ask: Ask,
+    pub ask: ParsedRequest,
 }
 
 /// A command that is to be looked at.
@@ -143,7 +144,7 @@
     }
 
     /// A command is a request; it begins once the order of commands allows it.
-    pub fn defer(&mut self, index: usize, ask: Ask, context: P::Context) {
+    pub fn defer(&mut self, index: usize, ask: ParsedRequest, context: P::Context) {
         self.entries[index].access = Some(ask.access());
         self.entries[index].stage = Stage::Deferred(Box::new(ask), context);
     }
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -5,7 +5,8 @@
 //! unseen by the client, where the rest of the unit uses them; after an Execute, such a unit takes no
 //! further one, as the implicit transaction has ended at the member.
 
-use super::{Ask, Protocol, Service, Step, put_verdict};
+use super::{CommandStep, Protocol, ServiceState, put_verdict};
+use crate::client::{ClientBatch, ParsedRequest};
 use crate::clock::from_unix_ms;
 use crate::core::FinalAnswer;
 use crate::exchange::{MemberRequest, MemberResponse};
@@ -65,16 +66,6 @@
     }
 }
 
-/// Messages up to a Sync, a Flush, or a simple query by itself.
-pub struct Batch {
-    /// When the last byte was read.
-    pub at: Micros,
-    /// The messages.
-    pub messages: Vec<Vec<u8>>,
-    /// What ended it: `S`, `H` or `Q`.
-    pub end: u8,
-}
-
 /// What is known of a statement.
 #[derive(Clone)]
 struct Known {
@@ -182,7 +173,7 @@
         };
         let Some(class) = class else { return no(pg::sqlstate::PROTOCOL_VIOLATION, "unknown class") };
         // Guards against a change that is declared as a read, and would then be repeated.
-        if writes && word != "with" && self.settings.classes[class].need != Requirement::Write {
+        if writes && word != "with" && self.settings.classes[class].requirement != Requirement::Write {
             return no(
                 pg::sqlstate::FEATURE_NOT_SUPPORTED,
                 format!("{word} in a class that is not for writes"),
@@ -207,7 +198,7 @@
             Idempotency::Keyed { .. } => 1,
             Idempotency::AtMostOnce => 2,
         };
-        let need = match class.need {
+        let need = match class.requirement {
             Requirement::Any => 0,
             Requirement::BoundedStaleness(_) => 1,
             Requirement::ReadYourWrites => 2,
@@ -217,7 +208,7 @@
         (effect, need)
     }
 
-    fn ask(&self, used: &[Known], key: u64, work: MemberRequest) -> Result<Ask, Refusal> {
+    fn ask(&self, used: &[Known], key: u64, work: MemberRequest) -> Result<ParsedRequest, Refusal> {
         let Some(first) = used.first() else { return malformed() };
         if used.iter().any(|k| k.group != first.group) {
             return no(
@@ -227,8 +218,8 @@
         }
         let strictest = used.iter().max_by_key(|k| self.strictness(k.class)).unwrap_or(first);
         let after = used.iter().filter_map(|k| k.after).max();
-        let writes = |known: &Known| self.settings.classes[known.class].need == Requirement::Write;
-        Ok(Ask {
+        let writes = |known: &Known| self.settings.classes[known.class].requirement == Requirement::Write;
+        Ok(ParsedRequest {
             class: strictest.class,
             writes: used.iter().any(writes),
             group: first.group,
@@ -242,13 +233,13 @@
         })
     }
 
-    fn simple(&self, session: &mut Session, message: &[u8]) -> Result<Step<Self>, Refusal> {
+    fn simple(&self, session: &mut Session, message: &[u8]) -> Result<CommandStep<Self>, Refusal> {
         let Some((text, [])) = pg::split_c_string(pg::message_body(message)) else { return malformed() };
         if text.trim_ascii().is_empty() {
             let mut bytes = Vec::new();
             pg::put_message(&mut bytes, b'I', &[]);
             pg::put_ready_for_query(&mut bytes);
-            return Ok(Step::Say(bytes));
+            return Ok(CommandStep::Reply(bytes));
         }
         let known = self.know(text, &[])?;
         let key = known.key;
@@ -256,10 +247,10 @@
         let ask =
             self.ask(&[known], key, MemberRequest::SimpleQuery { text: text.to_vec(), wait_digits: wait })?;
         session.end_unit();
-        Ok(Step::Ask(ask, Open { parsed: Vec::new(), key, end: b'Q' }))
+        Ok(CommandStep::Forward(ask, Open { parsed: Vec::new(), key, end: b'Q' }))
     }
 
-    fn unit(&mut self, session: &mut Session, batch: &Batch) -> Result<Step<Self>, Refusal> {
+    fn unit(&mut self, session: &mut Session, batch: &ClientBatch) -> Result<CommandStep<Self>, Refusal> {
         let (mut parts, mut used, mut key) = (Vec::new(), Vec::new(), 0);
         let mut open = Open { parsed: Vec::new(), key: 0, end: batch.end };
         let result = batch.messages.iter().try_for_each(|message| {
@@ -273,7 +264,7 @@
             // Nothing here concerns a member.
             let mut bytes = Vec::new();
             parts.iter().for_each(|_| pg::put_message(&mut bytes, b'3', &[]));
-            return Ok(Step::Say(self.end(session, batch.end, bytes)));
+            return Ok(CommandStep::Reply(self.end(session, batch.end, bytes)));
         }
         let executes = parts.iter().any(|p| matches!(p, ExtendedMessage::Execute { .. }));
         if executes && session.executed {
@@ -293,7 +284,7 @@
         if batch.end != b'H' {
             session.end_unit();
         }
-        Ok(Step::Ask(ask, open))
+        Ok(CommandStep::Forward(ask, open))
     }
 
     fn message(
@@ -470,7 +461,7 @@
 }
 
 /// The names of statements that a batch prepares, closes or rests on. Its own unnamed statement is its own matter.
-fn names_touched(batch: &Batch) -> Vec<&[u8]> {
+fn names_touched(batch: &ClientBatch) -> Vec<&[u8]> {
     let mut names = Vec::new();
     let mut own_unnamed = false;
     for message in &batch.messages {
@@ -519,31 +510,38 @@
 }
 
 impl Protocol for Postgres {
-    type Command = Batch;
+    type Command = ClientBatch;
     type Session = Session;
     type Context = Open;
 
-    fn read_at(batch: &Batch) -> Micros {
+    fn read_at(batch: &ClientBatch) -> Micros {
         batch.at
     }
 
     /// A unit that rests on what an unfinished one prepares keeps its order, and so does all behind a Flush.
-    fn must_wait(batch: &Batch, unfinished: &[&Open]) -> bool {
+    fn must_wait(batch: &ClientBatch, unfinished: &[&Open]) -> bool {
         let touched = names_touched(batch);
         let prepares = |open: &&&Open| open.parsed.iter().any(|p| touched.contains(&&p.name[..]));
         unfinished.iter().any(|open| open.end == b'H' || prepares(&open))
     }
 
-    fn start(&mut self, session: &mut Session, batch: Batch, service: Service) -> Step<Self> {
+    fn start(
+        &mut self,
+        session: &mut Session,
+        batch: ClientBatch,
+        service: ServiceState,
+    ) -> CommandStep<Self> {
         if session.skipping && batch.end != b'S' {
-            return Step::Say(Vec::new());
+            return CommandStep::Reply(Vec::new());
         }
         if session.skipping {
-            return Step::Say(self.end(session, batch.end, Vec::new()));
+            return CommandStep::Reply(self.end(session, batch.end, Vec::new()));
         }
         let step = match batch.messages.first() {
             // The front layer's question, whether it may send clients.
-            Some(message) if batch.end == b'Q' && service == Service::Out && message.len() == 6 => {
+            Some(message)
+                if batch.end == b'Q' && service == ServiceState::OutOfService && message.len() == 6 =>
+            {
                 Err((pg::sqlstate::CANNOT_CONNECT_NOW, "out of service".into()))
             }
             Some(message) if batch.end == b'Q' => self.simple(session, message),
@@ -553,7 +551,7 @@
             let mut bytes = Vec::new();
             pg::put_error_response(&mut bytes, "ERROR", code, &why, None);
             session.skipping = batch.end == b'H';
-            Step::Say(self.end(session, batch.end, bytes))
+            CommandStep::Reply(self.end(session, batch.end, bytes))
         })
     }
 
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -1,11 +1,12 @@
-use super::platform::{Asked, Platform, Query};
+use super::platform::Platform;
 use super::*;
+use crate::client::{ParsedQuery, SimpleQuery};
 
 const GROUP: u32 = 2;
 const CLIENT: ClientId = 16;
 
-fn query(id: u8) -> Said<Query> {
-    let ask = Ask {
+fn query(id: u8) -> ClientEvent<SimpleQuery> {
+    let ask = ParsedRequest {
         class: 0,
         writes: false,
         group: GROUP,
@@ -16,16 +17,22 @@
         wait: 1_000_000,
         work: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
     };
-    Said::Command(Query { at: 0, text: Vec::new(), fields: Ok(Asked::Request(Box::new(ask), 0..0)) })
+    ClientEvent::Command(SimpleQuery {
+        at: 0,
+        text: Vec::new(),
+        fields: Ok(ParsedQuery::Request(Box::new(ask), 0..0)),
+    })
 }
 
-fn taken(out: Vec<Out>) -> Vec<RequestId> {
-    let id = |out: Out| if let Out::Take(arrival) = out { Some(arrival.request.id) } else { None };
+fn taken(out: Vec<FrontEffect>) -> Vec<RequestId> {
+    let id = |out: FrontEffect| {
+        if let FrontEffect::StartRequest(arrival) = out { Some(arrival.request.id) } else { None }
+    };
     out.into_iter().filter_map(id).collect()
 }
 
-fn written(out: Vec<Out>) -> Vec<Vec<u8>> {
-    let bytes = |out: Out| if let Out::Write(_, bytes) = out { Some(bytes) } else { None };
+fn written(out: Vec<FrontEffect>) -> Vec<Vec<u8>> {
+    let bytes = |out: FrontEffect| if let FrontEffect::Write(_, bytes) = out { Some(bytes) } else { None };
     out.into_iter().filter_map(bytes).collect()
 }
 
@@ -35,8 +42,8 @@
 
 #[test]
 fn a_reply_that_the_reorder_buffers_have_no_room_for_becomes_an_error() {
-    let (mut lobby, mut desk) = (Lobby::new(Platform, 1000), Desk::default());
-    lobby.said(&mut desk, 0, CLIENT, Said::Connected { secret: 1 });
+    let (mut lobby, mut desk) = (ConnectionManager::new(Platform, 1000), RequestRegistry::default());
+    lobby.said(&mut desk, 0, CLIENT, ClientEvent::Connected { secret: 1 });
     let requests: Vec<_> =
         (1..=3).flat_map(|id| taken(lobby.said(&mut desk, 0, CLIENT, query(id)))).collect();
     assert_eq!(requests.len(), 3, "they run side by side");
@@ -52,12 +59,12 @@
 
 #[test]
 fn what_a_client_that_left_had_waiting_takes_no_room_any_more() {
-    let (mut lobby, mut desk) = (Lobby::new(Platform, 1000), Desk::default());
-    lobby.said(&mut desk, 0, CLIENT, Said::Connected { secret: 1 });
+    let (mut lobby, mut desk) = (ConnectionManager::new(Platform, 1000), RequestRegistry::default());
+    lobby.said(&mut desk, 0, CLIENT, ClientEvent::Connected { secret: 1 });
     let requests: Vec<_> =
         (1..=2).flat_map(|id| taken(lobby.said(&mut desk, 0, CLIENT, query(id)))).collect();
     lobby.answer(&mut desk, 1, CLIENT, requests[1], served(900));
     assert!(lobby.reordered >= 900);
-    lobby.said(&mut desk, 2, CLIENT, Said::Gone);
+    lobby.said(&mut desk, 2, CLIENT, ClientEvent::Disconnected);
     assert_eq!(lobby.reordered, 0);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -37,7 +37,7 @@
     /// It carries a key; the stated circle of servers drops repeats for `window`.
     Keyed {
         /// Whether every server drops repeats, or only the group that got the first attempt.
-        anywhere: bool,
+        across_groups: bool,
         /// For how long after the send of the first attempt that may have run.
         window: Micros,
     },
@@ -49,28 +49,28 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// What it needs of the serving member.
-    pub need: Requirement,
+    pub requirement: Requirement,
     /// How often it may take effect.
     pub idempotency: Idempotency,
     /// An answer within this earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth that a late answer still earns.
-    pub late_share: f64,
+    pub late_value: f64,
 }
 
 /// What a member does with a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenBehind {
+pub enum StaleReadBehavior {
     /// It answers from what it has: the router alone keeps stale answers out.
-    Answers,
+    Serve,
     /// It turns the read away untouched.
-    Refuses,
+    Reject,
     /// It waits for up to this long to catch up, then turns the read away untouched.
-    Waits(Micros),
+    WaitThenReject(Micros),
 }
 
 /// What a router is told when it starts. The one settings type: the adapter and the proxy both read it.
@@ -88,9 +88,9 @@
     /// For each tenant, the requests a second over all routers that count in full.
     pub quotas: Vec<f64>,
     /// The part of its worth that a request beyond its tenant's quota keeps.
-    pub over_quota_share: f64,
+    pub over_quota_weight: f64,
     /// What members do when they are behind.
-    pub when_behind: WhenBehind,
+    pub stale_read_behavior: StaleReadBehavior,
     /// Session commits are remembered by the router (else the request says when its session last wrote).
     pub remember_commits: bool,
     /// At most this many attempts for one request.
@@ -104,25 +104,25 @@
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Only a server listed as draining is out of bounds; one that is gone is not.
-    pub only_draining_binds: bool,
+    pub removed_endpoints_usable: bool,
     /// The list is sent only when asked for.
     pub list_on_request: bool,
     /// The share of its capacity that a server has at least when it starts.
-    pub cold_from: f64,
+    pub slow_start_capacity: f64,
     /// The time within which a started server reaches its full capacity.
-    pub cold_time: Micros,
+    pub slow_start_duration: Micros,
     /// A cold server falls over when sent more than this multiple of its capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_time: Micros,
+    pub overload_window: Micros,
     /// The price of one zone crossing for each request, as a share of the result.
-    pub crossing_price: f64,
+    pub cross_zone_cost: f64,
     /// The names of the classes, by index.
     pub class_names: Vec<String>,
     /// The names of the values in a load report, in order.
-    pub report_fields: Vec<String>,
+    pub load_report_fields: Vec<String>,
     /// The time from which the simulator's wire counts positions.
-    pub positions_from: Micros,
+    pub position_epoch: Micros,
     /// A connection that is not up within this has failed.
     pub connect_timeout: Micros,
     /// A member closes a connection that was idle for this long.
@@ -140,24 +140,24 @@
     Draining,
     /// Removed.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One entry of the server list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
     /// The server.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// Its group.
     pub group: GroupId,
     /// Its zone.
     pub zone: u32,
     /// Whether it is in service.
-    pub listed: EndpointState,
+    pub state: EndpointState,
     /// Whether the list takes it for the primary; late and sometimes wrong.
     pub primary_hint: bool,
     /// Its last start, 0 for long ago.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// The part a member plays in its group.
@@ -224,11 +224,11 @@
     /// The tenant.
     pub tenant: usize,
     /// How long ago the session's last write was committed, where the client says so.
-    pub since_write: Option<Micros>,
+    pub time_since_write: Option<Micros>,
     /// How long the client still waits.
     pub remaining: Micros,
     /// The client has tried before.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// The end of an attempt.
@@ -239,7 +239,7 @@
     /// The attempt, counted from 0.
     pub attempt: u32,
     /// The server it was sent to.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
     /// The time since its send.
@@ -260,7 +260,7 @@
         /// The entries are the whole list: a server not among them is gone.
         full: bool,
         /// The entries.
-        members: Vec<EndpointEntry>,
+        endpoints: Vec<EndpointEntry>,
     },
     /// A call for the list failed; the old one stays.
     EndpointListFailed,
@@ -271,16 +271,16 @@
     /// A probe ended.
     Probed {
         /// The server.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// Whether it answered.
         answered: bool,
         /// Its report.
         report: LoadReport,
     },
     /// The client left; nothing more is owed.
-    ClientLeft(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer came due.
-    Timer(u32),
+    TimerFired(u32),
 }
 
 /// Something the host is to do.
@@ -291,11 +291,11 @@
         /// The request.
         request: RequestId,
         /// Where to.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// Its time-out.
         timeout: Micros,
         /// It must begin within this, [`Micros::MAX`] for any time: else it is never sent.
-        within: Micros,
+        start_within: Micros,
     },
     /// Final answer: not served, trying again is harmless.
     Reject {
@@ -316,7 +316,7 @@
     /// Ask a server for its report.
     Probe(EndpointId),
     /// Set a timer.
-    Timer {
+    SetTimer {
         /// Handed back when it comes due.
         token: u32,
         /// From now.
@@ -337,24 +337,24 @@
             resolution: 1000,
             classes: Vec::new(),
             quotas: Vec::new(),
-            over_quota_share: 1.0,
-            when_behind: WhenBehind::Refuses,
+            over_quota_weight: 1.0,
+            stale_read_behavior: StaleReadBehavior::Reject,
             remember_commits: false,
             max_attempts: 6,
             retry_after: true,
             max_retry_after: 1_000_000,
             probes: true,
             cancel: true,
-            only_draining_binds: false,
+            removed_endpoints_usable: false,
             list_on_request: false,
-            cold_from: 0.15,
-            cold_time: 20_000_000,
-            fall_multiple: 2.0,
-            fall_time: 2_000_000,
-            crossing_price: 0.0,
+            slow_start_capacity: 0.15,
+            slow_start_duration: 20_000_000,
+            overload_multiple: 2.0,
+            overload_window: 2_000_000,
+            cross_zone_cost: 0.0,
             class_names: Vec::new(),
-            report_fields: Vec::new(),
-            positions_from: 0,
+            load_report_fields: Vec::new(),
+            position_epoch: 0,
             connect_timeout: 250_000,
             idle_timeout: 15_000_000,
             max_pending: 40_000,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,13 +10,13 @@
 //! let settings = Settings {
 //!     classes: vec![
 //!         Class {
-//!             need: Requirement::Any, idempotency: Idempotency::Idempotent,
-//!             aim: 200_000, deadline: 800_000, worth: 1.0, late_share: 0.0,
+//!             requirement: Requirement::Any, idempotency: Idempotency::Idempotent,
+//!             latency_objective: 200_000, deadline: 800_000, priority_weight: 1.0, late_value: 0.0,
 //!         },
 //!         Class {
-//!             need: Requirement::Write,
-//!             idempotency: Idempotency::Keyed { anywhere: false, window: 2_000_000 },
-//!             aim: 400_000, deadline: 3_000_000, worth: 4.0, late_share: 0.5,
+//!             requirement: Requirement::Write,
+//!             idempotency: Idempotency::Keyed { across_groups: false, window: 2_000_000 },
+//!             latency_objective: 400_000, deadline: 3_000_000, priority_weight: 4.0, late_value: 0.5,
 //!         },
 //!     ],
 //!     ..Settings::default()
@@ -26,22 +26,23 @@
 //!
 //! // The list names two members; nothing is known of their roles yet but a hint.
 //! let member = |n, primary_hint| EndpointEntry {
-//!     server: EndpointId(n), group: 1, zone: 0, listed: EndpointState::Ready, primary_hint, started: 0,
+//!     endpoint: EndpointId(n), group: 1, zone: 0, state: EndpointState::Ready, primary_hint, started_at: 0,
 //! };
 //! let members = vec![member(1, true), member(2, false)];
-//! router.handle(0, Event::EndpointUpdate { full: true, members }, &mut actions);
-//! let token = |a: &Action| if let Action::Timer { token, .. } = a { Some(*token) } else { None };
+//! router.handle(0, Event::EndpointUpdate { full: true, endpoints: members }, &mut actions);
+//! let token = |a: &Action| if let Action::SetTimer { token, .. } = a { Some(*token) } else { None };
 //! let wake = actions.iter().find_map(token);
 //!
 //! // A write goes to the hinted member, and its answer tells that it is the primary.
 //! let ask = |id, class| Request {
-//!     id, class, group: 1, session: 9, tenant: 0, since_write: None, remaining: 800_000, repeat: false,
+//!     id, class, group: 1, session: 9, tenant: 0,
+//!     time_since_write: None, remaining: 800_000, is_retry: false,
 //! };
 //! actions.clear();
 //! router.handle(5_000, Event::Request(ask(1, 1)), &mut actions);
-//! assert!(matches!(actions[0], Action::Send { request: 1, server: EndpointId(1), .. }));
+//! assert!(matches!(actions[0], Action::Send { request: 1, endpoint: EndpointId(1), .. }));
 //! router.handle(30_000, Event::AttemptEnded(AttemptResult {
-//!     request: 1, attempt: 0, server: EndpointId(1), outcome: Outcome::Ok, elapsed: 25_000,
+//!     request: 1, attempt: 0, endpoint: EndpointId(1), outcome: Outcome::Ok, elapsed: 25_000,
 //!     metadata: ResponseMetadata { role: Some(Role::Primary), position: Some(29_000) },
 //!     finished: true, report: LoadReport::default(),
 //! }), &mut actions);
@@ -49,15 +50,16 @@
 //! // Reads go to the replica with the fewest pending.
 //! actions.clear();
 //! router.handle(35_000, Event::Request(ask(2, 0)), &mut actions);
-//! assert!(matches!(actions[0], Action::Send { request: 2, server: EndpointId(2), .. }));
+//! assert!(matches!(actions[0], Action::Send { request: 2, endpoint: EndpointId(2), .. }));
 //!
 //! // The router's timer drives probes and held requests.
 //! actions.clear();
-//! router.handle(60_000, Event::Timer(wake.unwrap()), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Timer { .. })));
+//! router.handle(60_000, Event::TimerFired(wake.unwrap()), &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::SetTimer { .. })));
 //! ```
 
 mod balance;
+mod client;
 mod clock;
 mod config;
 mod core;
--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -47,7 +47,7 @@
             Status::MethodNotAllowed => "Method Not Allowed",
             Status::RequestTimeout => "Request Timeout",
             Status::HeaderFieldsTooLarge => "Request Header Fields Too Large",
-            Status::ServiceUnavailable => "Service Unavailable",
+            Status::ServiceUnavailable => "ServiceState Unavailable",
         }
     }
 }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -7,9 +7,7 @@
 
 use super::clock::Clock;
 use super::{Message, Messages};
-use crate::front::platform::Asked;
-use crate::front::postgres::Batch;
-use crate::front::{ClientId, Said, platform::Query};
+use crate::client::{ClientBatch, ClientEvent, ClientId, ParsedQuery, SimpleQuery};
 use crate::pg::{self, FrameReader, ProtocolError};
 use crate::{Micros, Settings};
 use crossbeam_channel::Sender;
@@ -730,15 +728,15 @@
 impl Guest {
     fn tell_gone(&self, id: ClientId, messages: &Messages) {
         let _ = messages.send(match self.extended {
-            true => Message::Extended(id, Said::Gone),
-            false => Message::Client(id, Said::Gone),
+            true => Message::Extended(id, ClientEvent::Disconnected),
+            false => Message::Client(id, ClientEvent::Disconnected),
         });
     }
 
     fn say_malformed(&self, id: ClientId, why: ProtocolError, messages: &Messages) {
         let _ = messages.send(match self.extended {
-            true => Message::Extended(id, Said::Malformed(why)),
-            false => Message::Client(id, Said::Malformed(why)),
+            true => Message::Extended(id, ClientEvent::Malformed(why)),
+            false => Message::Client(id, ClientEvent::Malformed(why)),
         });
     }
 
@@ -770,8 +768,8 @@
         let started = opening == pg::StartupPacket::Startup;
         let last = matches!(opening, pg::StartupPacket::CancelRequest { .. });
         let _ = messages.send(match self.extended {
-            true => Message::Extended(id, Said::Opening(opening)),
-            false => Message::Client(id, Said::Opening(opening)),
+            true => Message::Extended(id, ClientEvent::Opening(opening)),
+            false => Message::Client(id, ClientEvent::Opening(opening)),
         });
         if started {
             self.stage = match self.extended {
@@ -791,8 +789,8 @@
                 self.frames.next_startup_packet()
             {
                 let _ = messages.send(match self.extended {
-                    true => Message::Extended(id, Said::Opening(opening)),
-                    false => Message::Client(id, Said::Opening(opening)),
+                    true => Message::Extended(id, ClientEvent::Opening(opening)),
+                    false => Message::Client(id, ClientEvent::Opening(opening)),
                 });
             }
             self.frames = FrameReader::default();
@@ -839,15 +837,19 @@
                 if text.len() + 6 != message.len() {
                     return Err(ProtocolError::BytesAfterQuery);
                 }
-                let query = Query { at: self.at, text: text.to_vec(), fields: Asked::read(text, settings) };
-                Said::Command(query)
+                let query = SimpleQuery {
+                    at: self.at,
+                    text: text.to_vec(),
+                    fields: ParsedQuery::read(text, settings),
+                };
+                ClientEvent::Command(query)
             }
-            Some((b'X', _)) => Said::Terminate,
-            Some((b'P' | b'B' | b'E' | b'D' | b'C' | b'H' | b'S' | b'F', _)) => Said::Unsupported,
+            Some((b'X', _)) => ClientEvent::Terminate,
+            Some((b'P' | b'B' | b'E' | b'D' | b'C' | b'H' | b'S' | b'F', _)) => ClientEvent::Unsupported,
             Some(_) => return Err(ProtocolError::UnknownMessageType),
         };
-        let last = !matches!(said, Said::Command(_));
-        if let Said::Command(query) = &said {
+        let last = !matches!(said, ClientEvent::Command(_));
+        if let ClientEvent::Command(query) = &said {
             self.took(query.text.len());
         }
         let _ = messages.send(Message::Client(id, said));
@@ -875,10 +877,10 @@
                 } else if message.len() != 5 {
                     return Err(ProtocolError::UnexpectedBody);
                 }
-                let batch = Batch { at: self.at, messages: std::mem::take(parts), end };
+                let batch = ClientBatch { at: self.at, messages: std::mem::take(parts), end };
                 let size = std::mem::take(size);
                 self.took(size);
-                let _ = messages.send(Message::Extended(id, Said::Command(batch)));
+                let _ = messages.send(Message::Extended(id, ClientEvent::Command(batch)));
                 Ok(None)
             }
             Some((b'P' | b'B' | b'E' | b'D' | b'C', message)) => {
@@ -890,7 +892,7 @@
                 Ok(None)
             }
             Some((b'X', _)) => {
-                let _ = messages.send(Message::Extended(id, Said::Terminate));
+                let _ = messages.send(Message::Extended(id, ClientEvent::Terminate));
                 Ok(Some(Next::Done))
             }
             Some(_) => Err(ProtocolError::UnknownMessageType),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -10,13 +10,14 @@
 pub use crate::threads::spawn;
 pub use client_listener::{ListenError, client_listener};
 
+use crate::client::{ClientBatch, ClientEvent, ClientId, SimpleQuery};
 use crate::config::{Config, ConfigError};
 use crate::core::{ConnectionId, Core, Effect, Input};
 use crate::endpoint_list::EndpointList;
 use crate::exchange::{MemberRequest, MemberResponse};
-use crate::front::platform::{Platform, Query};
-use crate::front::postgres::{Batch, Listen, Postgres};
-use crate::front::{ClientId, Desk, Lobby, Out, Said, Service};
+use crate::front::platform::Platform;
+use crate::front::postgres::{Listen, Postgres};
+use crate::front::{ConnectionManager, FrontEffect, RequestRegistry, ServiceState};
 use crate::store::{Change, State, Store, StoreConfig};
 use crate::{Micros, Settings, clock};
 use admin::{AdminRequest, AdminResponse};
@@ -79,9 +80,9 @@
     /// A new connection.
     Accepted(ClientId, client::Handle),
     /// From a reader of the platform's front.
-    Client(ClientId, Said<Query>),
+    Client(ClientId, ClientEvent<SimpleQuery>),
     /// From a reader of the extended front.
-    Extended(ClientId, Said<Batch>),
+    Extended(ClientId, ClientEvent<ClientBatch>),
     /// An operator's request.
     Admin(AdminRequest, admin::ResponseSender),
     /// SIGTERM or SIGINT.
@@ -137,9 +138,9 @@
     let mut host = Host {
         clock,
         core,
-        platform: Lobby::new(Platform, reordered),
-        postgres: postgres.map(|postgres| Lobby::new(postgres, reordered)),
-        desk: Desk::default(),
+        platform: ConnectionManager::new(Platform, reordered),
+        postgres: postgres.map(|postgres| ConnectionManager::new(postgres, reordered)),
+        desk: RequestRegistry::default(),
         settings,
         store,
         messages: messages.clone(),
@@ -205,9 +206,9 @@
 struct Host {
     clock: Clock,
     core: Core<MemberRequest, MemberResponse>,
-    platform: Lobby<Platform>,
-    postgres: Option<Lobby<Postgres>>,
-    desk: Desk,
+    platform: ConnectionManager<Platform>,
+    postgres: Option<ConnectionManager<Postgres>>,
+    desk: RequestRegistry,
     settings: Arc<Settings>,
     store: Store,
     messages: Messages,
@@ -292,7 +293,7 @@
                     }
                     self.close_idle(now);
                 }
-                let open = self.platform.open() + self.postgres.as_ref().map_or(0, Lobby::open);
+                let open = self.platform.open() + self.postgres.as_ref().map_or(0, ConnectionManager::open);
                 let done = open == 0 && self.core.pending_requests() == 0;
                 let late = now >= since + self.kill_after() - FAIL_BEFORE / 2;
                 if self.stopped.is_none() && now >= since + SERVE_FOR && (done || late) {
@@ -312,7 +313,7 @@
     /// From now on, connections are closed between requests.
     fn close_idle(&mut self, now: Micros) {
         let mut outs = self.platform.close();
-        outs.extend(self.postgres.iter_mut().flat_map(Lobby::close));
+        outs.extend(self.postgres.iter_mut().flat_map(ConnectionManager::close));
         self.carry_out(now, outs);
     }
 
@@ -381,7 +382,10 @@
                         tracing::info!(on, "service state set by an operator");
                         self.drain_at = (!on).then_some(now + NOTICED);
                         self.ready_at = None;
-                        self.serve(now, if on { Service::In } else { Service::Out });
+                        self.serve(
+                            now,
+                            if on { ServiceState::InService } else { ServiceState::OutOfService },
+                        );
                         AdminResponse::Answer(true)
                     }
                 };
@@ -425,11 +429,11 @@
 
     fn ready(&mut self, now: Micros) {
         if self.ready_at.take().is_some() {
-            self.serve(now, Service::In);
+            self.serve(now, ServiceState::InService);
         }
     }
 
-    fn serve(&mut self, now: Micros, service: Service) {
+    fn serve(&mut self, now: Micros, service: ServiceState) {
         let mut outs = self.platform.serve(service, &mut self.desk, now);
         if let Some(postgres) = &mut self.postgres {
             outs.extend(postgres.serve(service, &mut self.desk, now));
@@ -457,8 +461,10 @@
         let secret =
             crate::stable_hash::stable_hash(&[self.seed.to_be_bytes(), id.to_be_bytes()].concat()) as u32;
         let outs = match &mut self.postgres {
-            Some(postgres) if extended => postgres.said(&mut self.desk, now, id, Said::Connected { secret }),
-            _ => self.platform.said(&mut self.desk, now, id, Said::Connected { secret }),
+            Some(postgres) if extended => {
+                postgres.said(&mut self.desk, now, id, ClientEvent::Connected { secret })
+            }
+            _ => self.platform.said(&mut self.desk, now, id, ClientEvent::Connected { secret }),
         };
         self.carry_out(now, outs);
     }
@@ -482,7 +488,7 @@
     /// room this proxy has.
     fn kept(&self) -> Option<(Micros, ClientId)> {
         let (asked, idlest) = self.platform.kept();
-        let (more, idler) = self.postgres.as_ref().map_or((0, None), Lobby::kept);
+        let (more, idler) = self.postgres.as_ref().map_or((0, None), ConnectionManager::kept);
         let many = (asked + more) * KEPT >= self.sockets;
         many.then(|| [idlest, idler].into_iter().flatten().min()).flatten()
     }
@@ -503,26 +509,26 @@
         retired
     }
 
-    fn carry_out(&mut self, now: Micros, outs: Vec<Out>) {
+    fn carry_out(&mut self, now: Micros, outs: Vec<FrontEffect>) {
         for out in outs {
             match out {
-                Out::Write(id, bytes) => {
+                FrontEffect::Write(id, bytes) => {
                     if let Some(client) = self.clients.get(&id)
                         && !client.write(bytes)
                     {
                         client.cut();
                     }
                 }
-                Out::Close(id) => drop(self.clients.remove(&id)),
-                Out::Retire(id) => drop(self.retire(id)),
-                Out::Credit(id) => {
+                FrontEffect::Close(id) => drop(self.clients.remove(&id)),
+                FrontEffect::CloseIfIdle(id) => drop(self.retire(id)),
+                FrontEffect::CommandAnswered(id) => {
                     if let Some(client) = self.clients.get(&id) {
                         client.credit();
                     }
                 }
-                Out::Take(arrival) => self.core(now, Input::RequestReceived(arrival)),
-                Out::Note(change) => self.store.propose(change),
-                Out::Left(request) => self.core(now, Input::ClientDisconnected(request)),
+                FrontEffect::StartRequest(arrival) => self.core(now, Input::RequestReceived(arrival)),
+                FrontEffect::RecordChange(change) => self.store.propose(change),
+                FrontEffect::AbandonRequest(request) => self.core(now, Input::ClientDisconnected(request)),
             }
         }
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -205,17 +205,17 @@
             };
             let effect = match c.effect.as_str() {
                 "safe" => Idempotency::Idempotent,
-                "keyed" => Idempotency::Keyed { anywhere: c.key_scope == "all", window: c.window_us },
+                "keyed" => Idempotency::Keyed { across_groups: c.key_scope == "all", window: c.window_us },
                 "unsafe" => Idempotency::AtMostOnce,
                 other => return bad(format!("effect of class {i} is {other:?}")),
             };
             classes.push(Class {
-                need,
+                requirement: need,
                 idempotency: effect,
-                aim: c.aim_us,
+                latency_objective: c.aim_us,
                 deadline: c.deadline_us,
-                worth: c.credit,
-                late_share: c.late_share,
+                priority_weight: c.credit,
+                late_value: c.late_share,
             });
         }
         Ok(Settings {
@@ -224,11 +224,11 @@
             resolution: conf.resolution_us,
             classes,
             quotas: conf.tenants.iter().map(|t| t.quota_per_s).collect(),
-            over_quota_share: conf.over_share_worth,
-            when_behind: match fam.when_behind.as_str() {
-                "silent" => WhenBehind::Answers,
-                "reject" => WhenBehind::Refuses,
-                "hold" => WhenBehind::Waits(fam.catch_up_wait_us),
+            over_quota_weight: conf.over_share_worth,
+            stale_read_behavior: match fam.when_behind.as_str() {
+                "silent" => StaleReadBehavior::Serve,
+                "reject" => StaleReadBehavior::Reject,
+                "hold" => StaleReadBehavior::WaitThenReject(fam.catch_up_wait_us),
                 other => return bad(format!("when_behind is {other:?}")),
             },
             remember_commits: fam.write_marks == "router",
@@ -237,16 +237,16 @@
             max_retry_after: conf.limits.max_retry_after_us,
             probes: conf.limits.probes,
             cancel: conf.limits.cancel,
-            only_draining_binds: conf.contract.only_draining_binds,
+            removed_endpoints_usable: conf.contract.only_draining_binds,
             list_on_request: conf.discovery == "on_request",
-            cold_from: conf.contract.cold_from,
-            cold_time: conf.contract.cold_us,
-            fall_multiple: conf.contract.fall_multiple,
-            fall_time: conf.contract.fall_us,
-            crossing_price: conf.prices.cross_zone,
+            slow_start_capacity: conf.contract.cold_from,
+            slow_start_duration: conf.contract.cold_us,
+            overload_multiple: conf.contract.fall_multiple,
+            overload_window: conf.contract.fall_us,
+            cross_zone_cost: conf.prices.cross_zone,
             class_names: conf.request_classes.into_iter().map(|c| c.name).collect(),
-            report_fields: conf.stats.fields,
-            positions_from: fam.counted_from_us,
+            load_report_fields: conf.stats.fields,
+            position_epoch: fam.counted_from_us,
             connect_timeout: conf.limits.dial_timeout_us,
             idle_timeout: conf.limits.conn_idle_us,
             max_pending: conf.limits.max_pending,
@@ -257,7 +257,7 @@
 fn settings(text: &[u8]) -> Result<(Settings, Dialect), WireError> {
     let settings: Settings =
         serde_json::from_slice(text).map_err(|e| WireError(format!("unusable settings: {e}")))?;
-    let dialect = Dialect { zero: settings.positions_from, fields: settings.report_fields.clone() };
+    let dialect = Dialect { zero: settings.position_epoch, fields: settings.load_report_fields.clone() };
     Ok((settings, dialect))
 }
 
@@ -378,7 +378,7 @@
 
 fn row(r: &mut Fields<'_>) -> Result<EndpointEntry, WireError> {
     let listed = match r.u8()? {
-        0 => EndpointState::Gone,
+        0 => EndpointState::Removed,
         1 => EndpointState::Ready,
         2 => EndpointState::Draining,
         other => return bad(format!("readiness {other} is unknown")),
@@ -390,7 +390,7 @@
     let _power = r.f32()?;
     let started = r.u64()?;
     let zone = u32::from(r.u8()?);
-    Ok(EndpointEntry { server, group, zone, listed, primary_hint, started })
+    Ok(EndpointEntry { endpoint: server, group, zone, state: listed, primary_hint, started_at: started })
 }
 
 fn event(
@@ -400,14 +400,14 @@
     pages: &BTreeMap<u8, Vec<EndpointEntry>>,
 ) -> Result<Option<Event>, WireError> {
     Ok(Some(match code {
-        17 => Event::Timer(r.u32()?),
+        17 => Event::TimerFired(r.u32()?),
         19 => {
             let server = r.server()?;
             let answered = r.u16()? == 200;
             let _elapsed = r.u32()?;
-            Event::Probed { server, answered, report: dialect.report(&r.floats()?) }
+            Event::Probed { endpoint: server, answered, report: dialect.report(&r.floats()?) }
         }
-        21 => Event::ClientLeft(r.u32()?),
+        21 => Event::ClientDisconnected(r.u32()?),
         22 => {
             let request = r.u32()?;
             let elapsed = u64::from(r.u32()?);
@@ -420,7 +420,7 @@
             Event::AttemptEnded(AttemptResult {
                 request,
                 attempt,
-                server,
+                endpoint: server,
                 outcome,
                 elapsed,
                 metadata,
@@ -440,7 +440,16 @@
             let opts = r.u16()?;
             let since_write = (since > 0.0).then_some((since * 1000.0) as u64);
             let repeat = opts & 2 != 0;
-            Event::Request(Request { id, class, group, session, tenant, since_write, remaining, repeat })
+            Event::Request(Request {
+                id,
+                class,
+                group,
+                session,
+                tenant,
+                time_since_write: since_write,
+                remaining,
+                is_retry: repeat,
+            })
         }
         25 => {
             let how = r.u8()?;
@@ -452,7 +461,7 @@
             let Some(members) = pages.get(&page) else {
                 return bad(format!("list {page} was never set up"));
             };
-            Event::EndpointUpdate { full: how != 0, members: members.clone() }
+            Event::EndpointUpdate { full: how != 0, endpoints: members.clone() }
         }
         _ => return Ok(None),
     }))
@@ -465,7 +474,7 @@
     let server = |out: &mut Vec<u8>, s: &EndpointId| out.extend(&s.0.to_be_bytes()[2..]);
     let span = |t: &Micros| u32::try_from(*t).unwrap_or(u32::MAX).to_be_bytes();
     let code = match action {
-        Action::Send { request, server: to, timeout, .. } => {
+        Action::Send { request, endpoint: to, timeout, .. } => {
             out.extend(request.to_be_bytes());
             server(out, to);
             out.extend(span(timeout));
@@ -485,7 +494,7 @@
             out.push(*attempt as u8);
             19
         }
-        Action::Timer { token, after } => {
+        Action::SetTimer { token, after } => {
             out.extend(token.to_be_bytes());
             out.extend(span(after));
             20
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,11 +13,18 @@
 pub const UNSAFE: usize = 5;
 
 pub fn class(need: Requirement, idempotency: Idempotency) -> Class {
-    Class { need, idempotency, aim: 400 * MS, deadline: 2000 * MS, worth: 1.0, late_share: 0.5 }
+    Class {
+        requirement: need,
+        idempotency,
+        latency_objective: 400 * MS,
+        deadline: 2000 * MS,
+        priority_weight: 1.0,
+        late_value: 0.5,
+    }
 }
 
 pub fn settings() -> Settings {
-    let keyed = Idempotency::Keyed { anywhere: false, window: 2000 * MS };
+    let keyed = Idempotency::Keyed { across_groups: false, window: 2000 * MS };
     Settings {
         resolution: 5 * MS,
         classes: vec![
@@ -28,22 +35,22 @@
             class(Requirement::BoundedStaleness(800 * MS), Idempotency::Idempotent),
             class(Requirement::Write, Idempotency::AtMostOnce),
         ],
-        when_behind: WhenBehind::Waits(50 * MS),
-        cold_from: 0.2,
-        cold_time: 10_000 * MS,
-        fall_time: 2000 * MS,
+        stale_read_behavior: StaleReadBehavior::WaitThenReject(50 * MS),
+        slow_start_capacity: 0.2,
+        slow_start_duration: 10_000 * MS,
+        overload_window: 2000 * MS,
         ..Settings::default()
     }
 }
 
 pub fn member(n: u64) -> EndpointEntry {
     EndpointEntry {
-        server: EndpointId(n),
+        endpoint: EndpointId(n),
         group: 1,
         zone: 0,
-        listed: EndpointState::Ready,
+        state: EndpointState::Ready,
         primary_hint: false,
-        started: 0,
+        started_at: 0,
     }
 }
 
@@ -54,9 +61,9 @@
         group: 1,
         session: 0,
         tenant: 0,
-        since_write: None,
+        time_since_write: None,
         remaining: 2000 * MS,
-        repeat: false,
+        is_retry: false,
     }
 }
 
@@ -76,7 +83,7 @@
     fn seeded(settings: Settings, n: u64, seed: u64) -> Rig {
         let now = 1_000_000 * MS;
         let mut rig = Rig { router: Router::new(settings, seed, now), now, log: Vec::new(), tick: None };
-        rig.event(Event::EndpointUpdate { full: true, members: (1..=n).map(member).collect() });
+        rig.event(Event::EndpointUpdate { full: true, endpoints: (1..=n).map(member).collect() });
         rig
     }
 
@@ -98,7 +105,7 @@
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         for a in &out {
-            if let Action::Timer { token, after } = a {
+            if let Action::SetTimer { token, after } = a {
                 self.tick = Some((self.now + after, *token));
             }
         }
@@ -108,7 +115,7 @@
 
     pub fn report(&mut self, n: u64, role: Role, position: Micros) {
         let report = LoadReport { role: Some(role), position: Some(position) };
-        self.event(Event::Probed { server: EndpointId(n), answered: true, report });
+        self.event(Event::Probed { endpoint: EndpointId(n), answered: true, report });
     }
 
     /// Lets time pass, with the router's timers coming due on the way.
@@ -118,7 +125,7 @@
         while let Some((at, token)) = self.tick.filter(|(at, _)| *at <= end) {
             self.now = at;
             self.tick = None;
-            all.extend(self.event(Event::Timer(token)));
+            all.extend(self.event(Event::TimerFired(token)));
         }
         self.now = end;
         all
@@ -149,7 +156,7 @@
     AttemptResult {
         request: id,
         attempt,
-        server: EndpointId(n),
+        endpoint: EndpointId(n),
         outcome,
         elapsed: 20 * MS,
         metadata: ResponseMetadata::default(),
@@ -161,7 +168,7 @@
 /// The server of the only send among the actions.
 pub fn sent(actions: &[Action]) -> Option<u64> {
     let mut to = actions.iter().filter_map(|a| match a {
-        Action::Send { server, .. } => Some(server.0),
+        Action::Send { endpoint: server, .. } => Some(server.0),
         _ => None,
     });
     let first = to.next();
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -5,7 +5,7 @@
 use liftrelay::*;
 
 fn sends(actions: &[Action], to: u64) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Send { server, .. } if server.0 == to)).count()
+    actions.iter().filter(|a| matches!(a, Action::Send { endpoint: server, .. } if server.0 == to)).count()
 }
 
 /// Serves reads for a while, member `sick` ending all it gets with `outcome`.
@@ -168,11 +168,11 @@
 #[test]
 fn a_marked_repeat_yields_to_first_tries() {
     let mut settings = settings();
-    settings.classes.iter_mut().for_each(|c| c.late_share = 0.0);
+    settings.classes.iter_mut().for_each(|c| c.late_value = 0.0);
     let sent_of = |repeat: bool| {
         let mut rig = Rig::known(settings.clone(), 2);
         for id in 1..=40 {
-            rig.event(Event::Request(Request { repeat, ..request(id, ANY) }));
+            rig.event(Event::Request(Request { is_retry: repeat, ..request(id, ANY) }));
         }
         sends(&rig.log, 1) + sends(&rig.log, 2)
     };
@@ -186,7 +186,7 @@
     for n in 2..=4 {
         rig.report(n, Role::Replica, rig.now - 3000 * MS);
     }
-    let own = Request { since_write: Some(500 * MS), ..request(1, OWN) };
+    let own = Request { time_since_write: Some(500 * MS), ..request(1, OWN) };
     assert_eq!(sent(&rig.event(Event::Request(own))), Some(1));
 }
 
@@ -194,7 +194,7 @@
 fn a_miss_is_evidence_of_lag() {
     let mut rig = Rig::known(settings(), 2);
     rig.now += 2000 * MS;
-    let own = |id| Event::Request(Request { since_write: Some(500 * MS), ..request(id, OWN) });
+    let own = |id| Event::Request(Request { time_since_write: Some(500 * MS), ..request(id, OWN) });
     assert_eq!(sent(&rig.event(own(1))), Some(2));
     rig.now += 60 * MS;
     assert_eq!(sent(&rig.end(1, 0, 2, Outcome::NotServable, Some(Role::Replica))), Some(1));
@@ -205,7 +205,7 @@
 fn long_reads_of_all_routers_gather_at_one_replica() {
     let mut settings = settings();
     settings.classes.push(Class {
-        aim: 6000 * MS,
+        latency_objective: 6000 * MS,
         deadline: 9000 * MS,
         ..class(Requirement::Any, Idempotency::Idempotent)
     });
@@ -256,8 +256,8 @@
     let warm = sent_by_many(|_| {}, 3);
     let cold = sent_by_many(
         |rig| {
-            let started = EndpointEntry { started: rig.now, ..member(3) };
-            rig.event(Event::EndpointUpdate { full: false, members: vec![started] });
+            let started = EndpointEntry { started_at: rig.now, ..member(3) };
+            rig.event(Event::EndpointUpdate { full: false, endpoints: vec![started] });
         },
         3,
     );
@@ -267,8 +267,8 @@
 
 /// The list says that this member has just started, and whether it is the primary.
 fn started_anew(rig: &mut Rig, n: u64, primary_hint: bool) {
-    let started = EndpointEntry { started: rig.now, primary_hint, ..member(n) };
-    rig.event(Event::EndpointUpdate { full: false, members: vec![started] });
+    let started = EndpointEntry { started_at: rig.now, primary_hint, ..member(n) };
+    rig.event(Event::EndpointUpdate { full: false, endpoints: vec![started] });
 }
 
 #[test]
@@ -365,26 +365,29 @@
 }
 
 fn listed(rig: &mut Rig, n: u64, listed: EndpointState) {
-    rig.event(Event::EndpointUpdate { full: false, members: vec![EndpointEntry { listed, ..member(n) }] });
+    rig.event(Event::EndpointUpdate {
+        full: false,
+        endpoints: vec![EndpointEntry { state: listed, ..member(n) }],
+    });
 }
 
 #[test]
 fn where_only_draining_binds_a_member_called_gone_is_used_while_it_answers() {
-    let lenient = Settings { only_draining_binds: true, ..settings() };
+    let lenient = Settings { removed_endpoints_usable: true, ..settings() };
     let mut rig = Rig::known(lenient.clone(), 4);
-    rig.event(Event::EndpointUpdate { full: true, members: Vec::new() });
+    rig.event(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
     serve(&mut rig, 1..40, 0, Outcome::Ok);
     assert_eq!((1..=4).map(|n| sends(&rig.log, n)).sum::<usize>(), 39, "an empty list costs nothing");
     assert_eq!(sent(&rig.ask(50, WRITE)), Some(1), "nor does it cost the primary");
     listed(&mut rig, 3, EndpointState::Draining);
-    rig.event(Event::EndpointUpdate { full: true, members: Vec::new() });
+    rig.event(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
     rig.log.clear();
     serve(&mut rig, 60..100, 0, Outcome::Ok);
     assert_eq!(sends(&rig.log, 3), 0, "one that has drained stays out of bounds");
     let at_dead = serve(&mut rig, 100..200, 4, Outcome::ConnectFailed);
     assert!(at_dead <= 1, "one that is truly gone costs one attempt, not {at_dead}");
     let mut strict = Rig::known(settings(), 4);
-    strict.event(Event::EndpointUpdate { full: true, members: Vec::new() });
+    strict.event(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
     assert!(refused(&strict.ask(1, ANY), 1), "where being gone binds too, the rule is kept");
 }
 
@@ -416,8 +419,8 @@
         let mut rig = Rig::known_by(settings(), 4, n);
         taken_by(&mut rig, 1..100, 1..=4);
         let started = rig.now;
-        let members = (5..=12).map(|n| EndpointEntry { started, ..member(n) }).collect();
-        rig.event(Event::EndpointUpdate { full: false, members });
+        let members = (5..=12).map(|n| EndpointEntry { started_at: started, ..member(n) }).collect();
+        rig.event(Event::EndpointUpdate { full: false, endpoints: members });
         taken_by(&mut rig, 100..190, 5..=12);
         taken_by(&mut rig, 200..220, 5..=12)
     };
@@ -449,13 +452,16 @@
     }
     rig.event(Event::EndpointUpdate {
         full: false,
-        members: vec![EndpointEntry { started: rig.now, ..member(5) }],
+        endpoints: vec![EndpointEntry { started_at: rig.now, ..member(5) }],
     });
     rig.pass(9500 * MS);
     (2000..2300).for_each(|id| drop(rig.ask(id, ANY)));
     rig.log.clear();
     let started = rig.now - 9000 * MS;
-    rig.event(Event::EndpointUpdate { full: false, members: vec![EndpointEntry { started, ..member(6) }] });
+    rig.event(Event::EndpointUpdate {
+        full: false,
+        endpoints: vec![EndpointEntry { started_at: started, ..member(6) }],
+    });
     (3000..3040).for_each(|id| drop(rig.ask(id, ANY)));
     assert!(sends(&rig.log, 6) <= 1, "{} sent before its first answer", sends(&rig.log, 6));
 }
@@ -465,8 +471,8 @@
 fn a_router_that_has_just_started_uses_cold_members() {
     let mut rig = Rig::known(settings(), 4);
     let started = rig.now;
-    let members = (1..=4).map(|n| EndpointEntry { started, ..member(n) }).collect();
-    rig.event(Event::EndpointUpdate { full: true, members });
+    let members = (1..=4).map(|n| EndpointEntry { started_at: started, ..member(n) }).collect();
+    rig.event(Event::EndpointUpdate { full: true, endpoints: members });
     rig.pass(5000 * MS);
     let taken = taken_by(&mut rig, 1..40, 1..=4);
     assert!(taken >= 5, "{taken} of 39");
@@ -478,11 +484,11 @@
 fn a_miss_of_a_request_that_is_over_tells_no_lag() {
     let mut rig = Rig::known(settings(), 2);
     rig.pass(2000 * MS);
-    let fresh = Request { since_write: Some(500 * MS), ..request(1, OWN) };
+    let fresh = Request { time_since_write: Some(500 * MS), ..request(1, OWN) };
     let to = sent(&rig.event(Event::Request(fresh))).unwrap();
-    rig.event(Event::ClientLeft(1));
+    rig.event(Event::ClientDisconnected(1));
     rig.end(1, 0, to, Outcome::NotServable, None);
-    let usual = Request { since_write: Some(500 * MS), ..request(2, OWN) };
+    let usual = Request { time_since_write: Some(500 * MS), ..request(2, OWN) };
     let again = [2, 3].map(|id| sent(&rig.event(Event::Request(Request { id, ..usual.clone() }))));
     assert!(again.contains(&Some(to)), "{again:?}");
 }
@@ -506,13 +512,13 @@
     let [told, untold] = [true, false].map(|primary_hint| {
         let mut rig = Rig::new(settings(), 4);
         let hinted = EndpointEntry { primary_hint, ..member(1) };
-        rig.event(Event::EndpointUpdate { full: false, members: vec![hinted] });
+        rig.event(Event::EndpointUpdate { full: false, endpoints: vec![hinted] });
         for _ in 0..100 {
             // Probes time out: nothing is learnt of roles.
             rig.pass(100 * MS);
             (1..=4).for_each(|n| {
                 let report = LoadReport::default();
-                rig.event(Event::Probed { server: EndpointId(n), answered: false, report });
+                rig.event(Event::Probed { endpoint: EndpointId(n), answered: false, report });
             });
             rig.event(Event::Request(request(rig.log.len() as u32, ANY)));
         }
@@ -533,7 +539,7 @@
             rig.event(Event::AttemptEnded(AttemptResult { metadata, ..ended(id, 0, to, Outcome::Ok) }));
             rig.report(1, Role::Primary, rig.now);
             rig.event(Event::Probed {
-                server: EndpointId(2),
+                endpoint: EndpointId(2),
                 answered: false,
                 report: LoadReport::default(),
             });
@@ -548,7 +554,7 @@
     let mut rig = Rig::known(settings(), 3);
     for _ in 0..20 {
         let report = LoadReport::default();
-        rig.event(Event::Probed { server: EndpointId(3), answered: false, report });
+        rig.event(Event::Probed { endpoint: EndpointId(3), answered: false, report });
     }
     serve(&mut rig, 1..41, 0, Outcome::Ok);
     assert!(sends(&rig.log, 3) >= 15, "{} of 40", sends(&rig.log, 3));
@@ -568,7 +574,7 @@
                 rig.pass(400 * MS);
             }
             for (id, n) in to {
-                rig.event(Event::ClientLeft(id));
+                rig.event(Event::ClientDisconnected(id));
                 rig.end(id, 0, n, if n == 2 { Outcome::Ok } else { Outcome::TimedOut }, None);
             }
             rig.pass(20 * MS);
@@ -582,8 +588,8 @@
 #[test]
 fn a_restart_of_the_primary_clears_the_belief() {
     let mut rig = Rig::known(settings(), 3);
-    let back = EndpointEntry { started: rig.now, ..member(1) };
-    rig.event(Event::EndpointUpdate { full: false, members: vec![back] });
+    let back = EndpointEntry { started_at: rig.now, ..member(1) };
+    rig.event(Event::EndpointUpdate { full: false, endpoints: vec![back] });
     assert_ne!(sent(&rig.ask(1, WRITE)), Some(1), "it comes back as a replica, and cold");
 }
 
@@ -604,16 +610,16 @@
 #[test]
 fn odd_events_do_no_harm() {
     let mut rig = Rig::known(settings(), 2);
-    rig.event(Event::EndpointUpdate { full: false, members: vec![member(1), member(1)] });
+    rig.event(Event::EndpointUpdate { full: false, endpoints: vec![member(1), member(1)] });
     rig.end(77, 0, 1, Outcome::Ok, None);
     rig.end(77, 0, 99, Outcome::Ok, None);
-    rig.event(Event::ClientLeft(77));
-    rig.event(Event::Timer(12345));
+    rig.event(Event::ClientDisconnected(77));
+    rig.event(Event::TimerFired(12345));
     rig.event(Event::EndpointListFailed);
     let to = sent(&rig.ask(1, ANY)).unwrap();
-    rig.event(Event::ClientLeft(1));
+    rig.event(Event::ClientDisconnected(1));
     assert!(rig.end(1, 0, to, Outcome::TimedOut, None).is_empty(), "it is finished");
-    rig.event(Event::EndpointUpdate { full: true, members: Vec::new() });
+    rig.event(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
     assert!(refused(&rig.ask(2, ANY), 2), "all are gone");
     assert!(refused(&rig.event(Event::Request(Request { group: 9, ..request(3, WRITE) })), 3));
     assert!(failed(&rig.ask(4, 99), 4), "a class that is not in the settings");
@@ -627,17 +633,17 @@
     let mut out = Vec::new();
     router.handle(0, Event::EndpointListFailed, &mut out);
     assert_eq!(out.iter().filter(|a| **a == Action::Subscribe).count(), 1, "the one of the start");
-    let Some(Action::Timer { token, after }) = out.last().cloned() else { panic!("{out:?}") };
+    let Some(Action::SetTimer { token, after }) = out.last().cloned() else { panic!("{out:?}") };
     assert!(after >= 500 * MS);
     out.clear();
-    router.handle(after, Event::Timer(token), &mut out);
+    router.handle(after, Event::TimerFired(token), &mut out);
     assert_eq!(out, [Action::Subscribe]);
 }
 
 #[test]
 fn a_tenant_over_its_quota_yields_first() {
     let out_at_once = |quota: f64| {
-        let mut rig = Rig::known(Settings { quotas: vec![quota], over_quota_share: 0.1, ..settings() }, 2);
+        let mut rig = Rig::known(Settings { quotas: vec![quota], over_quota_weight: 0.1, ..settings() }, 2);
         for id in 1..=40 {
             rig.ask(id, ANY);
         }
@@ -652,7 +658,7 @@
 fn a_group_seen_once_in_seconds_is_spared_after_a_few_waits() {
     let mut rig = Rig::known(settings(), 3);
     let other = |n| EndpointEntry { group: 2, ..member(n) };
-    rig.event(Event::EndpointUpdate { full: false, members: (11..=13).map(other).collect() });
+    rig.event(Event::EndpointUpdate { full: false, endpoints: (11..=13).map(other).collect() });
     (11..=13).for_each(|s| rig.report(s, if s == 11 { Role::Primary } else { Role::Replica }, rig.now));
     let ask = |rig: &mut Rig, id: u32, group, elapsed| {
         let actions = rig.event(Event::Request(Request { group, ..request(id, ANY) }));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -20,7 +20,9 @@
 
 /// The share of its capacity that a member has, this long after its start.
 fn part(settings: &Settings, age: Micros) -> f64 {
-    (settings.cold_from + (1.0 - settings.cold_from) * age as f64 / settings.cold_time as f64).min(1.0)
+    (settings.slow_start_capacity
+        + (1.0 - settings.slow_start_capacity) * age as f64 / settings.slow_start_duration as f64)
+        .min(1.0)
 }
 
 /// Lets `routers` share a load of so many times what the members can serve, restarts member `cold` after a while,
@@ -32,7 +34,7 @@
     let mut rigs: Vec<_> =
         (0..routers).map(|n| Rig::known_by(settings.clone(), MEMBERS, seed * 1000 + n as u64)).collect();
     let begun = rigs[0].now;
-    let (starts, end) = (begun + 8000 * MS, begun + 8000 * MS + settings.cold_time);
+    let (starts, end) = (begun + 8000 * MS, begun + 8000 * MS + settings.slow_start_duration);
     let rate = load * CAPACITY * MEMBERS as f64 / routers as f64;
     let mut queue = BinaryHeap::new();
     for n in 0..routers {
@@ -59,8 +61,8 @@
                 queue.push(Reverse((now + dice.gap(rate), n, Happens::Comes)));
             }
             Happens::Told => {
-                let started = EndpointEntry { started: starts, primary_hint: cold == 1, ..member(cold) };
-                rig.event(Event::EndpointUpdate { full: false, members: vec![started] });
+                let started = EndpointEntry { started_at: starts, primary_hint: cold == 1, ..member(cold) };
+                rig.event(Event::EndpointUpdate { full: false, endpoints: vec![started] });
             }
             Happens::Ends { id, attempt, server, sent, served } => {
                 let role = if server == 1 { Role::Primary } else { Role::Replica };
@@ -76,7 +78,7 @@
         // Also what timers sent on the way.
         let sends: Vec<_> = rig.log.drain(..).collect();
         for action in sends {
-            if let Action::Send { request, server, timeout, .. } = action {
+            if let Action::Send { request, endpoint: server, timeout, .. } = action {
                 let attempt = attempts.entry(request).and_modify(|a| *a += 1).or_insert(0);
                 let age = now.saturating_sub(starts);
                 let slow = if server.0 == cold && now >= starts { part(&settings, age) } else { 1.0 };
@@ -93,15 +95,16 @@
             }
         }
     }
-    let window = settings.fall_time;
+    let window = settings.overload_window;
     let mut worst = f64::MIN;
     for (i, from) in taken.iter().enumerate() {
         let count = taken[i..].iter().take_while(|t| **t < from + window).count() as f64;
         let age = from - starts + window / 2;
-        let allowed = settings.fall_multiple * part(&settings, age) * CAPACITY * window as f64 / 1e6;
+        let allowed = settings.overload_multiple * part(&settings, age) * CAPACITY * window as f64 / 1e6;
         worst = worst.max((count - allowed - 2.0) / allowed.sqrt());
     }
-    let could = CAPACITY * (1.0 + settings.cold_from) / 2.0 * settings.cold_time as f64 / 1e6;
+    let could =
+        CAPACITY * (1.0 + settings.slow_start_capacity) / 2.0 * settings.slow_start_duration as f64 / 1e6;
     (worst, taken.len() as f64 / could)
 }
 
@@ -119,7 +122,7 @@
         (2.0, 30, 1.1, 3),
         (2.0, 3, 0.9, 1),
     ] {
-        let settings = Settings { fall_multiple: multiple, ..settings() };
+        let settings = Settings { overload_multiple: multiple, ..settings() };
         let plays: Vec<_> = (1..=6).map(|s| worst_window(routers, load, cold, &settings, s)).collect();
         let worst = plays.iter().map(|p| p.0).fold(f64::MIN, f64::max);
         let taken = plays.iter().map(|p| p.1).sum::<f64>() / plays.len() as f64;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -43,13 +43,13 @@
     fn actions(&mut self, now: Micros, actions: &[Action]) {
         for a in actions {
             match a {
-                Action::Send { request, server, .. } => self.send(now, *request, server.0),
+                Action::Send { request, endpoint: server, .. } => self.send(now, *request, server.0),
                 Action::Reject { request, .. } => {
                     let r = self.requests.get_mut(request).expect("a known request");
                     let ran = r.attempts.iter().any(|t| t.ended.is_none_or(|o| !never_ran(o)));
                     let anywhere = matches!(
                         self.settings.classes[r.class].idempotency,
-                        Idempotency::Idempotent | Idempotency::Keyed { anywhere: true, .. }
+                        Idempotency::Idempotent | Idempotency::Keyed { across_groups: true, .. }
                     );
                     if ran && !anywhere {
                         self.broken.push(format!("request {request} refused though it may have run"));
@@ -138,7 +138,7 @@
             let mut out = rig.event(Event::AttemptEnded(AttemptResult {
                 request: id,
                 attempt,
-                server: EndpointId(server),
+                endpoint: EndpointId(server),
                 outcome,
                 elapsed,
                 metadata: ResponseMetadata { role: Some(role), position: None },
@@ -161,16 +161,16 @@
         if dice.below(60) == 0 {
             let n = 1 + dice.below(4);
             let listed =
-                [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
+                [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
                     [dice.below(4) as usize];
             match listed {
                 EndpointState::Ready => check.banned.remove(&n),
-                EndpointState::Gone if settings.only_draining_binds => None,
+                EndpointState::Removed if settings.removed_endpoints_usable => None,
                 _ => Some(*check.banned.entry(n).or_insert(now)),
             };
             all.push(rig.event(Event::EndpointUpdate {
                 full: false,
-                members: vec![EndpointEntry { listed, ..member(n) }],
+                endpoints: vec![EndpointEntry { state: listed, ..member(n) }],
             }));
         }
         for mut actions in all {
@@ -193,10 +193,10 @@
 ) {
     for a in actions {
         match a {
-            Action::Send { request, server, timeout, .. } => {
+            Action::Send { request, endpoint: server, timeout, .. } => {
                 let r = &check.requests[request];
                 let attempt = r.attempts.len() as u32 - 1;
-                let write = settings.classes[r.class].need == Requirement::Write;
+                let write = settings.classes[r.class].requirement == Requirement::Write;
                 let (after, outcome) = match dice.below(12) {
                     _ if write && server.0 != 1 => (2, Outcome::NotServable),
                     0 => (3, Outcome::Error),
@@ -225,9 +225,10 @@
 #[test]
 fn random_stretches_keep_the_rules() {
     for seed in 1..=60 {
-        for (anywhere, only_draining_binds) in [(false, false), (true, false), (false, true)] {
-            let mut settings = Settings { only_draining_binds, ..settings() };
-            settings.classes[WRITE].idempotency = Idempotency::Keyed { anywhere, window: 700 * MS };
+        for (anywhere, removed_endpoints_usable) in [(false, false), (true, false), (false, true)] {
+            let mut settings = Settings { removed_endpoints_usable, ..settings() };
+            settings.classes[WRITE].idempotency =
+                Idempotency::Keyed { across_groups: anywhere, window: 700 * MS };
             let broken = play(seed, settings, &|_| {});
             assert!(broken.is_empty(), "seed {seed}: {broken:?}");
         }
@@ -258,7 +259,7 @@
 fn the_checker_sees_sends_to_drained_members() {
     let divert = |actions: &mut Vec<Action>| {
         for a in actions {
-            if let Action::Send { server, .. } = a {
+            if let Action::Send { endpoint: server, .. } = a {
                 *server = EndpointId(2);
             }
         }
@@ -273,7 +274,7 @@
     let mut check = Checker::new(settings());
     rig.event(Event::EndpointUpdate {
         full: false,
-        members: vec![EndpointEntry { listed: EndpointState::Draining, ..member(2) }],
+        endpoints: vec![EndpointEntry { state: EndpointState::Draining, ..member(2) }],
     });
     check.banned.insert(2, rig.now);
     rig.pass(DRAIN_GRACE + seed * MS);
@@ -289,8 +290,8 @@
 #[test]
 fn a_cold_member_gets_no_more_than_its_share() {
     let mut rig = Rig::known(settings(), 4);
-    let cold = EndpointEntry { started: rig.now, ..member(4) };
-    rig.event(Event::EndpointUpdate { full: false, members: vec![cold] });
+    let cold = EndpointEntry { started_at: rig.now, ..member(4) };
+    rig.event(Event::EndpointUpdate { full: false, endpoints: vec![cold] });
     let mut counts = BTreeMap::new();
     for id in 1..=600 {
         rig.pass(5 * MS);
@@ -308,17 +309,17 @@
 fn no_read_goes_to_a_member_not_known_fresh_where_members_do_not_check() {
     let mut rig = Rig::known(Settings { probes: false, ..unchecked() }, 3);
     rig.pass(100 * MS);
-    let own = Request { since_write: Some(50 * MS), ..request(1, OWN) };
+    let own = Request { time_since_write: Some(50 * MS), ..request(1, OWN) };
     assert_eq!(sent(&rig.event(Event::Request(own))), Some(1), "only the primary is known to have it");
     rig.report(2, Role::Replica, rig.now - 20 * MS);
-    let own = Request { since_write: Some(50 * MS), ..request(2, OWN) };
+    let own = Request { time_since_write: Some(50 * MS), ..request(2, OWN) };
     assert_eq!(sent(&rig.event(Event::Request(own))), Some(2));
     assert!(matches!(sent(&rig.ask(3, RECENT)), Some(2 | 3)));
 }
 
 /// Members that answer from what they have, however old it is.
 fn unchecked() -> Settings {
-    Settings { when_behind: WhenBehind::Answers, ..settings() }
+    Settings { stale_read_behavior: StaleReadBehavior::Serve, ..settings() }
 }
 
 /// Guards against trials that ask a member whose data is seconds old, as it was back from a lost zone.
@@ -367,7 +368,7 @@
     };
     let answer = |rig: &mut Rig, s, age| {
         let report = LoadReport { role: Some(Role::Replica), position: Some(rig.now - age) };
-        sent(&rig.event(Event::Probed { server: EndpointId(s), answered: true, report }))
+        sent(&rig.event(Event::Probed { endpoint: EndpointId(s), answered: true, report }))
     };
     let first = asked(&mut rig, 1);
     assert_ne!(first, 1, "the primary stands at the present");
@@ -382,7 +383,8 @@
     rig.log.clear();
     let third = asked(&mut rig, 4);
     assert_eq!(sent(&rig.pass(100 * MS)), Some(1), "no answer: the primary serves it soon");
-    let failed = Event::Probed { server: EndpointId(third), answered: false, report: LoadReport::default() };
+    let failed =
+        Event::Probed { endpoint: EndpointId(third), answered: false, report: LoadReport::default() };
     rig.event(failed);
     rig.log.clear();
     assert_ne!(asked(&mut rig, 5), third, "who did not answer is not the next to be asked");
@@ -441,9 +443,9 @@
         (0..5).map(|n| from + n * 500).map(round).min().unwrap()
     };
     let before = time(&mut rig, 10_000);
-    let gone = |n| EndpointEntry { listed: EndpointState::Gone, ..member(n) };
+    let gone = |n| EndpointEntry { state: EndpointState::Removed, ..member(n) };
     for n in 4..1_000 {
-        rig.event(Event::EndpointUpdate { full: false, members: vec![gone(n - 1), member(n)] });
+        rig.event(Event::EndpointUpdate { full: false, endpoints: vec![gone(n - 1), member(n)] });
         rig.report(n, Role::Replica, rig.now);
         rig.pass(11_000 * MS);
         let to = sent(&rig.ask(n as u32, ANY)).unwrap();
