--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,4 +1,4 @@
-//! Every decision of liftrelay. The types, events and actions that it speaks in are in `src/interface.rs`.
+//! Every decision of liftrelay. The types, events and actions that it speaks in are in `src/model/mod.rs`.
 //!
 //! The ordinary path is C-JDBC's least pending requests first: each router counts its own attempts that are
 //! out at each member and sends a read to the group's replica with the fewest, ties in turn; writes and reads
@@ -7,7 +7,7 @@
 use crate::estimators::{
     DecayingRate, GroupQueueingDelay, LatencyBaselines, QueueingDelay, ReplicationEstimate,
 };
-use crate::{interface::*, random::RandomSource};
+use crate::{model::*, random::RandomSource};
 use std::collections::BTreeMap;
 
 const TICK_BATCHES: u64 = 4; // Batches between two runs of the periodic work (held requests, probes).
--- /dev/null
+++ b/src/model/mod.rs
@@ -0,0 +1,18 @@
+//! The types that the routing policy and its hosts share: requests, endpoints, settings, events and actions.
+//!
+//! Everything here is plain data. All times are microseconds on the host's clock, which only advances.
+
+mod endpoint;
+mod event;
+mod request;
+mod settings;
+mod settings_document;
+
+pub use endpoint::{EndpointEntry, EndpointId, EndpointState, GroupId, LoadReport, ResponseMetadata, Role};
+pub use event::{Action, Event};
+pub use request::{AttemptResult, Class, Idempotency, Outcome, Request, RequestId, Requirement};
+pub use settings::{Settings, StaleReadBehavior};
+pub use settings_document::SettingsError;
+
+/// A point in time, or a span, in microseconds.
+pub type Micros = u64;
--- /dev/null
+++ b/src/model/request.rs
@@ -0,0 +1,134 @@
+//! Client requests, their classes, and the attempts made for them.
+
+use crate::{EndpointId, GroupId, LoadReport, Micros, ResponseMetadata};
+
+/// The number of a client request, never used twice by one host.
+pub type RequestId = u32;
+
+/// What a class of requests requires of the endpoint that serves it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Requirement {
+    /// A write: only the primary takes it.
+    Write,
+    /// A read of everything written before it arrived.
+    Latest,
+    /// A read of everything its own session has written.
+    ReadYourWrites,
+    /// A read of data no older than this when it is sent.
+    BoundedStaleness(Micros),
+    /// A read that any endpoint may serve.
+    Any,
+}
+
+/// How often a request of a class may take effect.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Idempotency {
+    /// Repeats are harmless.
+    Idempotent,
+    /// It carries an idempotency key, by which endpoints drop repeats for `window`.
+    Keyed {
+        /// Whether every endpoint drops repeats, or only those of the group that got the first attempt.
+        across_groups: bool,
+        /// For how long after the send of the first attempt that may have run.
+        window: Micros,
+    },
+    /// It must run at most once.
+    AtMostOnce,
+}
+
+impl Idempotency {
+    /// Whether a client may safely repeat the request anywhere, even if it has run.
+    pub fn is_repeatable_anywhere(self) -> bool {
+        matches!(self, Idempotency::Idempotent | Idempotency::Keyed { across_groups: true, .. })
+    }
+}
+
+/// One class of requests.
+#[derive(Clone, Debug)]
+pub struct Class {
+    /// What it requires of the endpoint that serves it.
+    pub requirement: Requirement,
+    /// How often it may take effect.
+    pub idempotency: Idempotency,
+    /// An answer within this earns the full priority weight.
+    pub latency_objective: Micros,
+    /// How long a client waits in all.
+    pub deadline: Micros,
+    /// The value of an answer within the latency objective, relative to other classes.
+    pub priority_weight: f64,
+    /// The part of the priority weight that a later answer still earns.
+    pub late_value: f64,
+}
+
+/// A client request.
+#[derive(Clone, Debug, Default)]
+pub struct Request {
+    /// Its number.
+    pub id: RequestId,
+    /// Its class.
+    pub class: usize,
+    /// The group that holds its data.
+    pub group: GroupId,
+    /// The session, 0 for none.
+    pub session: u64,
+    /// The tenant.
+    pub tenant: usize,
+    /// How long ago the session's last write was committed, where the client says so.
+    pub time_since_write: Option<Micros>,
+    /// How long the client still waits.
+    pub remaining: Micros,
+    /// Whether the client has tried before.
+    pub is_retry: bool,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// Served.
+    Ok,
+    /// The endpoint answered with an error; it may have run.
+    Error,
+    /// Rejected unseen, as the endpoint's queue was full.
+    Full,
+    /// No answer in time; it may have run.
+    TimedOut,
+    /// No connection; it did not run.
+    ConnectFailed,
+    /// The connection broke; it may have run.
+    Reset,
+    /// Cancelled; it may have run.
+    Cancelled,
+    /// Never sent.
+    NeverSent,
+    /// Rejected untouched: not the primary, or too far behind.
+    NotServable,
+}
+
+impl Outcome {
+    /// Whether the attempt may have taken effect.
+    pub fn may_have_run(self) -> bool {
+        use Outcome::{ConnectFailed, Full, NeverSent, NotServable};
+        !matches!(self, Full | ConnectFailed | NeverSent | NotServable)
+    }
+}
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptResult {
+    /// The request.
+    pub request: RequestId,
+    /// The attempt, counted from 0.
+    pub attempt: u32,
+    /// The endpoint it was sent to.
+    pub endpoint: EndpointId,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The time since its send.
+    pub elapsed: Micros,
+    /// What the response tells of the endpoint.
+    pub metadata: ResponseMetadata,
+    /// Whether the request has had its final answer.
+    pub finished: bool,
+    /// The report that came with the response, if any.
+    pub report: LoadReport,
+}
--- /dev/null
+++ b/src/model/settings.rs
@@ -0,0 +1,114 @@
+//! The settings of a [`Router`](crate::Router) and its host.
+
+use super::settings_document::SettingsDocument;
+use crate::{Class, Micros};
+
+/// What an endpoint does with a read that it is too far behind for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StaleReadBehavior {
+    /// It answers from what it has: the router alone keeps stale answers out.
+    Serve,
+    /// It rejects the read untouched.
+    Reject,
+    /// It waits for up to this long to catch up, then rejects the read untouched.
+    WaitThenReject(Micros),
+}
+
+/// What a router is told when it starts. The simulator's adapter and the proxy read the same settings.
+#[derive(Clone, Debug, serde::Deserialize)]
+#[serde(try_from = "SettingsDocument")]
+pub struct Settings {
+    /// Routers that share the endpoints, this one included.
+    pub instances: u32,
+    /// The zone this router sits in.
+    pub zone: u32,
+    /// The shortest span between two batches of events.
+    pub resolution: Micros,
+    /// The classes, by index.
+    pub classes: Vec<Class>,
+    /// For each tenant, the requests a second over all routers that count in full.
+    pub quotas: Vec<f64>,
+    /// The part of its priority weight that a request beyond its tenant's quota keeps.
+    pub over_quota_weight: f64,
+    /// What endpoints do with reads that they are too far behind for.
+    pub stale_read_behavior: StaleReadBehavior,
+    /// Session commits are remembered by the router (else the request says when its session last wrote).
+    pub remember_commits: bool,
+    /// At most this many attempts for one request.
+    pub max_attempts: u32,
+    /// Whether a rejection may say when to come back.
+    pub retry_after: bool,
+    /// The longest such wait that a client honours.
+    pub max_retry_after: Micros,
+    /// Whether probes may be sent.
+    pub probes: bool,
+    /// Whether attempts may be cancelled.
+    pub cancel: bool,
+    /// Whether an endpoint that is listed as removed may still be used; one listed as draining never may.
+    pub removed_endpoints_usable: bool,
+    /// Whether the endpoint list is sent only when asked for.
+    pub list_on_request: bool,
+    /// The share of its capacity that an endpoint has at least when it starts.
+    pub slow_start_capacity: f64,
+    /// The time within which a started endpoint reaches its full capacity.
+    pub slow_start_duration: Micros,
+    /// An endpoint that is warming up fails when sent more than this multiple of its capacity ...
+    pub overload_multiple: f64,
+    /// ... for this long.
+    pub overload_window: Micros,
+    /// The cost of one zone crossing for each request, as a share of the result.
+    pub cross_zone_cost: f64,
+    /// The names of the classes, by index.
+    pub class_names: Vec<String>,
+    /// The names of the values in a load report, in order.
+    pub load_report_fields: Vec<String>,
+    /// The time from which the simulator's wire counts positions.
+    pub position_epoch: Micros,
+    /// A connection that is not established within this has failed.
+    pub connect_timeout: Micros,
+    /// An endpoint closes a connection that was idle for this long.
+    pub idle_timeout: Micros,
+    /// The most requests that one router may hold open.
+    pub max_pending: usize,
+}
+
+impl Default for Settings {
+    /// One router alone, endpoints that reject reads when behind, nothing that costs anything.
+    fn default() -> Self {
+        Settings {
+            instances: 1,
+            zone: 0,
+            resolution: 1000,
+            classes: Vec::new(),
+            quotas: Vec::new(),
+            over_quota_weight: 1.0,
+            stale_read_behavior: StaleReadBehavior::Reject,
+            remember_commits: false,
+            max_attempts: 6,
+            retry_after: true,
+            max_retry_after: 1_000_000,
+            probes: true,
+            cancel: true,
+            removed_endpoints_usable: false,
+            list_on_request: false,
+            slow_start_capacity: 0.15,
+            slow_start_duration: 20_000_000,
+            overload_multiple: 2.0,
+            overload_window: 2_000_000,
+            cross_zone_cost: 0.0,
+            class_names: Vec::new(),
+            load_report_fields: Vec::new(),
+            position_epoch: 0,
+            connect_timeout: 250_000,
+            idle_timeout: 15_000_000,
+            max_pending: 40_000,
+        }
+    }
+}
+
+impl Settings {
+    /// The index of the class with this name.
+    pub fn class(&self, name: &[u8]) -> Option<usize> {
+        self.class_names.iter().position(|class_name| class_name.as_bytes() == name)
+    }
+}
--- /dev/null
+++ b/src/sim_adapter/mod.rs
@@ -0,0 +1,13 @@
+//! The simulator's wire: batches of events in, batches of actions out. Pure translation, no decision.
+
+mod actions;
+mod codes;
+mod error;
+mod events;
+mod fields;
+mod frame;
+mod host;
+
+pub use error::WireError;
+pub use frame::{Batch, read_batch, write_reply};
+pub use host::RouterHost;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -2,7 +2,7 @@
 
 #![allow(missing_docs)]
 
-use liftrelay::wire::Host;
+use liftrelay::sim_adapter::RouterHost;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -61,7 +61,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_liftrelay-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_liftrelay-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -73,9 +73,9 @@
 
 #[test]
 fn a_request_becomes_a_send_with_its_id_unchanged() {
-    let mut host = Host::default();
+    let mut host = RouterHost::default();
     let body = [enlist(CONF), list(), request()].concat();
-    let reply = host.batch(8_412_250, 4, &body).unwrap();
+    let reply = host.handle_batch(8_412_250, 4, &body).unwrap();
     let wanted = [16, 0, 0, 0, 18, 0, 0, 0, 3, 0x5d, 0x3a, 0x91, 0xc4, 10, 18, 74, 7, 27, 91];
     assert!(reply.windows(wanted.len()).any(|w| w == wanted), "{reply:x?}");
     assert!(host.warnings.is_empty());
@@ -100,10 +100,10 @@
 
 #[test]
 fn an_instance_that_was_stopped_gets_no_more_events() {
-    let mut host = Host::default();
+    let mut host = RouterHost::default();
     let stop = record(26, &[&3u32.to_be_bytes()]);
     let body = [enlist(CONF), list(), stop, request()].concat();
-    host.batch(1, 5, &body).unwrap();
+    host.handle_batch(1, 5, &body).unwrap();
     assert_eq!(host.warnings.len(), 1);
 }
 
