--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -49,7 +49,7 @@
         }
         if !endpoint.ejected {
             let id = endpoint.id.0;
-            self.actions.push(Action::Log(format!("member {id:012x} set aside: {failure}")));
+            self.actions.push(Action::Log(format!("endpoint {id:012x} ejected: {failure}")));
         }
         endpoint.ejected = true;
         endpoint.next_trial_at = self.now + TRIAL_INTERVAL + self.random.below(TRIAL_INTERVAL);
