--- /dev/null
+++ b/tests/policy/endpoint_list.rs
@@ -0,0 +1,164 @@
+//! The endpoint list: endpoints that come, go, restart, drain, or are listed wrongly.
+
+use crate::harness::*;
+use liftrelay::*;
+
+#[test]
+fn where_only_draining_binds_an_endpoint_listed_as_removed_is_used_while_it_answers() {
+    let lenient = Settings { removed_endpoints_usable: true, ..settings() };
+    let mut harness = RouterHarness::with_known_roles(lenient.clone(), 4);
+    harness.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
+    serve_reads(&mut harness, 1..40, 0, Outcome::Ok);
+    assert_eq!(
+        (1..=4).map(|n| send_count(&harness.log, n)).sum::<usize>(),
+        39,
+        "an empty list costs nothing"
+    );
+    assert_eq!(sent_to(&harness.request(50, WRITE)), Some(1), "nor does it cost the primary");
+    update_state(&mut harness, 3, EndpointState::Draining);
+    harness.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
+    harness.log.clear();
+    serve_reads(&mut harness, 60..100, 0, Outcome::Ok);
+    assert_eq!(send_count(&harness.log, 3), 0, "one that has drained stays out of bounds");
+    let at_dead = serve_reads(&mut harness, 100..200, 4, Outcome::ConnectFailed);
+    assert!(at_dead <= 1, "one that is truly gone costs one attempt, not {at_dead}");
+    let mut strict = RouterHarness::with_known_roles(settings(), 4);
+    strict.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
+    assert!(is_rejected(&strict.request(1, ANY), 1), "where being gone binds too, the rule is kept");
+}
+
+/// Guards against newcomers that wait for single trials: at a few requests a second those take minutes, and all
+/// routers crowd the old members meanwhile.
+#[test]
+fn replacement_endpoints_do_not_wait_for_trials() {
+    let by_each = |n| {
+        let mut harness = RouterHarness::with_known_roles_seeded(settings(), 4, n);
+        serve_and_count(&mut harness, 1..100, 1..=4);
+        let started = harness.now;
+        let members = (5..=12).map(|n| EndpointEntry { started_at: started, ..endpoint_entry(n) }).collect();
+        harness.handle(Event::EndpointUpdate { full: false, endpoints: members });
+        serve_and_count(&mut harness, 100..190, 5..=12);
+        serve_and_count(&mut harness, 200..220, 5..=12)
+    };
+    let taken = (0..30).map(by_each).sum::<usize>();
+    assert!(taken >= 270, "{taken} of 600 went to 8 newcomers of 12");
+}
+
+/// Guards against a connection to each member from each of hundreds of routers, of which each has a request
+/// there every ten seconds.
+#[test]
+fn a_router_with_few_requests_keeps_to_few_replicas() {
+    let mut used = 0;
+    for n in 0..30 {
+        let mut harness = RouterHarness::with_known_roles_seeded(settings(), 8, n);
+        serve_and_count(&mut harness, 1..100, 1..=8);
+        used += (1..=8).filter(|n| send_count(&harness.log, *n) > 0).count();
+    }
+    assert!((30..=75).contains(&used), "{used} connections of 30 routers");
+}
+
+/// Guards against many reads at once at newcomers nobody has tried, where a trial costs no time.
+#[test]
+fn a_new_endpoint_gets_a_single_trial_where_requests_are_many() {
+    let mut harness = RouterHarness::with_known_roles(settings(), 4);
+    for id in 1..1000 {
+        harness.advance(3 * MS);
+        let to = sent_to(&harness.request(id, ANY)).unwrap();
+        harness.end_attempt(id, 0, to, Outcome::Ok, None);
+    }
+    harness.handle(Event::EndpointUpdate {
+        full: false,
+        endpoints: vec![EndpointEntry { started_at: harness.now, ..endpoint_entry(5) }],
+    });
+    harness.advance(9500 * MS);
+    (2000..2300).for_each(|id| drop(harness.request(id, ANY)));
+    harness.log.clear();
+    let started = harness.now - 9000 * MS;
+    harness.handle(Event::EndpointUpdate {
+        full: false,
+        endpoints: vec![EndpointEntry { started_at: started, ..endpoint_entry(6) }],
+    });
+    (3000..3040).for_each(|id| drop(harness.request(id, ANY)));
+    assert!(send_count(&harness.log, 6) <= 1, "{} sent before its first answer", send_count(&harness.log, 6));
+}
+
+#[test]
+fn an_endpoint_added_later_is_used_after_its_first_good_answer() {
+    let mut harness = RouterHarness::with_known_roles(settings(), 2);
+    update_state(&mut harness, 3, EndpointState::Ready);
+    serve_reads(&mut harness, 1..60, 0, Outcome::Ok);
+    assert!(send_count(&harness.log, 3) >= 15, "{} of 60", send_count(&harness.log, 3));
+}
+
+#[test]
+fn a_restart_of_the_primary_clears_the_known_primary() {
+    let mut harness = RouterHarness::with_known_roles(settings(), 3);
+    let back = EndpointEntry { started_at: harness.now, ..endpoint_entry(1) };
+    harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![back] });
+    assert_ne!(sent_to(&harness.request(1, WRITE)), Some(1), "it comes back as a replica, and cold");
+}
+
+#[test]
+fn unexpected_events_do_no_harm() {
+    let mut harness = RouterHarness::with_known_roles(settings(), 2);
+    harness
+        .handle(Event::EndpointUpdate { full: false, endpoints: vec![endpoint_entry(1), endpoint_entry(1)] });
+    harness.end_attempt(77, 0, 1, Outcome::Ok, None);
+    harness.end_attempt(77, 0, 99, Outcome::Ok, None);
+    harness.handle(Event::ClientDisconnected(77));
+    harness.handle(Event::TimerFired(12345));
+    harness.handle(Event::EndpointListFailed);
+    let to = sent_to(&harness.request(1, ANY)).unwrap();
+    harness.handle(Event::ClientDisconnected(1));
+    assert!(harness.end_attempt(1, 0, to, Outcome::TimedOut, None).is_empty(), "it is finished");
+    harness.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
+    assert!(is_rejected(&harness.request(2, ANY), 2), "all are gone");
+    assert!(is_rejected(&harness.handle(Event::Request(Request { group: 9, ..request(3, WRITE) })), 3));
+    assert!(is_failed(&harness.request(4, 99), 4), "a class that is not in the settings");
+    assert!(is_rejected(&harness.handle(Event::Request(Request { remaining: 0, ..request(5, ANY) })), 5));
+    assert!(is_rejected(&RouterHarness::new(settings(), 0).request(1, ANY), 1), "no servers at all");
+}
+
+#[test]
+fn a_failed_call_for_the_endpoint_list_is_repeated_after_a_while() {
+    let mut router = Router::new(Settings { list_on_request: true, ..settings() }, 3, 0);
+    let mut out = Vec::new();
+    router.handle(0, Event::EndpointListFailed, &mut out);
+    assert_eq!(out.iter().filter(|a| **a == Action::Subscribe).count(), 1, "the one of the start");
+    let Some(Action::SetTimer { token, after }) = out.last().cloned() else { panic!("{out:?}") };
+    assert!(after >= 500 * MS);
+    out.clear();
+    router.handle(after, Event::TimerFired(token), &mut out);
+    assert_eq!(out, [Action::Subscribe]);
+}
+
+/// Guards against a router that grows with every member that ever was, and one that mixes a new member up with
+/// the old one whose place it takes.
+#[test]
+fn endpoints_that_come_and_go_leave_nothing_behind() {
+    let mut harness = RouterHarness::with_known_roles(settings(), 3);
+    let time = |harness: &mut RouterHarness, from: u32| {
+        let round = |from: u32| {
+            let begun = std::time::Instant::now();
+            for id in from..from + 500 {
+                let to = sent_to(&harness.request(id, ANY)).unwrap();
+                harness.end_attempt(id, 0, to, Outcome::Ok, None);
+            }
+            begun.elapsed()
+        };
+        (0..5).map(|n| from + n * 500).map(round).min().unwrap()
+    };
+    let before = time(&mut harness, 10_000);
+    let gone = |n| EndpointEntry { state: EndpointState::Removed, ..endpoint_entry(n) };
+    for n in 4..1_000 {
+        harness
+            .handle(Event::EndpointUpdate { full: false, endpoints: vec![gone(n - 1), endpoint_entry(n)] });
+        harness.report(n, Role::Replica, harness.now);
+        harness.advance(11_000 * MS);
+        let to = sent_to(&harness.request(n as u32, ANY)).unwrap();
+        assert!(to <= 2 || to == n, "{to} is gone");
+        harness.end_attempt(n as u32, 0, to, Outcome::Ok, None);
+    }
+    let after = time(&mut harness, 100_000);
+    assert!(after < 3 * before, "{before:?} for 500 requests, {after:?} behind 1,000 members that are gone");
+}
--- /dev/null
+++ b/tests/policy/probing.rs
@@ -0,0 +1,55 @@
+//! How often endpoints are probed.
+
+use crate::harness::*;
+use liftrelay::*;
+
+fn probe_count(harness: &RouterHarness) -> usize {
+    harness.log.iter().filter(|a| matches!(a, Action::Probe(_))).count()
+}
+
+/// Guards against hundreds of routers that probe every member in a hurry from their start, though the list
+/// names the primary: members take only so many probes.
+#[test]
+fn a_new_router_probes_at_the_usual_rate_where_the_list_names_a_primary() {
+    let [told, untold] = [true, false].map(|primary_hint| {
+        let mut harness = RouterHarness::new(settings(), 4);
+        let hinted = EndpointEntry { primary_hint, ..endpoint_entry(1) };
+        harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![hinted] });
+        for _ in 0..100 {
+            // Probes time out: nothing is learnt of roles.
+            harness.advance(100 * MS);
+            (1..=4).for_each(|n| {
+                let report = LoadReport::default();
+                harness.handle(Event::Probed { endpoint: EndpointId(n), answered: false, report });
+            });
+            harness.handle(Event::Request(request(harness.log.len() as u32, ANY)));
+        }
+        probe_count(&harness)
+    });
+    assert!(told > 0 && told * 2 < untold, "{told} probes, {untold} where the list names none");
+}
+
+/// Guards against probes of members whose answers tell the same.
+#[test]
+fn an_endpoint_whose_answers_tell_its_position_is_not_probed() {
+    let [told, untold] = [true, false].map(|tells| {
+        let mut harness = RouterHarness::with_known_roles(settings(), 2);
+        for id in 1..200 {
+            harness.advance(50 * MS);
+            let Some(to) = sent_to(&harness.request(id, ANY)) else { continue };
+            let metadata = ResponseMetadata { role: None, position: tells.then_some(harness.now) };
+            harness.handle(Event::AttemptEnded(AttemptResult {
+                metadata,
+                ..attempt_result(id, 0, to, Outcome::Ok)
+            }));
+            harness.report(1, Role::Primary, harness.now);
+            harness.handle(Event::Probed {
+                endpoint: EndpointId(2),
+                answered: false,
+                report: LoadReport::default(),
+            });
+        }
+        probe_count(&harness)
+    });
+    assert!(told * 3 < untold * 2, "{told} probes, {untold} where answers tell no position");
+}
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_instance_that_was_stopped_gets_no_more_events() {
+fn a_stopped_instance_gets_no_more_events() {
     let mut host = RouterHost::default();
     let stop = record(26, &[&3u32.to_be_bytes()]);
     let body = [enlist(CONF), list(), stop, request()].concat();
