--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use liftrelay::*;
 
-/// Guards against requests that are lost at a member passing for its load: they would close its door to all
+/// Guards against requests that are lost at an endpoint being taken for its load: they would shed all
 /// others, though it answers these at once.
 #[test]
 fn lost_writes_do_not_shed_those_that_are_served() {
@@ -33,24 +33,24 @@
 #[test]
 fn requests_beyond_capacity_are_rejected_at_once() {
     let mut harness = RouterHarness::with_known_roles(settings(), 2);
-    let refusals = (1..=60).filter(|id| is_rejected(&harness.request(*id, ANY), *id)).count();
+    let rejections = (1..=60).filter(|id| is_rejected(&harness.request(*id, ANY), *id)).count();
     let out = send_count(&harness.log, 1) + send_count(&harness.log, 2);
     assert!(out < 30, "{out} were sent");
-    assert_eq!(refusals, 60 - out);
+    assert_eq!(rejections, 60 - out);
 }
 
 #[test]
 fn a_marked_client_retry_yields_to_first_attempts() {
     let mut settings = settings();
     settings.classes.iter_mut().for_each(|c| c.late_value = 0.0);
-    let sent_of = |repeat: bool| {
+    let sent_with = |is_retry: bool| {
         let mut harness = RouterHarness::with_known_roles(settings.clone(), 2);
         for id in 1..=40 {
-            harness.handle(Event::Request(Request { is_retry: repeat, ..request(id, ANY) }));
+            harness.handle(Event::Request(Request { is_retry, ..request(id, ANY) }));
         }
         send_count(&harness.log, 1) + send_count(&harness.log, 2)
     };
-    assert!(sent_of(true) < sent_of(false));
+    assert!(sent_with(true) < sent_with(false));
 }
 
 #[test]
@@ -67,8 +67,8 @@
             attempt += 1;
         }
     }
-    let knocks = (1..=4).map(|n| send_count(&harness.log, n)).sum::<usize>();
-    assert!(knocks <= 40, "{knocks} for 30 requests");
+    let attempts = (1..=4).map(|n| send_count(&harness.log, n)).sum::<usize>();
+    assert!(attempts <= 40, "{attempts} for 30 requests");
 }
 
 #[test]
@@ -105,17 +105,18 @@
         });
         to.is_some()
     };
-    let (mut refused, mut well) = (0, 0);
+    let mut rejected = 0;
+    let mut rejected_elsewhere = 0;
     for round in 0..200 {
         for id in 0..20 {
             harness.advance(100 * MS);
-            well += usize::from(!ask(&mut harness, 10_000 + round * 20 + id, 2, 20 * MS));
+            rejected_elsewhere += usize::from(!ask(&mut harness, 10_000 + round * 20 + id, 2, 20 * MS));
         }
-        // Its answers take three times the aim.
-        refused += usize::from(!ask(&mut harness, 1 + round, 1, 1200 * MS));
+        // Its answers take three times the objective.
+        rejected += usize::from(!ask(&mut harness, 1 + round, 1, 1200 * MS));
     }
-    assert!(refused >= 15, "{refused} of 200 refused where all wait");
-    assert_eq!(well, 0, "refused where nobody waits");
+    assert!(rejected >= 15, "{rejected} of 200 rejected where all wait");
+    assert_eq!(rejected_elsewhere, 0, "rejected where nobody waits");
 }
 
 /// Guards against a primary that is filled up with what its replicas could do, and writes that find no room there.
@@ -130,7 +131,7 @@
     }
     assert!(at[1] < at[2] && at[1] > 0, "{at:?}: some go to the primary, fewer than to its replica");
     let writes = (100..110).filter(|id| sent_to(&harness.request(*id, WRITE)) == Some(1)).count();
-    assert!(writes >= 3, "{writes} of 10 writes found room behind {} reads", at[1]);
+    assert!(writes >= 3, "{writes} of 10 writes found capacity behind {} reads", at[1]);
 }
 
 /// Guards against writes that are lost, and are not sent again, using up what reads may be retried.
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -19,15 +19,15 @@
     harness.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
     harness.log.clear();
     serve_reads(&mut harness, 60..100, 0, Outcome::Ok);
-    assert_eq!(send_count(&harness.log, 3), 0, "one that has drained stays out of bounds");
-    let at_dead = serve_reads(&mut harness, 100..200, 4, Outcome::ConnectFailed);
-    assert!(at_dead <= 1, "one that is truly gone costs one attempt, not {at_dead}");
+    assert_eq!(send_count(&harness.log, 3), 0, "one that has drained is not used");
+    let at_removed = serve_reads(&mut harness, 100..200, 4, Outcome::ConnectFailed);
+    assert!(at_removed <= 1, "one that is really removed costs one attempt, not {at_removed}");
     let mut strict = RouterHarness::with_known_roles(settings(), 4);
     strict.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
-    assert!(is_rejected(&strict.request(1, ANY), 1), "where being gone binds too, the rule is kept");
+    assert!(is_rejected(&strict.request(1, ANY), 1), "where removal binds too, the rule is kept");
 }
 
-/// Guards against newcomers that wait for single trials: at a few requests a second those take minutes, and all
+/// Guards against new endpoints that wait for single trials: at a few requests a second those take minutes, and all
 /// routers crowd the old members meanwhile.
 #[test]
 fn replacement_endpoints_do_not_wait_for_trials() {
@@ -41,7 +41,7 @@
         serve_and_count(&mut harness, 200..220, 5..=12)
     };
     let taken = (0..30).map(by_each).sum::<usize>();
-    assert!(taken >= 270, "{taken} of 600 went to 8 newcomers of 12");
+    assert!(taken >= 270, "{taken} of 600 went to 8 new endpoints of 12");
 }
 
 /// Guards against a connection to each member from each of hundreds of routers, of which each has a request
@@ -57,7 +57,7 @@
     assert!((30..=75).contains(&used), "{used} connections of 30 routers");
 }
 
-/// Guards against many reads at once at newcomers nobody has tried, where a trial costs no time.
+/// Guards against many reads at once at new endpoints that nobody has tried, where a trial costs no time.
 #[test]
 fn a_new_endpoint_gets_a_single_trial_where_requests_are_many() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
@@ -95,7 +95,7 @@
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     let back = EndpointEntry { started_at: harness.now, ..endpoint_entry(1) };
     harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![back] });
-    assert_ne!(sent_to(&harness.request(1, WRITE)), Some(1), "it comes back as a replica, and cold");
+    assert_ne!(sent_to(&harness.request(1, WRITE)), Some(1), "it comes back as a replica, and warms up");
 }
 
 #[test]
@@ -112,7 +112,7 @@
     harness.handle(Event::ClientDisconnected(1));
     assert!(harness.end_attempt(1, 0, to, Outcome::TimedOut, None).is_empty(), "it is finished");
     harness.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
-    assert!(is_rejected(&harness.request(2, ANY), 2), "all are gone");
+    assert!(is_rejected(&harness.request(2, ANY), 2), "all are removed");
     assert!(is_rejected(&harness.handle(Event::Request(Request { group: 9, ..request(3, WRITE) })), 3));
     assert!(is_failed(&harness.request(4, 99), 4), "a class that is not in the settings");
     assert!(is_rejected(&harness.handle(Event::Request(Request { remaining: 0, ..request(5, ANY) })), 5));
@@ -149,16 +149,21 @@
         (0..5).map(|n| from + n * 500).map(round).min().unwrap()
     };
     let before = time(&mut harness, 10_000);
-    let gone = |n| EndpointEntry { state: EndpointState::Removed, ..endpoint_entry(n) };
+    let removed = |n| EndpointEntry { state: EndpointState::Removed, ..endpoint_entry(n) };
     for n in 4..1_000 {
-        harness
-            .handle(Event::EndpointUpdate { full: false, endpoints: vec![gone(n - 1), endpoint_entry(n)] });
+        harness.handle(Event::EndpointUpdate {
+            full: false,
+            endpoints: vec![removed(n - 1), endpoint_entry(n)],
+        });
         harness.report(n, Role::Replica, harness.now);
         harness.advance(11_000 * MS);
         let to = sent_to(&harness.request(n as u32, ANY)).unwrap();
-        assert!(to <= 2 || to == n, "{to} is gone");
+        assert!(to <= 2 || to == n, "{to} is removed");
         harness.end_attempt(n as u32, 0, to, Outcome::Ok, None);
     }
     let after = time(&mut harness, 100_000);
-    assert!(after < 3 * before, "{before:?} for 500 requests, {after:?} behind 1,000 members that are gone");
+    assert!(
+        after < 3 * before,
+        "{before:?} for 500 requests, {after:?} behind 1,000 members that were removed"
+    );
 }
--- a/tests/policy/freshness.rs
+++ b/tests/policy/freshness.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// Guards against a miss of a request that is over: nobody knows what it wanted, and the member passed for
-/// years behind.
+/// Guards against a rejection of a request that is over: nobody knows what it required, and the endpoint was
+/// taken for one that lags by years.
 #[test]
 fn a_rejected_read_of_a_finished_request_tells_no_lag() {
     let mut harness = RouterHarness::with_known_roles(settings(), 2);
@@ -115,7 +115,7 @@
             }
         }
     }
-    assert_eq!(harness.router.endpoint_counts(), EndpointCounts { listed: 4, avoided: 1 }, "it is set aside");
+    assert_eq!(harness.router.endpoint_counts(), EndpointCounts { listed: 4, avoided: 1 }, "it is ejected");
     for id in 100..160 {
         harness.advance(100 * MS);
         (1..=3)
@@ -163,7 +163,7 @@
     harness.advance(3000 * MS);
     harness.log.clear();
     let second = asked(&mut harness, 3);
-    assert_eq!(answer(&mut harness, second, 900 * MS), Some(1), "too far behind: the primary serves it");
+    assert_eq!(answer(&mut harness, second, 900 * MS), Some(1), "it lags too far: the primary serves it");
     harness.advance(3000 * MS);
     harness.log.clear();
     let third = asked(&mut harness, 4);
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -52,7 +52,7 @@
 }
 
 /// Guards against a broken connection now and then passing for a dead member, which would be left out, and
-/// spared as cold once it answers again.
+/// spared as warming up once it answers again.
 #[test]
 fn occasional_connection_failures_do_not_eject_an_endpoint() {
     let mut harness = RouterHarness::with_known_roles(settings_without_kept_connections(), 4);
@@ -83,7 +83,7 @@
         assert_eq!(sent_to(&harness.request(id, AT_MOST_ONCE)), Some(1), "{id}");
         let outcome = if id % 2 == 0 { Outcome::Ok } else { Outcome::Error };
         harness.end_attempt(id, 0, 1, outcome, None);
-        // The others do well: the primary's failures stand out.
+        // The others succeed: the primary's failures stand out.
         for read in [1000 + 2 * id, 1001 + 2 * id] {
             let to = sent_to(&harness.request(read, ANY)).unwrap();
             harness.end_attempt(read, 0, to, Outcome::Ok, None);
@@ -153,6 +153,6 @@
         }
         harness.log.iter().filter(|a| matches!(a, Action::Log(_))).count()
     };
-    assert_eq!(stalled(900 * MS), 0, "it stood still: no member is set aside");
-    assert!(stalled(0) > 0, "the same outcomes without a stall set members aside");
+    assert_eq!(stalled(900 * MS), 0, "it was suspended: no endpoint is ejected");
+    assert!(stalled(0) > 0, "the same outcomes without a suspension eject endpoints");
 }
--- a/tests/policy/primary.rs
+++ b/tests/policy/primary.rs
@@ -22,7 +22,7 @@
     harness.report(7, Role::Primary, harness.now);
     harness.advance(100 * MS);
     let last = harness.log.iter().rev().find_map(|a| sent_to(std::slice::from_ref(a)));
-    assert_eq!(last, Some(7), "sent to the primary once it is heard");
+    assert_eq!(last, Some(7), "sent to the primary once it is known");
 }
 
 /// Guards against a primary that refuses connections at once and uses up all of a write's attempts.
--- a/tests/policy/probing.rs
+++ b/tests/policy/probing.rs
@@ -11,10 +11,10 @@
 /// names the primary: members take only so many probes.
 #[test]
 fn a_new_router_probes_at_the_usual_rate_where_the_list_names_a_primary() {
-    let [told, untold] = [true, false].map(|primary_hint| {
+    let [hinted, unhinted] = [true, false].map(|primary_hint| {
         let mut harness = RouterHarness::new(settings(), 4);
-        let hinted = EndpointEntry { primary_hint, ..endpoint_entry(1) };
-        harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![hinted] });
+        let primary = EndpointEntry { primary_hint, ..endpoint_entry(1) };
+        harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![primary] });
         for _ in 0..100 {
             // Probes time out: nothing is learnt of roles.
             harness.advance(100 * MS);
@@ -26,13 +26,13 @@
         }
         probe_count(&harness)
     });
-    assert!(told > 0 && told * 2 < untold, "{told} probes, {untold} where the list names none");
+    assert!(hinted > 0 && hinted * 2 < unhinted, "{hinted} probes, {unhinted} where the list names none");
 }
 
 /// Guards against probes of members whose answers tell the same.
 #[test]
 fn an_endpoint_whose_answers_tell_its_position_is_not_probed() {
-    let [told, untold] = [true, false].map(|tells| {
+    let [with_position, without] = [true, false].map(|tells| {
         let mut harness = RouterHarness::with_known_roles(settings(), 2);
         for id in 1..200 {
             harness.advance(50 * MS);
@@ -51,5 +51,8 @@
         }
         probe_count(&harness)
     });
-    assert!(told * 3 < untold * 2, "{told} probes, {untold} where answers tell no position");
+    assert!(
+        with_position * 3 < without * 2,
+        "{with_position} probes, {without} where answers tell no position"
+    );
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -35,7 +35,7 @@
 #[test]
 fn an_endpoint_warming_up_is_not_overloaded_by_many_routers_together() {
     let warm = reads_sent_by_many(|_| {}, 3);
-    let cold = reads_sent_by_many(
+    let warming_up = reads_sent_by_many(
         |harness| {
             let started = EndpointEntry { started_at: harness.now, ..endpoint_entry(3) };
             harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![started] });
@@ -43,7 +43,7 @@
         3,
     );
     assert!(warm > 250, "{warm} sent to it warm");
-    assert!(cold > 0 && cold < warm / 4, "{cold} sent to it cold, {warm} warm");
+    assert!(warming_up > 0 && warming_up < warm / 4, "{warming_up} sent to it warming up, {warm} warm");
 }
 
 /// The list says that this member has just started, and whether it is the primary.
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_primary_warming_up_is_not_overloaded_by_the_writes_of_many_routers() {
-    // All members together serve 250 at first, 83 each; the settings allow a cold one twice its part of that.
+    // All members together serve 250 at first, 83 each; the settings allow one that warms up twice its part of that.
     let writes = sends_by_many(|harness| restart_in_list(harness, 1, true), 1, AT_MOST_ONCE);
     assert!((50..250).contains(&writes), "{writes} writes in 1.6 s");
 }
@@ -134,7 +134,7 @@
     assert!(back < warm / 4, "{back} sent after it came back, {warm} usually");
 }
 
-/// Guards against a router that starts in front of cold members only and sends them nothing for ever.
+/// Guards against a router that starts with endpoints that warm up only and sends them nothing for ever.
 #[test]
 fn a_router_that_has_just_started_uses_endpoints_warming_up() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
@@ -149,8 +149,8 @@
 #[test]
 fn an_endpoint_warming_up_gets_no_more_than_its_share() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
-    let cold = EndpointEntry { started_at: harness.now, ..endpoint_entry(4) };
-    harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![cold] });
+    let restarted = EndpointEntry { started_at: harness.now, ..endpoint_entry(4) };
+    harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![restarted] });
     let mut counts = BTreeMap::new();
     for id in 1..=600 {
         harness.advance(5 * MS);
@@ -160,6 +160,6 @@
             harness.end_attempt(id, 0, to, Outcome::Ok, Some(Role::Replica));
         }
     }
-    let cold = counts.get(&4).copied().unwrap_or(0);
-    assert!(cold >= 1 && cold * 3 < counts[&2], "{counts:?}");
+    let to_restarted = counts.get(&4).copied().unwrap_or(0);
+    assert!(to_restarted >= 1 && to_restarted * 3 < counts[&2], "{counts:?}");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const CONF: &str = r#"{"request_classes": [{"aim_us": 200000, "deadline_us": 800000, "effect": "safe", "credit": 1.0}],
+const SETTINGS: &str = r#"{"request_classes": [{"aim_us": 200000, "deadline_us": 800000, "effect": "safe", "credit": 1.0}],
  "family_info": {"when_behind": "hold", "freshness": ["loose"], "counted_from_us": 1000, "what_is_this": [1]},
  "limits": {"max_attempts": 4, "probes": true}, "contract": {"cold_from": 0.2, "cold_us": 1000000,
  "fall_multiple": 2.0, "fall_us": 1000000}, "new_key": {"a": null}}"#;
@@ -19,12 +19,12 @@
     out
 }
 
-fn enlist(conf: &str) -> Vec<u8> {
-    let n = (conf.len() as u32).to_be_bytes();
-    record(16, &[&3u32.to_be_bytes(), &7u64.to_be_bytes(), &n, conf.as_bytes()])
+fn enlist_record(settings: &str) -> Vec<u8> {
+    let n = (settings.len() as u32).to_be_bytes();
+    record(16, &[&3u32.to_be_bytes(), &7u64.to_be_bytes(), &n, settings.as_bytes()])
 }
 
-fn list() -> Vec<u8> {
+fn list_records() -> Vec<u8> {
     let mut row = vec![1, 0];
     row.extend(1f32.to_be_bytes());
     row.extend(11u16.to_be_bytes());
@@ -35,7 +35,7 @@
     [table, record(25, &[&3u32.to_be_bytes(), &[2], &41u64.to_be_bytes(), &[0]])].concat()
 }
 
-fn request() -> Vec<u8> {
+fn request_record() -> Vec<u8> {
     let id = 0x5d3a_91c4u32;
     record(
         23,
@@ -52,7 +52,7 @@
     )
 }
 
-fn frame(count: u32, body: &[u8]) -> Vec<u8> {
+fn batch(count: u32, body: &[u8]) -> Vec<u8> {
     let mut out = (body.len() as u32).to_be_bytes().to_vec();
     out.extend(count.to_be_bytes());
     out.extend(8_412_250u64.to_be_bytes());
@@ -60,7 +60,7 @@
     out
 }
 
-fn run(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_liftrelay-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -74,7 +74,7 @@
 #[test]
 fn a_request_becomes_a_send_with_its_id_unchanged() {
     let mut host = RouterHost::default();
-    let body = [enlist(CONF), list(), request()].concat();
+    let body = [enlist_record(SETTINGS), list_records(), request_record()].concat();
     let reply = host.handle_batch(8_412_250, 4, &body).unwrap();
     let wanted = [16, 0, 0, 0, 18, 0, 0, 0, 3, 0x5d, 0x3a, 0x91, 0xc4, 10, 18, 74, 7, 27, 91];
     assert!(reply.windows(wanted.len()).any(|w| w == wanted), "{reply:x?}");
@@ -83,7 +83,7 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    let out = run(&frame(0, &[]));
+    let out = run_adapter(&batch(0, &[]));
     assert!(out.status.success());
     assert_eq!(out.stdout, [0, 0, 0, 0]);
 }
@@ -91,7 +91,7 @@
 #[test]
 fn unknown_records_and_instances_are_named_and_skipped() {
     let body = [record(99, &[&[1, 2, 3]]), record(17, &[&5u32.to_be_bytes(), &0u32.to_be_bytes()])].concat();
-    let out = run(&frame(2, &body));
+    let out = run_adapter(&batch(2, &body));
     assert!(out.status.success());
     assert_eq!(out.stdout, [0, 0, 0, 0]);
     let text = String::from_utf8(out.stderr).unwrap();
@@ -102,30 +102,33 @@
 fn a_stopped_instance_gets_no_more_events() {
     let mut host = RouterHost::default();
     let stop = record(26, &[&3u32.to_be_bytes()]);
-    let body = [enlist(CONF), list(), stop, request()].concat();
+    let body = [enlist_record(SETTINGS), list_records(), stop, request_record()].concat();
     host.handle_batch(1, 5, &body).unwrap();
     assert_eq!(host.warnings.len(), 1);
 }
 
 #[test]
 fn malformed_input_ends_with_one_message_and_no_half_reply() {
-    let good = [enlist(CONF), list(), request()].concat();
-    let mut cut_record = request();
+    let good = [enlist_record(SETTINGS), list_records(), request_record()].concat();
+    let mut cut_record = request_record();
     cut_record.truncate(20);
     cut_record[1..5].copy_from_slice(&15u32.to_be_bytes());
     let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("half a header", frame(0, &[])[..9].to_vec()),
-        ("half a body", frame(4, &good)[..60].to_vec()),
-        ("a record that is too short", frame(4, &[enlist(CONF), list(), cut_record].concat())),
-        ("a record longer than the frame", frame(1, &[17, 0, 0, 1, 0, 0])),
-        ("fewer records than stated", frame(9, &good)),
-        ("more bytes than records", frame(3, &good)),
-        ("settings that are no JSON", frame(1, &enlist("{"))),
-        ("settings without classes", frame(1, &enlist("{}"))),
-        ("an effect that is unknown", frame(1, &enlist(&CONF.replace("\"safe\"", "\"odd\"")))),
+        ("half a header", batch(0, &[])[..9].to_vec()),
+        ("half a body", batch(4, &good)[..60].to_vec()),
+        (
+            "a record that is too short",
+            batch(4, &[enlist_record(SETTINGS), list_records(), cut_record].concat()),
+        ),
+        ("a record longer than the frame", batch(1, &[17, 0, 0, 1, 0, 0])),
+        ("fewer records than stated", batch(9, &good)),
+        ("more bytes than records", batch(3, &good)),
+        ("settings that are no JSON", batch(1, &enlist_record("{"))),
+        ("settings without classes", batch(1, &enlist_record("{}"))),
+        ("an effect that is unknown", batch(1, &enlist_record(&SETTINGS.replace("\"safe\"", "\"odd\"")))),
     ];
     for (what, input) in cases {
-        let out = run(&input);
+        let out = run_adapter(&input);
         assert!(!out.status.success(), "{what}");
         assert!(out.stdout.is_empty(), "{what}: {:?}", out.stdout);
         let text = String::from_utf8(out.stderr).unwrap();
