--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -4,7 +4,6 @@
 
 mod http;
 
-use super::{Message, Messages};
 use crate::Settings;
 use crate::core::Counters;
 use crate::threads::spawn;
@@ -49,22 +48,29 @@
     Counters(Counters),
 }
 
-/// Where the event loop sends its answer.
-pub type ResponseSender = Sender<AdminResponse>;
+/// A request on its way to the event loop.
+pub struct AdminCall {
+    /// What is asked.
+    pub request: AdminRequest,
+    /// Where the answer goes.
+    pub respond_to: Sender<AdminResponse>,
+}
+
+/// The event loop has not taken a call in time, or has ended.
+pub struct LoopUnavailable;
+
+/// Hands calls to the event loop; waits for room for this long at most.
+pub type CallSink = Arc<dyn Fn(AdminCall, Duration) -> Result<(), LoopUnavailable> + Send + Sync>;
 
 /// Starts listening; returns the address that is bound.
-pub fn listen(
-    address: SocketAddr,
-    settings: Arc<Settings>,
-    messages: Messages,
-) -> std::io::Result<SocketAddr> {
+pub fn listen(address: SocketAddr, settings: Arc<Settings>, calls: CallSink) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind(address)?;
     let bound = listener.local_addr()?;
-    spawn("ops", move || accept_connections(&listener, &settings, &messages))?;
+    spawn("ops", move || accept_connections(&listener, &settings, &calls))?;
     Ok(bound)
 }
 
-fn accept_connections(listener: &TcpListener, settings: &Arc<Settings>, messages: &Messages) -> ! {
+fn accept_connections(listener: &TcpListener, settings: &Arc<Settings>, calls: &CallSink) -> ! {
     let open_connections = Arc::new(AtomicUsize::new(0));
     loop {
         let Ok((stream, _)) = listener.accept() else {
@@ -79,11 +85,11 @@
             continue;
         }
         let settings = settings.clone();
-        let messages = messages.clone();
+        let calls = calls.clone();
         // Without a thread, the connection and its slot are dropped.
         let _ = spawn("caller", move || {
             let _slot = slot;
-            serve_connection(&stream, &settings, &messages);
+            serve_connection(&stream, &settings, &calls);
         });
     }
 }
@@ -97,9 +103,9 @@
     }
 }
 
-fn serve_connection(mut stream: &TcpStream, settings: &Settings, messages: &Messages) {
+fn serve_connection(mut stream: &TcpStream, settings: &Settings, calls: &CallSink) {
     let response = match read_request(stream) {
-        Ok(request) => ask_event_loop(request, settings, messages),
+        Ok(request) => ask_event_loop(request, settings, calls),
         Err(error) => HttpResponse::from(error),
     };
     let _ = write_response(stream, &response);
@@ -132,10 +138,11 @@
     }
 }
 
-fn ask_event_loop(request: AdminRequest, settings: &Settings, messages: &Messages) -> HttpResponse {
+fn ask_event_loop(request: AdminRequest, settings: &Settings, calls: &CallSink) -> HttpResponse {
     let (sender, receiver) = bounded(1);
     let deadline = Instant::now() + LOOP_TIMEOUT;
-    let sent = messages.send_timeout(Message::Admin(request, sender), LOOP_TIMEOUT).is_ok();
+    let call = AdminCall { request, respond_to: sender };
+    let sent = calls(call, LOOP_TIMEOUT).is_ok();
     let left = deadline.saturating_duration_since(Instant::now());
     match sent.then(|| receiver.recv_timeout(left)) {
         Some(Ok(AdminResponse::Answer(true))) => HttpResponse::new(Status::Ok, "yes\n"),
--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -2,28 +2,24 @@
 //! where it turns out to be dead.
 
 use super::connect::{OpenConnection, connect};
+use super::events::{MemberEvent, MemberEvents};
 use super::job::{AssignedJob, JobExecution, JobReply};
 use super::liveness::answers_empty_query;
 use crate::Outcome;
 use crate::core::{ConnectionId, Input};
-use crate::exchange::{MemberRequest, MemberResponse};
 use crate::extended::PreparedStatementCache;
-use crate::net::{Message, Messages};
 use crate::sockets::closed_by_peer;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What the event loop is told of a connection and its jobs.
-pub(super) type Event = Input<MemberRequest, MemberResponse>;
-
 /// A connection to a member, opened or to be opened.
 pub(super) struct MemberConnection {
     link: ConnectionId,
     address: SocketAddr,
     /// For opening the connection, and for a liveness check.
     connect_timeout: Duration,
-    messages: Messages,
+    events: MemberEvents,
     /// The present socket, for whoever cuts the connection.
     cut_target: Mutex<Option<Arc<TcpStream>>>,
     /// The state of the connection while no job is under way; a job takes it. `None` also once it has ended.
@@ -59,13 +55,13 @@
         link: ConnectionId,
         address: SocketAddr,
         connect_timeout: Duration,
-        messages: Messages,
+        events: MemberEvents,
     ) -> MemberConnection {
         MemberConnection {
             link,
             address,
             connect_timeout,
-            messages,
+            events,
             cut_target: Mutex::new(None),
             idle_state: Mutex::new(Some(ConnectionState::default())),
         }
@@ -79,7 +75,7 @@
     }
 
     /// Runs a job; what the event loop is to be told.
-    pub(super) fn run_job(&self, job: AssignedJob) -> Vec<Event> {
+    pub(super) fn run_job(&self, job: AssignedJob) -> Vec<MemberEvent> {
         let state = self.idle_state().take();
         let mut events = Vec::new();
         if let Some(state) = state.and_then(|state| self.run_job_with(state, &job, &mut events)) {
@@ -92,8 +88,8 @@
     }
 
     /// Tells the event loop.
-    pub(super) fn notify(&self, event: Event) {
-        let _ = self.messages.send(Message::Core(event));
+    pub(super) fn notify(&self, event: MemberEvent) {
+        self.events.send(event);
     }
 
     fn cut_target(&self) -> MutexGuard<'_, Option<Arc<TcpStream>>> {
@@ -109,7 +105,7 @@
         &self,
         mut state: ConnectionState,
         job: &AssignedJob,
-        events: &mut Vec<Event>,
+        events: &mut Vec<MemberEvent>,
     ) -> Option<ConnectionState> {
         if job.state.is_withdrawn() {
             events.push(Input::ConnectionIdle(self.link));
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -3,6 +3,7 @@
 
 mod connect;
 mod connection;
+mod events;
 mod extended_query;
 mod job;
 mod job_state;
@@ -12,9 +13,9 @@
 mod simple_query;
 mod worker_pool;
 
+pub use events::MemberEvents;
 pub use worker_pool::WorkerPool;
 
-use super::Messages;
 use crate::core::{ConnectionId, JobId, JobSpec};
 use crate::exchange::MemberRequest;
 use connection::MemberConnection;
@@ -53,10 +54,10 @@
         link: ConnectionId,
         address: SocketAddr,
         connect_timeout: Duration,
-        messages: Messages,
+        events: MemberEvents,
         workers: &WorkerPool,
     ) -> MemberHandle {
-        let connection = MemberConnection::new(link, address, connect_timeout, messages);
+        let connection = MemberConnection::new(link, address, connect_timeout, events);
         MemberHandle {
             connection: Arc::new(connection),
             workers: workers.clone(),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -20,11 +20,11 @@
 use crate::front::{ConnectionManager, FrontEffect, RequestRegistry, ServiceState};
 use crate::store::{Change, State, Store, StoreConfig};
 use crate::{Micros, Settings, clock};
-use admin::{AdminRequest, AdminResponse};
+use admin::{AdminCall, AdminRequest, AdminResponse, CallSink, LoopUnavailable};
 use clock::Clock;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use discovery::{EventSink, ReceiverClosed, Watch, WatchEvent};
-use member::Withdrawal;
+use member::{MemberEvents, Withdrawal};
 use std::collections::HashMap;
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -84,7 +84,7 @@
     /// From a reader of the extended front.
     Extended(ClientId, ClientEvent<ClientBatch>),
     /// An operator's request.
-    Admin(AdminRequest, admin::ResponseSender),
+    Admin(AdminCall),
     /// SIGTERM or SIGINT.
     Terminate,
     /// Nothing is read from clients any more, and all that was read before has been handed over.
@@ -147,6 +147,10 @@
         ender,
         written,
         workers: member::WorkerPool::default(),
+        member_events: {
+            let messages = messages.clone();
+            MemberEvents::new(move |event| drop(messages.send(Message::Core(event))))
+        },
         links: HashMap::new(),
         clients: HashMap::new(),
         most_clients: budget - budget / 2,
@@ -171,7 +175,7 @@
     let known = Input::EndpointUpdate { full: true, members: config.known_endpoints.members() };
     host.core(clock.now(), known);
     if let Some(at) = config.admin_listen {
-        let at = admin::listen(at, host.settings.clone(), messages.clone())?;
+        let at = admin::listen(at, host.settings.clone(), call_sink(messages.clone()))?;
         tracing::info!(ops = %at, "admin listener started");
     }
     signals(messages.clone())?;
@@ -190,6 +194,13 @@
     Box::new(move |event| messages.send(Message::Discovery(event)).map_err(|_| ReceiverClosed))
 }
 
+/// Sends what the admin listener is asked to the loop.
+fn call_sink(messages: Messages) -> CallSink {
+    Arc::new(move |call, timeout| {
+        messages.send_timeout(Message::Admin(call), timeout).map_err(|_| LoopUnavailable)
+    })
+}
+
 fn signals(messages: Messages) -> std::io::Result<()> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])?;
@@ -215,6 +226,7 @@
     ender: client::Ender,
     written: Receiver<()>,
     workers: member::WorkerPool,
+    member_events: MemberEvents,
     links: HashMap<ConnectionId, member::MemberHandle>,
     clients: HashMap<ClientId, client::Handle>,
     most_clients: usize,
@@ -374,7 +386,7 @@
                 let outs = self.platform.said(&mut self.desk, now, id, said);
                 self.carry_out(now, outs);
             }
-            Message::Admin(request, reply) => {
+            Message::Admin(AdminCall { request, respond_to }) => {
                 let response = match request {
                     AdminRequest::Ready => AdminResponse::Answer(self.ready_at.is_none()),
                     AdminRequest::Counters => AdminResponse::Counters(self.core.counters()),
@@ -390,7 +402,7 @@
                     }
                 };
                 // The caller may have gone.
-                let _ = reply.try_send(response);
+                let _ = respond_to.try_send(response);
             }
             Message::Terminate => {
                 if self.ending.is_none() {
@@ -539,8 +551,8 @@
             match effect {
                 Effect::OpenConnection { connection: link, address } => {
                     let dial = Duration::from_micros(self.settings.connect_timeout);
-                    let messages = self.messages.clone();
-                    let handle = member::MemberHandle::new(link, address, dial, messages, &self.workers);
+                    let events = self.member_events.clone();
+                    let handle = member::MemberHandle::new(link, address, dial, events, &self.workers);
                     self.links.insert(link, handle);
                 }
                 Effect::StartJob { connection: link, job, spec: what } => {
