--- a/src/net/member/load_report.rs
+++ b/src/net/member/load_report.rs
@@ -3,9 +3,9 @@
 #[cfg(test)]
 mod tests;
 
+use crate::clock::from_unix_ms;
 use crate::core::JobResult;
 use crate::exchange::MemberResponse;
-use crate::net::clock::from_unix_ms;
 use crate::pg::message_tags::backend;
 use crate::pg::{self, statement};
 use crate::{LoadReport, Micros, Outcome, ResponseMetadata, Role};
--- a/src/net/member/worker_pool.rs
+++ b/src/net/member/worker_pool.rs
@@ -1,7 +1,7 @@
 //! The threads that run jobs on member connections, one job at a time each.
 
 use super::job::AssignedJob;
-use crate::net::spawn;
+use crate::threads::spawn;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
--- /dev/null
+++ b/src/server/event_loop.rs
@@ -0,0 +1,83 @@
+//! The event loop: it waits for the next message or time, and handles it.
+
+use super::{Message, Server};
+use crate::Micros;
+use crate::core::Input;
+use crossbeam_channel::{Receiver, RecvError, RecvTimeoutError};
+
+impl Server {
+    /// Runs until the shutdown is complete.
+    pub(super) fn run(&mut self, inbox: &Receiver<Message>) {
+        while let Ok(message) = self.next_message(inbox) {
+            let now = self.clock.now();
+            if let Some(message) = message {
+                self.handle_message(now, message);
+            }
+            self.handle_due_times(now);
+            if self.advance_shutdown(now).is_break() {
+                return;
+            }
+        }
+    }
+
+    /// Waits for a message; `None` if something else is due first.
+    fn next_message(&self, inbox: &Receiver<Message>) -> Result<Option<Message>, RecvError> {
+        let Some(due_at) = self.next_due_at() else {
+            return inbox.recv().map(Some);
+        };
+        if due_at <= self.clock.now() {
+            return Ok(inbox.try_recv().ok());
+        }
+        match inbox.recv_deadline(self.clock.instant(due_at)) {
+            Ok(message) => Ok(Some(message)),
+            Err(RecvTimeoutError::Timeout) => Ok(None),
+            Err(RecvTimeoutError::Disconnected) => Err(RecvError),
+        }
+    }
+
+    /// When something is due without a message.
+    fn next_due_at(&self) -> Option<Micros> {
+        let idle_close_at = self.next_idle_close().map(|(close_at, _)| close_at);
+        let shutdown_check_at = self.shutdown.next_check_at(self.clock.now());
+        let times =
+            [self.reducer.next_timer_at(), self.ready_at, self.drain_at, idle_close_at, shutdown_check_at];
+        times.into_iter().flatten().min()
+    }
+
+    fn handle_due_times(&mut self, now: Micros) {
+        if self.reducer.next_timer_at().is_some_and(|timer_at| timer_at <= now) {
+            self.step_reducer(now, Input::TimerDue);
+        }
+        if self.ready_at.is_some_and(|ready_at| ready_at <= now) {
+            self.become_ready(now);
+        }
+        self.close_kept_connections(now);
+        self.drain_if_due(now);
+    }
+
+    fn handle_message(&mut self, now: Micros, message: Message) {
+        match message {
+            Message::Core(input) => {
+                if let Input::ConnectionClosed(connection) = &input {
+                    self.member_connections.remove(connection);
+                }
+                self.step_reducer(now, input);
+            }
+            Message::Discovery(event) => self.handle_watch_event(now, event),
+            Message::Reload(config) => self.reload(*config),
+            Message::Stored(list) => self.handle_stored_list(now, &list),
+            Message::Accepted(id, handle) => self.accept_client(now, id, handle),
+            Message::Client(id, event) => {
+                let effects = self.fronts.handle_platform_event(now, id, event);
+                self.apply_front_effects(now, effects);
+            }
+            Message::Extended(id, event) => {
+                let effects = self.fronts.handle_extended_event(now, id, event);
+                self.apply_front_effects(now, effects);
+            }
+            Message::Admin(call) => self.handle_admin_call(now, call),
+            Message::Terminate => self.request_shutdown(now),
+            Message::Stopped => self.shutdown.reading_stopped(),
+        }
+    }
+}
--- /dev/null
+++ b/src/server/fronts.rs
@@ -0,0 +1,152 @@
+//! Both fronts and the requests that they share.
+
+use crate::client::{ClientBatch, ClientEvent, ClientId, SimpleQuery};
+use crate::core::FinalAnswer;
+use crate::exchange::MemberResponse;
+use crate::front::platform::Platform;
+use crate::front::postgres::Postgres;
+use crate::front::{ConnectionManager, FrontEffect, RequestRegistry, ServiceState};
+use crate::{Micros, RequestId};
+
+/// Connections that have sent a request and are kept open.
+pub(super) struct KeptConnections {
+    /// How many there are.
+    pub(super) count: usize,
+    /// The one that has been idle longest, with the time from which it may be closed.
+    pub(super) longest_idle: Option<(Micros, ClientId)>,
+}
+
+/// The front of the platform and, where there is one, the extended front.
+pub(super) struct Fronts {
+    platform: ConnectionManager<Platform>,
+    postgres: Option<ConnectionManager<Postgres>>,
+    requests: RequestRegistry,
+}
+
+impl Fronts {
+    /// Fronts without connections. In each, so many bytes of replies may wait for those of earlier commands.
+    pub(super) fn new(postgres: Option<Postgres>, max_reordered_bytes: usize) -> Self {
+        Fronts {
+            platform: ConnectionManager::new(Platform, max_reordered_bytes),
+            postgres: postgres.map(|postgres| ConnectionManager::new(postgres, max_reordered_bytes)),
+            requests: RequestRegistry::default(),
+        }
+    }
+
+    /// Handles an event of a client of the platform's front.
+    pub(super) fn handle_platform_event(
+        &mut self,
+        now: Micros,
+        client: ClientId,
+        event: ClientEvent<SimpleQuery>,
+    ) -> Vec<FrontEffect> {
+        self.platform.said(&mut self.requests, now, client, event)
+    }
+
+    /// Handles an event of a client of the extended front.
+    pub(super) fn handle_extended_event(
+        &mut self,
+        now: Micros,
+        client: ClientId,
+        event: ClientEvent<ClientBatch>,
+    ) -> Vec<FrontEffect> {
+        match &mut self.postgres {
+            Some(postgres) => postgres.said(&mut self.requests, now, client, event),
+            None => Vec::new(),
+        }
+    }
+
+    /// Registers a new client.
+    pub(super) fn connect(
+        &mut self,
+        now: Micros,
+        client: ClientId,
+        extended: bool,
+        secret: u32,
+    ) -> Vec<FrontEffect> {
+        match &mut self.postgres {
+            Some(postgres) if extended => {
+                postgres.said(&mut self.requests, now, client, ClientEvent::Connected { secret })
+            }
+            _ => self.platform.said(&mut self.requests, now, client, ClientEvent::Connected { secret }),
+        }
+    }
+
+    /// Ends a request; the client that sent it, unless it has been ended before.
+    pub(super) fn close_request(&mut self, request: RequestId) -> Option<ClientId> {
+        self.requests.close(request)
+    }
+
+    /// Gives a client the final answer to its request.
+    pub(super) fn answer(
+        &mut self,
+        now: Micros,
+        client: ClientId,
+        extended: bool,
+        request: RequestId,
+        answer: FinalAnswer<MemberResponse>,
+    ) -> Vec<FrontEffect> {
+        match &mut self.postgres {
+            Some(postgres) if extended => postgres.answer(&mut self.requests, now, client, request, answer),
+            _ => self.platform.answer(&mut self.requests, now, client, request, answer),
+        }
+    }
+
+    /// Sets whether the proxy serves: commands that waited for that go on.
+    pub(super) fn set_service_state(&mut self, now: Micros, state: ServiceState) -> Vec<FrontEffect> {
+        let mut effects = self.platform.serve(state, &mut self.requests, now);
+        if let Some(postgres) = &mut self.postgres {
+            effects.extend(postgres.serve(state, &mut self.requests, now));
+        }
+        effects
+    }
+
+    /// From now on, connections are closed between requests.
+    pub(super) fn close_idle_connections(&mut self) -> Vec<FrontEffect> {
+        let mut effects = self.platform.close();
+        if let Some(postgres) = &mut self.postgres {
+            effects.extend(postgres.close());
+        }
+        effects
+    }
+
+    /// How many connections are open.
+    pub(super) fn open_connections(&self) -> usize {
+        self.platform.open() + self.postgres.as_ref().map_or(0, ConnectionManager::open)
+    }
+
+    /// The connection that can best be closed to make room for another.
+    pub(super) fn eviction_candidate(&self, now: Micros) -> Option<ClientId> {
+        let of_platform = self.platform.idlest(now);
+        let of_postgres = self.postgres.as_ref().and_then(|postgres| postgres.idlest(now));
+        let (.., client) = of_platform.max(of_postgres)?;
+        Some(client)
+    }
+
+    /// The connections that clients keep open between requests.
+    pub(super) fn kept_connections(&self) -> KeptConnections {
+        let (of_platform, longest_in_platform) = self.platform.kept();
+        let (of_postgres, longest_in_postgres) =
+            self.postgres.as_ref().map_or((0, None), ConnectionManager::kept);
+        KeptConnections {
+            count: of_platform + of_postgres,
+            longest_idle: longest_in_platform.into_iter().chain(longest_in_postgres).min(),
+        }
+    }
+
+    /// A command of this client is on its way: its connection is not idle.
+    pub(super) fn touch(&mut self, now: Micros, client: ClientId) {
+        self.platform.stirs(now, client);
+        if let Some(postgres) = &mut self.postgres {
+            postgres.stirs(now, client);
+        }
+    }
+
+    /// Removes a client whose connection has been closed between requests.
+    pub(super) fn remove(&mut self, client: ClientId) {
+        self.platform.forget(client);
+        if let Some(postgres) = &mut self.postgres {
+            postgres.forget(client);
+        }
+    }
+}
--- /dev/null
+++ b/src/server/messages.rs
@@ -0,0 +1,38 @@
+//! The messages that the event loop handles.
+
+use crate::client::{ClientBatch, ClientEvent, ClientId, SimpleQuery};
+use crate::config::{Config, ConfigError};
+use crate::core::Input;
+use crate::endpoint_list::EndpointList;
+use crate::exchange::{MemberRequest, MemberResponse};
+use crate::net::admin::AdminCall;
+use crate::net::client;
+use crate::net::discovery::WatchEvent;
+use crossbeam_channel::Sender;
+
+/// A message to the event loop.
+pub enum Message {
+    /// An input of the reducer.
+    Core(Input<MemberRequest, MemberResponse>),
+    /// An update of the endpoint list.
+    Discovery(WatchEvent),
+    /// SIGHUP: the configuration as the file has it now, or why it can't be used.
+    Reload(Box<Result<Config, ConfigError>>),
+    /// The endpoint list as the store had it when this proxy last ran.
+    Stored(EndpointList),
+    /// A new connection of a client.
+    Accepted(ClientId, client::Handle),
+    /// An event of a client of the platform's front.
+    Client(ClientId, ClientEvent<SimpleQuery>),
+    /// An event of a client of the extended front.
+    Extended(ClientId, ClientEvent<ClientBatch>),
+    /// An operator's request.
+    Admin(AdminCall),
+    /// SIGTERM or SIGINT.
+    Terminate,
+    /// Nothing is read from clients any more, and all that was read before has been sent.
+    Stopped,
+}
+
+/// Where messages to the event loop are sent.
+pub type Messages = Sender<Message>;
--- /dev/null
+++ b/src/server/mod.rs
@@ -0,0 +1,64 @@
+//! The server: one event loop that feeds the reducer and the fronts, and carries out what they ask for. The
+//! loop itself never blocks on a socket; the threads in [`crate::net`] do.
+
+mod clients;
+mod descriptor_budget;
+mod endpoint_watch;
+mod event_loop;
+mod fronts;
+mod messages;
+mod reducer_effects;
+mod service;
+mod shutdown;
+mod signals;
+mod startup;
+
+pub use messages::{Message, Messages};
+pub use startup::serve;
+
+use crate::client::ClientId;
+use crate::clock::Clock;
+use crate::core::{ConnectionId, Core};
+use crate::exchange::{MemberRequest, MemberResponse};
+use crate::net::client;
+use crate::net::member::{MemberEvents, MemberHandle, WorkerPool};
+use crate::store::Store;
+use crate::{Micros, Settings};
+use crossbeam_channel::Receiver;
+use endpoint_watch::EndpointWatches;
+use fronts::Fronts;
+use shutdown::Shutdown;
+use std::collections::HashMap;
+use std::sync::Arc;
+
+/// The target of the server's log lines. Its last part is the message id in syslog, which collectors filter
+/// by: it stays as it is wherever the code moves.
+const LOG_TARGET: &str = "liftrelay::net";
+
+/// The state of the event loop.
+struct Server {
+    clock: Clock,
+    reducer: Core<MemberRequest, MemberResponse>,
+    fronts: Fronts,
+    settings: Arc<Settings>,
+    store: Store,
+    /// For those who send messages to this loop.
+    messages: Messages,
+    client_reactor: client::Ender,
+    /// Disconnected once the last connection of a client has gone.
+    clients_closed: Receiver<()>,
+    workers: WorkerPool,
+    member_events: MemberEvents,
+    member_connections: HashMap<ConnectionId, MemberHandle>,
+    clients: HashMap<ClientId, client::Handle>,
+    max_clients: usize,
+    /// Descriptors that the process may hold.
+    max_descriptors: usize,
+    seed: u64,
+    endpoint_watches: EndpointWatches,
+    /// When the proxy is ready without an endpoint update; `None` once it is ready.
+    ready_at: Option<Micros>,
+    /// Out of service: connections are closed between requests from then on.
+    drain_at: Option<Micros>,
+    shutdown: Shutdown,
+}
--- /dev/null
+++ b/src/server/reducer_effects.rs
@@ -0,0 +1,93 @@
+//! Steps of the reducer, and the effects that it asks for.
+
+use super::{LOG_TARGET, Server};
+use crate::core::{ConnectionId, Effect, FinalAnswer, Input, JobId, JobResult, JobSpec};
+use crate::exchange::{MemberRequest, MemberResponse};
+use crate::net::member::{MemberHandle, Withdrawal};
+use crate::{Micros, Outcome, RequestId};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+impl Server {
+    /// One step of the reducer, and all that follows from it.
+    pub(super) fn step_reducer(&mut self, now: Micros, input: Input<MemberRequest, MemberResponse>) {
+        for effect in self.reducer.step(now, input) {
+            self.apply_reducer_effect(now, effect);
+        }
+    }
+
+    fn apply_reducer_effect(&mut self, now: Micros, effect: Effect<MemberRequest, MemberResponse>) {
+        match effect {
+            Effect::OpenConnection { connection, address } => self.open_connection(connection, address),
+            Effect::StartJob { connection, job, spec } => self.start_job(now, connection, job, spec),
+            Effect::CancelJob { connection, job } => self.cancel_job(now, connection, job),
+            Effect::CancelUnsentJob { connection, job } => self.cancel_unsent_job(now, connection, job),
+            Effect::CloseConnection(connection) => self.close_member_connection(now, connection),
+            Effect::Answer { request, answer } => self.answer_request(now, request, answer),
+            Effect::Log(text) => tracing::info!(target: LOG_TARGET, "{text}"),
+        }
+    }
+
+    fn open_connection(&mut self, connection: ConnectionId, address: SocketAddr) {
+        let connect_timeout = Duration::from_micros(self.settings.connect_timeout);
+        let events = self.member_events.clone();
+        let handle = MemberHandle::new(connection, address, connect_timeout, events, &self.workers);
+        self.member_connections.insert(connection, handle);
+    }
+
+    fn start_job(&mut self, now: Micros, connection: ConnectionId, job: JobId, spec: JobSpec<MemberRequest>) {
+        let handle = self.member_connections.get_mut(&connection);
+        if handle.is_some_and(|handle| handle.start_job(job, spec)) {
+            return;
+        }
+        // Guards against taking the proxy's own want of threads for the member's fault.
+        tracing::warn!(target: LOG_TARGET, "no thread for another job");
+        let result = JobResult::from_outcome(Outcome::NeverSent);
+        self.member_connections.remove(&connection);
+        self.step_reducer(now, Input::JobFinished { connection, job, result, reusable: false });
+        self.step_reducer(now, Input::ConnectionClosed(connection));
+    }
+
+    fn cancel_job(&mut self, now: Micros, connection: ConnectionId, job: JobId) {
+        let handle = self.member_connections.get(&connection);
+        let withdrawal = handle.map_or(Withdrawal::CUT, |handle| handle.abandon(job));
+        self.finish_cancellation(now, connection, job, withdrawal);
+    }
+
+    fn cancel_unsent_job(&mut self, now: Micros, connection: ConnectionId, job: JobId) {
+        let handle = self.member_connections.get(&connection);
+        if let Some(withdrawal) = handle.and_then(|handle| handle.withdraw_unsent(job)) {
+            self.finish_cancellation(now, connection, job, withdrawal);
+        }
+    }
+
+    fn finish_cancellation(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        job: JobId,
+        withdrawal: Withdrawal,
+    ) {
+        let Withdrawal { maybe_sent, reusable } = withdrawal;
+        if !reusable {
+            self.member_connections.remove(&connection);
+        }
+        self.step_reducer(now, Input::JobCancelled { job, maybe_sent, reusable });
+    }
+
+    fn close_member_connection(&mut self, now: Micros, connection: ConnectionId) {
+        if let Some(handle) = self.member_connections.remove(&connection) {
+            handle.cut();
+        }
+        // No thread is left with it that could report this.
+        self.step_reducer(now, Input::ConnectionClosed(connection));
+    }
+
+    fn answer_request(&mut self, now: Micros, request: RequestId, answer: FinalAnswer<MemberResponse>) {
+        if let Some(id) = self.fronts.close_request(request) {
+            let extended = self.clients.get(&id).is_some_and(|client| client.extended);
+            let effects = self.fronts.answer(now, id, extended, request, answer);
+            self.apply_front_effects(now, effects);
+        }
+    }
+}
--- /dev/null
+++ b/src/server/service.rs
@@ -0,0 +1,56 @@
+//! Readiness, and the service state that operators set.
+
+use super::{LOG_TARGET, Server};
+use crate::Micros;
+use crate::front::ServiceState;
+use crate::net::admin::{AdminCall, AdminRequest, AdminResponse};
+
+/// Without an endpoint update, the proxy is ready this long after its start.
+pub(super) const MAX_STARTUP_WAIT: Micros = 400_000;
+/// Taken out of service, connections are closed between requests after this: the front layer asks ten times a
+/// second, and goes on sending for 0.2 s after a no.
+const OUT_OF_SERVICE_CLOSE_DELAY: Micros = 1_000_000;
+
+impl Server {
+    /// Handles an operator's request.
+    pub(super) fn handle_admin_call(&mut self, now: Micros, call: AdminCall) {
+        let response = match call.request {
+            AdminRequest::Ready => AdminResponse::Answer(self.ready_at.is_none()),
+            AdminRequest::Counters => AdminResponse::Counters(self.reducer.counters()),
+            AdminRequest::SetInService(in_service) => {
+                self.set_in_service(now, in_service);
+                AdminResponse::Answer(true)
+            }
+        };
+        // The caller may have gone.
+        let _ = call.respond_to.try_send(response);
+    }
+
+    fn set_in_service(&mut self, now: Micros, in_service: bool) {
+        tracing::info!(target: LOG_TARGET, on = in_service, "service state set by an operator");
+        self.drain_at = (!in_service).then_some(now + OUT_OF_SERVICE_CLOSE_DELAY);
+        self.ready_at = None;
+        let state = if in_service { ServiceState::InService } else { ServiceState::OutOfService };
+        self.set_service_state(now, state);
+    }
+
+    /// The proxy can serve, unless it already does or an operator has decided.
+    pub(super) fn become_ready(&mut self, now: Micros) {
+        if self.ready_at.take().is_some() {
+            self.set_service_state(now, ServiceState::InService);
+        }
+    }
+
+    fn set_service_state(&mut self, now: Micros, state: ServiceState) {
+        let effects = self.fronts.set_service_state(now, state);
+        self.apply_front_effects(now, effects);
+    }
+
+    /// Closes connections between requests once the proxy has been out of service long enough.
+    pub(super) fn drain_if_due(&mut self, now: Micros) {
+        if self.drain_at.is_some_and(|drain_at| drain_at <= now) {
+            self.drain_at = None;
+            self.close_idle_connections(now);
+        }
+    }
+}
--- /dev/null
+++ b/src/server/startup.rs
@@ -0,0 +1,145 @@
+//! The start: builds the parts of the server, connects them to the event loop, and runs it.
+
+use super::descriptor_budget::DescriptorBudget;
+use super::endpoint_watch::EndpointWatches;
+use super::fronts::Fronts;
+use super::service::MAX_STARTUP_WAIT;
+use super::shutdown::Shutdown;
+use super::{LOG_TARGET, Message, Messages, Server, signals};
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::core::{Core, Input};
+use crate::front::postgres::{Listen, Postgres};
+use crate::net::admin::{self, CallSink, LoopUnavailable};
+use crate::net::client::{Bounds, Reception};
+use crate::net::member::{MemberEvents, WorkerPool};
+use crate::store::{Change, State, Store, StoreConfig};
+use crate::threads::spawn;
+use crossbeam_channel::bounded;
+use std::collections::HashMap;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::Arc;
+
+/// Messages to the event loop that may wait; whoever sends more waits.
+const MESSAGE_QUEUE_CAPACITY: usize = 1024;
+/// Each buffer that is shared by all clients may hold this fraction of the memory.
+const BUFFER_MEMORY_DIVISOR: usize = 8;
+
+/// Serves until a shutdown is requested; on the extended listener too, where there is one.
+pub fn serve(
+    config: &Config,
+    listener: TcpListener,
+    extended: Option<Listen>,
+    replicas: &StoreConfig,
+) -> std::io::Result<()> {
+    let extended_listener = extended.as_ref().map(|listen| TcpListener::bind(listen.listen)).transpose()?;
+    let clock = Clock::start();
+    let (messages, inbox) = bounded(MESSAGE_QUEUE_CAPACITY);
+    let store = start_store(config, replicas, messages.clone())?;
+    let listen_address = listener.local_addr()?;
+    let extended_address = extended_listener.as_ref().map(TcpListener::local_addr).transpose()?;
+    let mut listeners = vec![(listener, false)];
+    listeners.extend(extended_listener.map(|extended_listener| (extended_listener, true)));
+    let (mut server, client_reactor) =
+        Server::build(config, clock, store, messages.clone(), listeners, extended)?;
+    server.load_configured_state(config);
+    if let Some(address) = config.admin_listen {
+        let address = admin::listen(address, server.settings.clone(), admin_calls(messages.clone()))?;
+        tracing::info!(target: LOG_TARGET, ops = %address, "admin listener started");
+    }
+    signals::start(messages)?;
+    log_addresses(config, listen_address, extended_address);
+    spawn("clients", move || client_reactor.run())?;
+    server.run(&inbox);
+    tracing::info!(target: LOG_TARGET, "ended");
+    Ok(())
+}
+
+/// Starts the store, which sends the endpoint list that it has recovered to the event loop.
+fn start_store(config: &Config, replicas: &StoreConfig, messages: Messages) -> std::io::Result<Store> {
+    let recovered = move |state: State| drop(messages.try_send(Message::Stored(state.members)));
+    Ok(Store::start(replicas, config.seed, recovered)?)
+}
+
+fn log_addresses(config: &Config, listen: SocketAddr, extended: Option<SocketAddr>) {
+    tracing::info!(target: LOG_TARGET, name = config.name, listen = %listen, "serving");
+    if let Some(extended) = extended {
+        tracing::info!(target: LOG_TARGET, listen = %extended, "serving extended queries");
+    }
+}
+
+fn client_bounds(max_connections: usize, buffer_bytes: usize) -> Bounds {
+    Bounds { most: max_connections, unwritten: buffer_bytes, held: buffer_bytes, partial: buffer_bytes }
+}
+
+/// Passes requests of operators to the event loop.
+fn admin_calls(messages: Messages) -> CallSink {
+    Arc::new(move |call, timeout| {
+        messages.send_timeout(Message::Admin(call), timeout).map_err(|_| LoopUnavailable)
+    })
+}
+
+/// Passes events of member connections to the event loop.
+fn member_events(messages: Messages) -> MemberEvents {
+    MemberEvents::new(move |event| drop(messages.send(Message::Core(event))))
+}
+
+impl Server {
+    /// Builds the server and the thread that reads from clients. Each listener comes with whether it is the
+    /// extended one.
+    fn build(
+        config: &Config,
+        clock: Clock,
+        store: Store,
+        messages: Messages,
+        listeners: Vec<(TcpListener, bool)>,
+        extended: Option<Listen>,
+    ) -> std::io::Result<(Server, Reception)> {
+        let inherited_listener = config.listen_fd.is_some();
+        let budget =
+            DescriptorBudget::new(config.max_descriptors, config.admin_listen.is_some(), inherited_listener);
+        let buffer_bytes = config.memory_bytes / BUFFER_MEMORY_DIVISOR;
+        let settings = Arc::new(config.settings.clone());
+        let postgres = extended.map(|listen| Postgres::new(listen, settings.clone())).transpose();
+        let postgres = postgres.map_err(std::io::Error::other)?;
+        let reducer = Core::new(config.settings.clone(), config.seed, clock.now(), budget.member_connections);
+        let (alive, clients_closed) = bounded(0);
+        let bounds = client_bounds(budget.client_connections, buffer_bytes);
+        let (reception, client_reactor) =
+            Reception::new(listeners, bounds, settings.clone(), clock, messages.clone(), alive)?;
+        let server = Server {
+            clock,
+            reducer,
+            fronts: Fronts::new(postgres, buffer_bytes),
+            settings,
+            store,
+            client_reactor,
+            clients_closed,
+            workers: WorkerPool::default(),
+            member_events: member_events(messages.clone()),
+            member_connections: HashMap::new(),
+            clients: HashMap::new(),
+            max_clients: budget.clients,
+            max_descriptors: config.max_descriptors,
+            seed: config.seed,
+            ready_at: Some(clock.now() + MAX_STARTUP_WAIT),
+            endpoint_watches: EndpointWatches::start(
+                config.discovery,
+                config.known_endpoints.revision,
+                config.seed,
+                messages.clone(),
+            )?,
+            drain_at: None,
+            shutdown: Shutdown::new(inherited_listener),
+            messages,
+        };
+        Ok((server, reception))
+    }
+
+    /// Records the configured settings, and takes over the endpoint list as this proxy last had it.
+    fn load_configured_state(&mut self, config: &Config) {
+        self.store.propose(Change::Set("proxy".into(), config.raw_settings.clone()));
+        let members = config.known_endpoints.members();
+        self.step_reducer(self.clock.now(), Input::EndpointUpdate { full: true, members });
+    }
+}
