--- a/src/server/clients.rs
+++ b/src/server/clients.rs
@@ -17,7 +17,7 @@
     /// Admits a new connection, or rejects it where there is no room.
     pub(super) fn accept_client(&mut self, now: Micros, id: ClientId, handle: Handle) {
         if self.clients.len() >= self.max_clients && !self.evict_idle_client(now) {
-            tracing::debug!(target: LOG_TARGET, "no room for another client");
+            tracing::debug!(target: LOG_TARGET, "client rejected: too many connections");
             reject_client(&handle);
             return;
         }
--- a/src/server/endpoint_watch.rs
+++ b/src/server/endpoint_watch.rs
@@ -56,7 +56,7 @@
         let events = event_sink(messages);
         // The members stay as they are until the new address has sent its complete list.
         let watch = Watch::start(self.current.id + 1, address, None, seed, events)?;
-        tracing::info!(target: LOG_TARGET, discovery = %address, "following discovery to another address");
+        tracing::info!(target: LOG_TARGET, discovery = %address, "discovery address changed");
         let replaced = std::mem::replace(&mut self.current, watch);
         // Guards against missing what the old address sends until the new one has sent something. A watch
         // that has not received anything itself has nothing that counts.
@@ -95,19 +95,19 @@
             Ok(config) => config.discovery,
             Err(error) => {
                 tracing::error!(
-                    target: LOG_TARGET, %error, "the new configuration can't be used; the old one holds"
+                    target: LOG_TARGET, %error, "reload failed: the old configuration stays in effect"
                 );
                 return;
             }
         };
         if address == self.endpoint_watches.current.address {
             tracing::info!(
-                target: LOG_TARGET, "told to read the configuration again: discovery is where it was"
+                target: LOG_TARGET, "configuration reloaded: discovery address unchanged"
             );
             return;
         }
         if let Err(error) = self.endpoint_watches.replace(address, self.seed, self.messages.clone()) {
-            tracing::error!(target: LOG_TARGET, %error, "no thread for another watch; the old one goes on");
+            tracing::error!(target: LOG_TARGET, %error, "reload failed: no thread for the new discovery watch");
         }
     }
 }
--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -41,7 +41,7 @@
             return;
         }
         // Guards against taking the proxy's own want of threads for the member's fault.
-        tracing::warn!(target: LOG_TARGET, "no thread for another job");
+        tracing::warn!(target: LOG_TARGET, "job not started: no thread available");
         let result = JobResult::from_outcome(Outcome::NeverSent);
         self.member_connections.remove(&connection);
         self.step_reducer(now, Input::JobFinished { connection, job, result, reusable: false });
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -104,7 +104,7 @@
         if self.shutdown.phase != Phase::Running {
             return;
         }
-        tracing::info!(target: LOG_TARGET, "told to end");
+        tracing::info!(target: LOG_TARGET, "shutdown requested");
         self.shutdown.phase = Phase::Draining { requested_at: now };
         let deadline = now + time_until_kill(&self.settings) - FAIL_PENDING_BEFORE_KILL;
         self.step_reducer(now, Input::ShutdownRequested { deadline });
@@ -152,7 +152,7 @@
         let closing = Phase::ClosingIdle { requested_at };
         if self.shutdown.phase != closing {
             self.shutdown.phase = closing;
-            tracing::info!(target: LOG_TARGET, "closing connections between requests");
+            tracing::info!(target: LOG_TARGET, "closing idle connections");
         }
     }
 
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -51,7 +51,7 @@
     log_addresses(config, listen_address, extended_address);
     spawn("clients", move || client_reactor.run())?;
     server.run(&inbox);
-    tracing::info!(target: LOG_TARGET, "ended");
+    tracing::info!(target: LOG_TARGET, "shutdown complete");
     Ok(())
 }
 
