--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -3,7 +3,7 @@
 use super::shared::{CLOSED, ConnectionShared};
 use super::{EventSink, ReactorEvent};
 use crate::client::ClientEvent;
-use crate::net::clock::Clock;
+use crate::clock::Clock;
 use crate::pg::{FrameReader, ProtocolError, StartupPacket};
 use crate::{Micros, Settings};
 use rustix::event::epoll::EventFlags;
--- a/src/net/client/event_loop_adapter.rs
+++ b/src/net/client/event_loop_adapter.rs
@@ -2,7 +2,7 @@
 
 use super::{ClientHandle, ClientListener, ClientReactor, ReactorEvent, ReactorHandle, ReactorLimits};
 use crate::Settings;
-use crate::net::clock::Clock;
+use crate::clock::Clock;
 use crate::net::{Message, Messages};
 use crossbeam_channel::Sender;
 use std::net::TcpListener;
--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -8,7 +8,7 @@
 use super::{EventSink, ReactorEvent, ReactorLimits};
 use crate::Settings;
 use crate::client::ClientId;
-use crate::net::clock::Clock;
+use crate::clock::Clock;
 use crossbeam_channel::Sender;
 use rustix::event::Timespec;
 use rustix::event::epoll::{self, Event, EventData, EventFlags};
