--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -9,7 +9,6 @@
 mod commands;
 mod connection;
 mod deadlines;
-mod event_loop_adapter;
 mod handle;
 mod reactor;
 mod readiness;
@@ -17,7 +16,6 @@
 mod write_buffer;
 
 pub use accept_gate::ClientListener;
-pub use event_loop_adapter::{Bounds, Ender, Handle, Reception};
 pub use handle::{ClientHandle, ReactorHandle};
 pub use reactor::ClientReactor;
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,6 +8,3 @@
 pub mod member;
 
 pub use client_listener::{ListenError, client_listener};
-
-use crate::clock;
-use crate::server::{Message, Messages};
--- a/src/server/clients.rs
+++ b/src/server/clients.rs
@@ -5,7 +5,7 @@
 use crate::client::ClientId;
 use crate::core::Input;
 use crate::front::FrontEffect;
-use crate::net::client::Handle;
+use crate::net::client::ClientHandle;
 use crate::pg::{put_error_response, sqlstate};
 use crate::stable_hash::stable_hash;
 
@@ -15,7 +15,7 @@
 
 impl Server {
     /// Admits a new connection, or rejects it where there is no room.
-    pub(super) fn accept_client(&mut self, now: Micros, id: ClientId, handle: Handle) {
+    pub(super) fn accept_client(&mut self, now: Micros, id: ClientId, handle: ClientHandle) {
         if self.clients.len() >= self.max_clients && !self.evict_idle_client(now) {
             tracing::debug!(target: LOG_TARGET, "client rejected: too many connections");
             reject_client(&handle);
@@ -75,7 +75,7 @@
 
     /// Closes a connection between requests; `false` if another request is on its way.
     fn close_if_idle(&mut self, id: ClientId) -> bool {
-        let closed = self.clients.get(&id).is_some_and(Handle::retire);
+        let closed = self.clients.get(&id).is_some_and(ClientHandle::close_if_idle);
         if closed {
             self.clients.remove(&id);
             self.fronts.remove(id);
@@ -105,7 +105,7 @@
             }
             FrontEffect::CommandAnswered(id) => {
                 if let Some(client) = self.clients.get(&id) {
-                    client.credit();
+                    client.command_answered();
                 }
             }
             FrontEffect::StartRequest(request) => self.step_reducer(now, Input::RequestReceived(request)),
@@ -118,7 +118,7 @@
 }
 
 /// Nothing has been executed: the client is told so, and is not waited for.
-fn reject_client(handle: &Handle) {
+fn reject_client(handle: &ClientHandle) {
     let mut bytes = Vec::new();
     put_error_response(&mut bytes, "FATAL", sqlstate::TOO_MANY_CONNECTIONS, "too many clients", None);
     handle.write(bytes);
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -21,7 +21,7 @@
     /// The endpoint list as the store had it when this proxy last ran.
     Stored(EndpointList),
     /// A new connection of a client.
-    Accepted(ClientId, client::Handle),
+    Accepted(ClientId, client::ClientHandle),
     /// An event of a client of the platform's front.
     Client(ClientId, ClientEvent<SimpleQuery>),
     /// An event of a client of the extended front.
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -44,13 +44,13 @@
     store: Store,
     /// For those who send messages to this loop.
     messages: Messages,
-    client_reactor: client::Ender,
+    client_reactor: client::ReactorHandle,
     /// Disconnected once the last connection of a client has gone.
     clients_closed: Receiver<()>,
     workers: WorkerPool,
     member_events: MemberEvents,
     member_connections: HashMap<ConnectionId, MemberHandle>,
-    clients: HashMap<ClientId, client::Handle>,
+    clients: HashMap<ClientId, client::ClientHandle>,
     max_clients: usize,
     /// Descriptors that the process may hold.
     max_descriptors: usize,
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -129,7 +129,7 @@
         let served_long_enough = now >= requested_at + MIN_SERVING_TIME;
         if self.shutdown.reading == Reading::Active && served_long_enough && (is_done || is_late) {
             self.shutdown.reading = Reading::Stopping;
-            self.client_reactor.stop();
+            self.client_reactor.stop_reading();
         }
         // Guards against a request that is read in the last moment and never answered.
         let all_answered = self.shutdown.reading == Reading::Stopped && self.reducer.pending_requests() == 0;
@@ -144,7 +144,7 @@
     fn leave_shared_listener(&mut self, now: Micros, requested_at: Micros) {
         if self.shutdown.accepts_from_shared_listener && now >= requested_at + SHARED_ACCEPT_TIME {
             self.shutdown.accepts_from_shared_listener = false;
-            self.client_reactor.hush();
+            self.client_reactor.stop_accepting();
         }
     }
 
@@ -159,7 +159,7 @@
     /// Lets clients take what is still to be written, until the deadline at most.
     fn flush_clients(&mut self, deadline: Micros) {
         self.clients.clear();
-        self.client_reactor.end();
+        self.client_reactor.shut_down();
         let timeout = deadline.saturating_sub(self.clock.now()).min(MAX_FLUSH_TIME);
         // Ends at once when the last connection has gone: nothing is ever sent here.
         let _ = self.clients_closed.recv_timeout(Duration::from_micros(timeout));
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -11,7 +11,7 @@
 use crate::core::{Core, Input};
 use crate::front::postgres::{Listen, Postgres};
 use crate::net::admin::{self, CallSink, LoopUnavailable};
-use crate::net::client::{Bounds, Reception};
+use crate::net::client::{self, ClientListener, ClientReactor, ReactorEvent, ReactorLimits};
 use crate::net::member::{MemberEvents, WorkerPool};
 use crate::store::{Change, State, Store, StoreConfig};
 use crate::threads::spawn;
@@ -38,8 +38,8 @@
     let store = start_store(config, replicas, messages.clone())?;
     let listen_address = listener.local_addr()?;
     let extended_address = extended_listener.as_ref().map(TcpListener::local_addr).transpose()?;
-    let mut listeners = vec![(listener, false)];
-    listeners.extend(extended_listener.map(|extended_listener| (extended_listener, true)));
+    let mut listeners = vec![ClientListener { listener, extended: false }];
+    listeners.extend(extended_listener.map(|listener| ClientListener { listener, extended: true }));
     let (mut server, client_reactor) =
         Server::build(config, clock, store, messages.clone(), listeners, extended)?;
     server.load_configured_state(config);
@@ -68,8 +68,13 @@
     }
 }
 
-fn client_bounds(max_connections: usize, buffer_bytes: usize) -> Bounds {
-    Bounds { most: max_connections, unwritten: buffer_bytes, held: buffer_bytes, partial: buffer_bytes }
+fn reactor_limits(max_connections: usize, buffer_bytes: usize) -> ReactorLimits {
+    ReactorLimits {
+        max_connections,
+        max_unwritten_bytes: buffer_bytes,
+        max_unanswered_command_bytes: buffer_bytes,
+        max_incomplete_message_bytes: buffer_bytes,
+    }
 }
 
 /// Passes requests of operators to the event loop.
@@ -84,17 +89,28 @@
     MemberEvents::new(move |event| drop(messages.send(Message::Core(event))))
 }
 
+/// Passes what the client reactor reports to the event loop.
+fn client_events(messages: Messages) -> client::EventSink {
+    Box::new(move |event| {
+        let _ = messages.send(match event {
+            ReactorEvent::Accepted(id, handle) => Message::Accepted(id, handle),
+            ReactorEvent::Simple(id, event) => Message::Client(id, event),
+            ReactorEvent::Extended(id, event) => Message::Extended(id, event),
+            ReactorEvent::ReadingStopped => Message::Stopped,
+        });
+    })
+}
+
 impl Server {
-    /// Builds the server and the thread that reads from clients. Each listener comes with whether it is the
-    /// extended one.
+    /// Builds the server and the thread that reads from clients.
     fn build(
         config: &Config,
         clock: Clock,
         store: Store,
         messages: Messages,
-        listeners: Vec<(TcpListener, bool)>,
+        listeners: Vec<ClientListener>,
         extended: Option<Listen>,
-    ) -> std::io::Result<(Server, Reception)> {
+    ) -> std::io::Result<(Server, ClientReactor)> {
         let inherited_listener = config.listen_fd.is_some();
         let budget =
             DescriptorBudget::new(config.max_descriptors, config.admin_listen.is_some(), inherited_listener);
@@ -104,9 +120,15 @@
         let postgres = postgres.map_err(std::io::Error::other)?;
         let reducer = Core::new(config.settings.clone(), config.seed, clock.now(), budget.member_connections);
         let (alive, clients_closed) = bounded(0);
-        let bounds = client_bounds(budget.client_connections, buffer_bytes);
-        let (reception, client_reactor) =
-            Reception::new(listeners, bounds, settings.clone(), clock, messages.clone(), alive)?;
+        let limits = reactor_limits(budget.client_connections, buffer_bytes);
+        let (reactor, client_reactor) = ClientReactor::new(
+            listeners,
+            limits,
+            settings.clone(),
+            clock,
+            client_events(messages.clone()),
+            alive,
+        )?;
         let server = Server {
             clock,
             reducer,
@@ -133,7 +155,7 @@
             shutdown: Shutdown::new(inherited_listener),
             messages,
         };
-        Ok((server, reception))
+        Ok((server, reactor))
     }
 
     /// Records the configured settings, and takes over the endpoint list as this proxy last had it.
