--- a/src/net/client/commands.rs
+++ b/src/net/client/commands.rs
@@ -115,7 +115,7 @@
 
 impl PartialBatch {
     /// Adds a message.
-    fn push(&mut self, message: &[u8]) -> Result<(), ProtocolError> {
+    pub(super) fn push(&mut self, message: &[u8]) -> Result<(), ProtocolError> {
         self.bytes += message.len();
         if self.bytes > MAX_BATCH_BYTES || self.messages.len() >= MAX_BATCH_MESSAGES {
             return Err(ProtocolError::BatchTooLong);
@@ -125,7 +125,7 @@
     }
 
     /// Takes the message that ends the batch: a Sync, a Flush, or a simple query by itself.
-    fn end_with(&mut self, end: u8, message: &[u8]) -> Result<(), ProtocolError> {
+    pub(super) fn end_with(&mut self, end: u8, message: &[u8]) -> Result<(), ProtocolError> {
         if end != frontend::QUERY {
             return if message.len() == HEADER_BYTES { Ok(()) } else { Err(ProtocolError::UnexpectedBody) };
         }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -48,3 +48,6 @@
     /// Bytes of messages that have not arrived completely yet.
     pub max_incomplete_message_bytes: usize,
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/client/tests.rs
@@ -0,0 +1,117 @@
+use super::connection::PartialBatch;
+use super::deadlines::Deadlines;
+use super::write_buffer::{Added, WriteBuffer};
+use crate::pg::ProtocolError;
+use crate::pg::message_tags::frontend;
+use std::io::Read;
+use std::net::{TcpListener, TcpStream};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::{Duration, Instant};
+
+const MAX_TOTAL: usize = 100;
+
+fn connected_pair() -> (TcpStream, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (client, listener.accept().unwrap().0)
+}
+
+#[test]
+fn an_answer_that_need_not_wait_is_taken_whatever_its_size() {
+    let total = AtomicUsize::new(0);
+    let mut buffer = WriteBuffer::default();
+    assert!(buffer.push(vec![0; MAX_TOTAL + 1], &total, MAX_TOTAL) == Added::First);
+    assert!(buffer.push(vec![0], &total, MAX_TOTAL) == Added::Rejected);
+    assert_eq!(total.load(Ordering::SeqCst), MAX_TOTAL + 1);
+    assert_eq!(buffer.counted_bytes(), MAX_TOTAL + 1);
+}
+
+#[test]
+fn answers_that_wait_are_limited_in_bytes_and_in_number() {
+    let total = AtomicUsize::new(0);
+    let mut buffer = WriteBuffer::default();
+    assert!(buffer.push(vec![0; 60], &total, MAX_TOTAL) == Added::First);
+    assert!(buffer.push(vec![0; 41], &total, MAX_TOTAL) == Added::Rejected);
+    assert!(buffer.push(vec![0; 40], &total, MAX_TOTAL) == Added::Queued);
+    for _ in 2..16 {
+        assert!(buffer.push(vec![], &total, MAX_TOTAL) == Added::Queued);
+    }
+    assert!(buffer.push(vec![], &total, MAX_TOTAL) == Added::Rejected);
+    assert_eq!(total.load(Ordering::SeqCst), MAX_TOTAL);
+}
+
+#[test]
+fn a_flush_writes_answers_in_order_and_takes_them_out_of_the_total() {
+    let total = AtomicUsize::new(0);
+    let mut buffer = WriteBuffer::default();
+    buffer.push(b"first ".to_vec(), &total, MAX_TOTAL);
+    buffer.push(b"second".to_vec(), &total, MAX_TOTAL);
+    let (mut client, server) = connected_pair();
+    assert!(buffer.flush(&server, &total));
+    assert!(buffer.is_empty());
+    assert_eq!(total.load(Ordering::SeqCst), 0);
+    let mut received = [0; 12];
+    client.read_exact(&mut received).unwrap();
+    assert_eq!(&received, b"first second");
+}
+
+#[test]
+fn an_answer_counts_until_it_is_written_completely() {
+    let length = 64 << 20;
+    let total = AtomicUsize::new(0);
+    let mut buffer = WriteBuffer::default();
+    buffer.push(vec![0; length], &total, MAX_TOTAL);
+    let (_client, server) = connected_pair();
+    server.set_nonblocking(true).unwrap();
+    assert!(buffer.flush(&server, &total));
+    assert!(buffer.unwritten_bytes() > 0 && buffer.unwritten_bytes() < length);
+    assert_eq!(buffer.counted_bytes(), length);
+    assert_eq!(total.load(Ordering::SeqCst), length);
+}
+
+#[test]
+fn deadlines_expire_in_order_and_once() {
+    let past = Instant::now();
+    let later_past = past + Duration::from_nanos(1);
+    let future = past + Duration::from_secs(3600);
+    let mut deadlines = Deadlines::default();
+    deadlines.replace(1, None, Some(later_past));
+    deadlines.replace(2, None, Some(past));
+    deadlines.replace(3, None, Some(past));
+    deadlines.replace(3, Some(past), Some(future));
+    deadlines.replace(4, None, Some(past));
+    deadlines.replace(4, Some(past), None);
+    std::thread::sleep(Duration::from_millis(1));
+    assert_eq!(deadlines.pop_expired(), Some(2));
+    assert_eq!(deadlines.pop_expired(), Some(1));
+    assert_eq!(deadlines.pop_expired(), None);
+    assert_eq!(deadlines.next(), Some(future));
+}
+
+#[test]
+fn a_batch_is_limited_in_messages_and_in_bytes() {
+    let mut batch = PartialBatch::default();
+    for _ in 0..1024 {
+        assert!(batch.push(&[0; 5]).is_ok());
+    }
+    assert!(matches!(batch.push(&[0; 5]), Err(ProtocolError::BatchTooLong)));
+    let mut batch = PartialBatch::default();
+    assert!(batch.push(&[0; 256 * 1024]).is_ok());
+    assert!(matches!(batch.push(&[0]), Err(ProtocolError::BatchTooLong)));
+}
+
+#[test]
+fn a_batch_ends_with_a_bare_sync_or_flush_or_is_a_query_by_itself() {
+    let mut batch = PartialBatch::default();
+    assert!(batch.push(b"P\0\0\0\x04").is_ok());
+    assert!(batch.end_with(frontend::SYNC, b"S\0\0\0\x04").is_ok());
+    assert!(batch.end_with(frontend::FLUSH, b"H\0\0\0\x04").is_ok());
+    let with_body = batch.end_with(frontend::SYNC, b"S\0\0\0\x05x");
+    assert!(matches!(with_body, Err(ProtocolError::UnexpectedBody)));
+    let query = b"Q\0\0\0\x05\0";
+    assert!(matches!(batch.end_with(frontend::QUERY, query), Err(ProtocolError::QueryWithinBatch)));
+    let mut alone = PartialBatch::default();
+    assert!(alone.end_with(frontend::QUERY, query).is_ok());
+    assert_eq!(alone.messages, [query.to_vec()]);
+    assert_eq!(alone.bytes, query.len());
+}
