--- a/tests/proxy/daemon.rs
+++ b/tests/proxy/daemon.rs
@@ -1,15 +1,13 @@
 //! The daemon's own log and store.
 
-use crate::rig::*;
+use crate::support::*;
 use std::io::Read;
 use std::net::{TcpListener, UdpSocket};
 use std::process::Command;
-use std::time::{Duration, Instant};
-
-const LONG: Duration = Duration::from_secs(20);
+use std::time::Instant;
 
 /// The message without its time, host, process and sequence number.
-fn told(message: &str) -> String {
+fn normalize_message(message: &str) -> String {
     let words: Vec<_> = message.split(' ').collect();
     assert!(words[1].ends_with('Z') && words[4].parse::<u32>().is_ok(), "{message}");
     let rest = message.split_once("\"]").unwrap().1;
@@ -21,11 +19,11 @@
 
 #[test]
 fn a_collector_over_tcp_gets_octet_counted_messages() {
-    let (primary, collector) = (Server::start(true), TcpListener::bind("127.0.0.1:0").unwrap());
+    let (primary, collector) = (MockMember::start(true), TcpListener::bind("127.0.0.1:0").unwrap());
     let file = format!("collector = \"{}\"\nprotocol = \"tcp\"\n", collector.local_addr().unwrap());
-    let mut proxy = Proxy::start_by(&[&primary], "exec \"$0\" serve --syslog \"$2\"", &file);
+    let mut proxy = Proxy::start_with_shell(&[&primary], "exec \"$0\" serve --syslog \"$2\"", &file);
     let (mut stream, _) = collector.accept().unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     proxy.signal("-TERM");
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).unwrap();
@@ -34,7 +32,7 @@
     while let Some(blank) = rest.iter().position(|b| *b == b' ') {
         let length: usize = std::str::from_utf8(&rest[..blank]).unwrap().parse().unwrap();
         let message = &rest[blank + 1..blank + 1 + length];
-        all.push(told(std::str::from_utf8(message).unwrap()));
+        all.push(normalize_message(std::str::from_utf8(message).unwrap()));
         rest = &rest[blank + 1 + length..];
     }
     assert!(rest.is_empty());
@@ -48,24 +46,26 @@
 
 #[test]
 fn a_collector_over_udp_gets_a_message_a_datagram_and_one_that_is_away_harms_nothing() {
-    let (primary, collector) = (Server::start(true), UdpSocket::bind("127.0.0.1:0").unwrap());
-    collector.set_read_timeout(Some(LONG)).unwrap();
+    let (primary, collector) = (MockMember::start(true), UdpSocket::bind("127.0.0.1:0").unwrap());
+    collector.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let address = collector.local_addr().unwrap();
     let file = format!("collector = \"{address}\"\nprotocol = \"udp\"\nfacility = 16\n");
-    let proxy = Proxy::start_by(&[&primary], "exec \"$0\" serve --syslog \"$2\"", &file);
+    let proxy = Proxy::start_with_shell(&[&primary], "exec \"$0\" serve --syslog \"$2\"", &file);
     let mut datagram = [0; 4096];
     let length = collector.recv(&mut datagram).unwrap();
-    assert!(told(std::str::from_utf8(&datagram[..length]).unwrap()).starts_with("<134>1 liftrelay "));
+    assert!(
+        normalize_message(std::str::from_utf8(&datagram[..length]).unwrap()).starts_with("<134>1 liftrelay ")
+    );
     drop((proxy, collector));
     let away = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let away = format!("collector = \"{away}\"\nprotocol = \"tcp\"\n");
-    let proxy = Proxy::start_by(&[&primary], "exec \"$0\" serve --syslog \"$2\"", &away);
-    assert_eq!(proxy.client().query(&read(1)), "T D(value) C Z");
+    let proxy = Proxy::start_with_shell(&[&primary], "exec \"$0\" serve --syslog \"$2\"", &away);
+    assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
 }
 
 #[test]
 fn the_store_holds_the_settings_the_list_and_the_prepared_statements() {
-    let primary = Server::start(true);
+    let primary = MockMember::start(true);
     // Nobody else uses this address, so the port stays free until the replica takes it.
     let pid = std::process::id();
     let host = format!("127.90.{}.{}:0", pid >> 8 & 255, pid & 255);
@@ -73,10 +73,10 @@
     let data = std::env::temp_dir().join(format!("liftrelay-data-{pid}"));
     let file = format!("id = 7\ndata = {data:?}\n[[replica]]\nid = 7\naddress = \"{free}\"\n");
     let shell = "exec \"$0\" serve --postgres \"$1\" --store \"$2\"";
-    let proxy = Proxy::start_by(&[&primary], shell, &file);
-    let mut client = proxy.extended();
-    client.send(&messages("P r SELECT payload FROM entries WHERE ref = $1 /* c=any,d=900 */ | S"));
-    assert_eq!(client.answer(), "1 Z");
+    let proxy = Proxy::start_with_shell(&[&primary], shell, &file);
+    let mut client = proxy.connect_extended();
+    client.send(&extended_messages("P r SELECT payload FROM entries WHERE ref = $1 /* c=any,d=900 */ | S"));
+    assert_eq!(client.read_reply(), "1 Z");
     let path = proxy.file();
     let begun = Instant::now();
     loop {
@@ -91,12 +91,12 @@
         if listed && told && prepared {
             break;
         }
-        assert!(begun.elapsed() < LONG, "{said}");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "{said}");
     }
     // Killed and started again while discovery is down, it still knows its members.
     drop(proxy);
-    let proxy = Proxy::start_by(&[], shell, &file);
-    assert_eq!(proxy.client().query(&read(1)), "T D(value) C Z");
+    let proxy = Proxy::start_with_shell(&[], shell, &file);
+    assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
     drop(proxy);
     std::fs::remove_dir_all(data).unwrap();
 }
--- a/tests/proxy/extended.rs
+++ b/tests/proxy/extended.rs
@@ -1,6 +1,6 @@
 //! The extended front: above all, that no write runs twice and each request gets exactly one final answer.
 
-use crate::rig::*;
+use crate::support::*;
 use insta::assert_snapshot;
 
 const WRITE: &str = "P w INSERT INTO entries VALUES ($1, 'x') /* d=400 */";
@@ -8,15 +8,15 @@
 
 /// Sends a unit with an empty query's worth of proof behind it that there was only one answer.
 fn ask(client: &mut Client, script: &str) -> String {
-    client.send(&messages(script));
-    let answer = client.answer();
-    client.send(&messages("S"));
-    assert_eq!(client.answer(), "Z", "exactly one answer, after {answer}");
+    client.send(&extended_messages(script));
+    let answer = client.read_reply();
+    client.send(&extended_messages("S"));
+    assert_eq!(client.read_reply(), "Z", "exactly one answer, after {answer}");
     answer
 }
 
-fn pair() -> (Server, Server, Proxy) {
-    let (primary, replica) = (Server::start(true), Server::start(false));
+fn pair() -> (MockMember, MockMember, Proxy) {
+    let (primary, replica) = (MockMember::start(true), MockMember::start(false));
     let proxy = Proxy::start(&[&primary, &replica]);
     (primary, replica, proxy)
 }
@@ -24,40 +24,49 @@
 #[test]
 fn a_unit_is_one_request() {
     let (primary, replica, proxy) = pair();
-    let mut client = proxy.extended();
+    let mut client = proxy.connect_extended();
     assert_snapshot!(ask(&mut client, &format!("{READ} | DS r | S")), @"1 t n Z");
     assert_snapshot!(ask(&mut client, "B p r | DP p | E p | CP p | S"), @"2 n D(value) C 3 Z");
     assert_snapshot!(ask(&mut client, &format!("{WRITE} | B - w | E - | B - w | E - | S")), @"1 2 D(value) C 2 D(value) C Z");
-    assert_eq!((primary.runs(), replica.runs()), (2, 1));
-    assert_snapshot!(client.query(&write(1, 900)), @"T D(value) C Z");
+    assert_eq!((primary.executed_count(), replica.executed_count()), (2, 1));
+    assert_snapshot!(client.query(&write_query(1, 900)), @"T D(value) C Z");
     assert_snapshot!(client.query(""), @"I Z");
 }
 
 #[test]
 fn a_hang_after_execute_is_a_failure_and_the_write_never_runs_twice() {
-    for does in
-        [Does::Hang(b'E'), Does::Reset(b'E'), Does::HalfAnswer, Does::Hang(b'S'), Does::Error("XX000")]
-    {
+    for does in [
+        MemberBehavior::HangOn(b'E'),
+        MemberBehavior::ResetOn(b'E'),
+        MemberBehavior::HangMidReply,
+        MemberBehavior::HangOn(b'S'),
+        MemberBehavior::ServeError("XX000"),
+    ] {
         let (primary, replica, proxy) = pair();
-        let mut client = proxy.extended();
+        let mut client = proxy.connect_extended();
         assert_eq!(ask(&mut client, &format!("{WRITE} | S")), "1 Z");
         primary.plan(&[does]);
         assert_eq!(ask(&mut client, "B - w | E - | S"), "E(08007) Z", "{does:?}");
-        let ran = usize::from(does != Does::Error("XX000"));
-        assert_eq!(primary.runs() + replica.runs(), ran, "{does:?}");
+        let ran = usize::from(does != MemberBehavior::ServeError("XX000"));
+        assert_eq!(primary.executed_count() + replica.executed_count(), ran, "{does:?}");
     }
 }
 
 #[test]
 fn a_hang_before_execute_ran_nothing_so_the_write_is_sent_again_and_runs_once() {
-    for does in [Does::Hang(b'P'), Does::Hang(b'B'), Does::Reset(b'P'), Does::Reset(b'B')] {
+    for does in [
+        MemberBehavior::HangOn(b'P'),
+        MemberBehavior::HangOn(b'B'),
+        MemberBehavior::ResetOn(b'P'),
+        MemberBehavior::ResetOn(b'B'),
+    ] {
         let (primary, replica, proxy) = pair();
-        let mut client = proxy.extended();
+        let mut client = proxy.connect_extended();
         primary.plan(&[does]);
         let unit = format!("{} | B - w | E - | S", WRITE.replace("d=400", "d=4000"));
         let answer = ask(&mut client, &unit);
         assert_eq!(answer, "1 2 D(value) C Z", "{does:?}");
-        assert_eq!((primary.runs(), replica.runs()), (1, 0), "{does:?}");
+        assert_eq!((primary.executed_count(), replica.executed_count()), (1, 0), "{does:?}");
     }
 }
 
@@ -65,66 +74,66 @@
 #[test]
 fn spoilt_answers_and_leftovers_end_the_link_and_nothing_runs_twice() {
     let (primary, replica, proxy) = pair();
-    let mut client = proxy.extended();
+    let mut client = proxy.connect_extended();
     assert_eq!(ask(&mut client, &format!("{WRITE} | S")), "1 Z");
     for (n, spoilt) in
         [&b"noise"[..], b"D\xc0\0\0\0", b"D\0\0\0\x0f\0\x01\0\0\0\x09value"].into_iter().enumerate()
     {
-        primary.plan(&[Does::Say(spoilt)]);
+        primary.plan(&[MemberBehavior::SendRaw(spoilt)]);
         assert_eq!(ask(&mut client, "B - w | E - | S"), "E(08007) Z", "{n}");
-        assert_eq!(primary.runs() + replica.runs(), n + 1, "{n}");
+        assert_eq!(primary.executed_count() + replica.executed_count(), n + 1, "{n}");
     }
-    primary.plan(&[Does::ServeAnd(b"C\0\0\0\x09DONE\0Z\0\0\0\x05I")]);
+    primary.plan(&[MemberBehavior::ServeThenSend(b"C\0\0\0\x09DONE\0Z\0\0\0\x05I")]);
     assert_eq!(ask(&mut client, "B - w | E - | S"), "2 D(value) C Z");
     assert_eq!(ask(&mut client, "B - w | E - | S"), "2 D(value) C Z");
-    assert_eq!(primary.runs() + replica.runs(), 5);
+    assert_eq!(primary.executed_count() + replica.executed_count(), 5);
 }
 
 #[test]
 fn a_read_cut_off_is_tried_again() {
     let (primary, replica, proxy) = pair();
-    let mut client = proxy.extended();
-    replica.plan(&[Does::Reset(b'E')]);
+    let mut client = proxy.connect_extended();
+    replica.plan(&[MemberBehavior::ResetOn(b'E')]);
     assert_snapshot!(ask(&mut client, &format!("{READ} | B - r | E - | S")), @"1 2 D(value) C Z");
-    assert_eq!((primary.runs(), replica.runs()), (1, 1));
+    assert_eq!((primary.executed_count(), replica.executed_count()), (1, 1));
 }
 
 #[test]
 fn a_statement_is_prepared_on_the_box_that_misses_it_and_the_client_does_not_see_it() {
-    let (primary, one, two) = (Server::start(true), Server::start(false), Server::start(false));
+    let (primary, one, two) = (MockMember::start(true), MockMember::start(false), MockMember::start(false));
     let proxy = Proxy::start(&[&primary, &one, &two]);
-    let mut client = proxy.extended();
+    let mut client = proxy.connect_extended();
     assert_eq!(ask(&mut client, &format!("{READ} | S")), "1 Z");
     for _ in 0..4 {
         assert_eq!(ask(&mut client, "B - r | E - | S"), "2 D(value) C Z");
     }
     // More than once only where a probe held the first connection; a Bind without its Parse fails the stand-in.
-    let parsed = |s: &Server| s.log().iter().any(|l| l.starts_with("P "));
+    let parsed = |s: &MockMember| s.received().iter().any(|l| l.starts_with("P "));
     assert!(parsed(&one) && parsed(&two), "on both, though the client prepared it once");
-    assert_eq!((one.runs(), two.runs()), (2, 2), "ties in turn");
+    assert_eq!((one.executed_count(), two.executed_count()), (2, 2), "ties in turn");
 }
 
 #[test]
 fn a_box_that_lost_its_statements_gets_them_again() {
     let (primary, _replica, proxy) = pair();
-    let mut client = proxy.extended();
+    let mut client = proxy.connect_extended();
     assert_eq!(ask(&mut client, &format!("{WRITE} | S")), "1 Z");
-    primary.plan(&[Does::Error("26000")]);
+    primary.plan(&[MemberBehavior::ServeError("26000")]);
     assert_snapshot!(ask(&mut client, "B - w | E - | S"), @"2 D(value) C Z");
-    assert_eq!(primary.runs(), 1);
-    assert!(primary.log().iter().filter(|l| l.starts_with("P ")).count() >= 2);
+    assert_eq!(primary.executed_count(), 1);
+    assert!(primary.received().iter().filter(|l| l.starts_with("P ")).count() >= 2);
 }
 
 #[test]
 fn names_of_different_clients_do_not_collide() {
     let (_primary, replica, proxy) = pair();
-    let (mut a, mut b) = (proxy.extended(), proxy.extended());
+    let (mut a, mut b) = (proxy.connect_extended(), proxy.connect_extended());
     let other = READ.replace("payload", "other");
     assert_eq!(ask(&mut a, &format!("{READ} | S")), "1 Z");
     assert_eq!(ask(&mut b, &format!("{other} | S")), "1 Z");
     assert_eq!(ask(&mut a, "B - r | E - | S"), "2 D(value) C Z");
     assert_eq!(ask(&mut b, "B - r | E - | S"), "2 D(value) C Z");
-    let runs = replica.seen.lock().unwrap().runs.join("\n");
+    let runs = replica.executed().join("\n");
     assert_snapshot!(runs, @r"
     SELECT payload FROM entries WHERE ref = $1 /* c=any,d=900 */
     SELECT other FROM entries WHERE ref = $1 /* c=any,d=900 */
@@ -134,56 +143,56 @@
 #[test]
 fn errors_skip_to_the_sync_and_leave_the_catalogue_as_it_was() {
     let (primary, _replica, proxy) = pair();
-    let mut client = proxy.extended();
+    let mut client = proxy.connect_extended();
     assert_snapshot!(ask(&mut client, "B - none | E - | S"), @"E(26000) Z");
-    client.send(&messages("B - none | H | B - none | E - | H"));
-    client.send(&[simple(&write(1, 900)), messages("S")].concat());
-    assert_snapshot!(client.answer(), @"E(26000) Z");
+    client.send(&extended_messages("B - none | H | B - none | E - | H"));
+    client.send(&[simple_query(&write_query(1, 900)), extended_messages("S")].concat());
+    assert_snapshot!(client.read_reply(), @"E(26000) Z");
     assert_snapshot!(ask(&mut client, "E none | S"), @"E(34000) Z");
     assert_snapshot!(ask(&mut client, "P b BEGIN | B - b | E - | S"), @"E(0A000) Z");
     assert_snapshot!(ask(&mut client, "P c COPY t FROM STDIN | S"), @"E(0A000) Z");
     assert_snapshot!(ask(&mut client, "P c SELECT 1; SELECT 2 | S"), @"E(0A000) Z");
     assert_snapshot!(ask(&mut client, "P c INSERT INTO t VALUES (1) /* c=any */ | S"), @"E(0A000) Z");
-    primary.plan(&[Does::Error("23505")]);
+    primary.plan(&[MemberBehavior::ServeError("23505")]);
     assert_snapshot!(ask(&mut client, &format!("{WRITE} | B - w | E - | S")), @"1 2 E(23505) Z");
     assert_snapshot!(ask(&mut client, "B - w | E - | S"), @"2 D(value) C Z");
-    primary.plan(&[Does::Error("42601")]);
-    client.send(&messages("B - w | E - | S | B - w | E - | S"));
-    assert_snapshot!(format!("{} | {}", client.answer(), client.answer()), @"2 E(42601) Z | 2 D(value) C Z");
+    primary.plan(&[MemberBehavior::ServeError("42601")]);
+    client.send(&extended_messages("B - w | E - | S | B - w | E - | S"));
+    assert_snapshot!(format!("{} | {}", client.read_reply(), client.read_reply()), @"2 E(42601) Z | 2 D(value) C Z");
 }
 
 #[test]
 fn a_flush_answers_what_came_so_far() {
     let (primary, _replica, proxy) = pair();
-    let mut client = proxy.extended();
-    client.send(&messages(&format!("{WRITE} | DS w | H")));
-    assert_snapshot!(client.answers(|t| t == b'n'), @"1 t n");
-    client.send(&messages("B p w | DP p | H"));
-    assert_snapshot!(client.answers(|t| t == b'n'), @"2 n");
-    client.send(&messages("E p | H"));
-    assert_snapshot!(client.answers(|t| t == b'C'), @"D(value) C");
-    client.send(&messages("B p w | E p | H | S"));
-    assert_snapshot!(client.answer(), @"E(0A000) Z");
-    assert_eq!(primary.runs(), 1);
+    let mut client = proxy.connect_extended();
+    client.send(&extended_messages(&format!("{WRITE} | DS w | H")));
+    assert_snapshot!(client.read_reply_until(|t| t == b'n'), @"1 t n");
+    client.send(&extended_messages("B p w | DP p | H"));
+    assert_snapshot!(client.read_reply_until(|t| t == b'n'), @"2 n");
+    client.send(&extended_messages("E p | H"));
+    assert_snapshot!(client.read_reply_until(|t| t == b'C'), @"D(value) C");
+    client.send(&extended_messages("B p w | E p | H | S"));
+    assert_snapshot!(client.read_reply(), @"E(0A000) Z");
+    assert_eq!(primary.executed_count(), 1);
 }
 
 #[test]
 fn a_client_that_leaves_mid_pipeline_ends_its_attempt() {
     let (primary, _replica, proxy) = pair();
-    let mut client = proxy.extended();
-    primary.plan(&[Does::Hang(b'E')]);
+    let mut client = proxy.connect_extended();
+    primary.plan(&[MemberBehavior::HangOn(b'E')]);
     let unit = WRITE.replace("d=400", "d=15000");
-    client.send(&messages(&format!("{unit} | B - w | E - | S | B - w | E - | S")));
-    primary.wait("hang");
+    client.send(&extended_messages(&format!("{unit} | B - w | E - | S | B - w | E - | S")));
+    primary.wait_for(MemberEvent::Hanging);
     drop(client);
-    primary.wait("end");
-    assert_eq!(primary.runs(), 1);
+    primary.wait_for(MemberEvent::ConnectionClosed);
+    assert_eq!(primary.executed_count(), 1);
 }
 
 #[test]
 fn a_clients_statements_are_bounded() {
     let (_primary, _replica, proxy) = pair();
-    let mut client = proxy.extended();
+    let mut client = proxy.connect_extended();
     for n in 0..3 {
         assert_eq!(ask(&mut client, &format!("{} | S", READ.replace("P r", &format!("P s{n}")))), "1 Z");
     }
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -8,4 +8,4 @@
 mod operations;
 mod pipelining;
 mod platform;
-mod rig;
+mod support;
--- a/tests/proxy/operations.rs
+++ b/tests/proxy/operations.rs
@@ -1,6 +1,6 @@
 //! Admin requests, draining and upgrades.
 
-use crate::rig::*;
+use crate::support::*;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
@@ -16,26 +16,26 @@
 
 #[test]
 fn counters_match_what_clients_and_members_observed() {
-    let primary = Server::start(true);
-    let proxy = Proxy::start_by(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
-    assert_eq!(proxy.control("GET", "ready").0, 200);
-    let mut client = proxy.client();
-    let served = (1..=3).filter(|id| client.query(&read(*id)).starts_with("T D"));
+    let primary = MockMember::start(true);
+    let proxy = Proxy::start_with_shell(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
+    assert_eq!(proxy.admin_request("GET", "ready").0, 200);
+    let mut client = proxy.connect();
+    let served = (1..=3).filter(|id| client.query(&read_query(*id)).starts_with("T D"));
     assert_eq!(served.count(), 3);
-    primary.plan(&[Does::Error("XX000")]);
-    assert_eq!(client.query(&write(4, 900)), "E(08007) Z");
-    primary.plan(&[Does::Hang(b'Q'), Does::Serve]);
-    let mut gone = proxy.client();
-    gone.send(&simple(&write(5, 3000)));
-    primary.wait("hang");
-    assert_eq!(client.query(&write(6, 3000)), "T D(value) C Z");
-    let pending = proxy.control("GET", "counters").1;
+    primary.plan(&[MemberBehavior::ServeError("XX000")]);
+    assert_eq!(client.query(&write_query(4, 900)), "E(08007) Z");
+    primary.plan(&[MemberBehavior::HangOn(b'Q'), MemberBehavior::Serve]);
+    let mut gone = proxy.connect();
+    gone.send(&simple_query(&write_query(5, 3000)));
+    primary.wait_for(MemberEvent::Hanging);
+    assert_eq!(client.query(&write_query(6, 3000)), SERVED);
+    let pending = proxy.admin_request("GET", "counters").1;
     assert_eq!(counter_value(&pending, "pending"), 1);
-    assert_eq!(counter_value(&pending, "upstream_requests"), primary.log().len() as u64);
+    assert_eq!(counter_value(&pending, "upstream_requests"), primary.received().len() as u64);
     drop(gone);
     // The member sees its connection end once the proxy knows that the client has left.
-    primary.wait("end");
-    insta::assert_snapshot!(proxy.control("GET", "counters").1, @r"
+    primary.wait_for(MemberEvent::ConnectionClosed);
+    insta::assert_snapshot!(proxy.admin_request("GET", "counters").1, @r"
     downstream_requests.own.completed=0
     downstream_requests.own.rejected=0
     downstream_requests.own.failed=0
@@ -54,16 +54,16 @@
 
 #[test]
 fn invalid_admin_requests_get_an_error_and_slow_ones_block_nobody() {
-    let primary = Server::start(true);
-    let proxy = Proxy::start_by(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
-    let slow: Vec<_> = (0..8).map(|_| TcpStream::connect(proxy.ops.unwrap()).unwrap()).collect();
+    let primary = MockMember::start(true);
+    let proxy = Proxy::start_with_shell(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
+    let slow: Vec<_> = (0..8).map(|_| TcpStream::connect(proxy.admin_address.unwrap()).unwrap()).collect();
     (&slow[0]).write_all(b"GET /control/re").unwrap();
-    assert_eq!(proxy.control("GET", "ready"), (200, "yes\n".into()));
-    assert_eq!(proxy.control("GET", "nothing").0, 404);
-    assert_eq!(proxy.control("PUT", "ready").0, 405);
-    assert_eq!(proxy.control("GET", "out-of-service").0, 405);
-    assert!(proxy.call(b"\0\x01 what\r\n\r\n").starts_with("HTTP/1.1 400 "));
-    assert!(proxy.call(&[b'a'; 20_000]).starts_with("HTTP/1.1 4"));
+    assert_eq!(proxy.admin_request("GET", "ready"), (200, "yes\n".into()));
+    assert_eq!(proxy.admin_request("GET", "nothing").0, 404);
+    assert_eq!(proxy.admin_request("PUT", "ready").0, 405);
+    assert_eq!(proxy.admin_request("GET", "out-of-service").0, 405);
+    assert!(proxy.send_to_admin(b"\0\x01 what\r\n\r\n").starts_with("HTTP/1.1 400 "));
+    assert!(proxy.send_to_admin(&[b'a'; 20_000]).starts_with("HTTP/1.1 4"));
     for mut stream in slow {
         let mut text = String::new();
         stream.read_to_string(&mut text).unwrap();
@@ -73,55 +73,55 @@
 
 #[test]
 fn out_of_service_rejects_clients_until_the_proxy_is_in_service_again() {
-    let primary = Server::start(true);
-    let proxy = Proxy::start_by(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
-    let mut client = proxy.client();
-    assert_eq!(proxy.control("PUT", "out-of-service").0, 200);
-    assert_eq!(proxy.client().query(""), "E(57P03) Z");
-    assert_eq!(client.query(&write(1, 900)), "T D(value) C Z", "open connections are served");
-    primary.plan(&[Does::Hang(b'Q')]);
-    let mut busy = proxy.client();
-    busy.send(&simple(&write(2, 2500)));
-    primary.wait("hang");
-    assert_eq!(client.answer(), "end", "closed between requests");
-    assert_eq!(busy.answer(), "E(08007) Z", "a request in flight gets its answer first");
-    assert_eq!(busy.answer(), "end");
-    assert_eq!(proxy.control("PUT", "in-service").0, 200);
-    let mut client = proxy.client();
+    let primary = MockMember::start(true);
+    let proxy = Proxy::start_with_shell(&[&primary], SERVE_WITH_ADMIN_LISTENER, "");
+    let mut client = proxy.connect();
+    assert_eq!(proxy.admin_request("PUT", "out-of-service").0, 200);
+    assert_eq!(proxy.connect().query(""), "E(57P03) Z");
+    assert_eq!(client.query(&write_query(1, 900)), SERVED, "open connections are served");
+    primary.plan(&[MemberBehavior::HangOn(b'Q')]);
+    let mut busy = proxy.connect();
+    busy.send(&simple_query(&write_query(2, 2500)));
+    primary.wait_for(MemberEvent::Hanging);
+    assert_eq!(client.read_reply(), "end", "closed between requests");
+    assert_eq!(busy.read_reply(), "E(08007) Z", "a request in flight gets its answer first");
+    assert_eq!(busy.read_reply(), "end");
+    assert_eq!(proxy.admin_request("PUT", "in-service").0, 200);
+    let mut client = proxy.connect();
     assert_eq!(client.query(""), "I Z");
-    assert_eq!(client.query(&read(3)), "T D(value) C Z");
+    assert_eq!(client.query(&read_query(3)), SERVED);
 }
 
 #[test]
 fn an_upgrade_rejects_no_client() {
-    let primary = Server::start(true);
+    let primary = MockMember::start(true);
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let shell = "export GW_LISTEN_FD=0; exec \"$0\" serve";
     let start = || {
         let socket: OwnedFd = socket.try_clone().unwrap().into();
-        Proxy::start_on(Stdio::from(socket), &[&primary], shell, "", "\"sockets\":256")
+        Proxy::start_with_stdin(Stdio::from(socket), &[&primary], shell, "", "\"sockets\":256")
     };
     let mut old = start();
-    let mut client = old.client();
-    assert_eq!(client.query(&read(1)), "T D(value) C Z");
+    let mut client = old.connect();
+    assert_eq!(client.query(&read_query(1)), SERVED);
     let new = start();
     assert_eq!(old.address, new.address);
     old.signal("-TERM");
     // One after the other until the old one has ended; each is accepted by whichever comes first.
     let mut id = 10;
     while old.child.try_wait().unwrap().is_none() {
-        assert_eq!(new.client().query(&read(id)), "T D(value) C Z");
+        assert_eq!(new.connect().query(&read_query(id)), SERVED);
         id += 1;
     }
     assert!(old.child.wait().unwrap().success());
-    assert_eq!(client.answer(), "end", "the old connection was closed between requests");
-    assert_eq!(new.client().query(&read(2)), "T D(value) C Z");
+    assert_eq!(client.read_reply(), "end", "the old connection was closed between requests");
+    assert_eq!(new.connect().query(&read_query(2)), SERVED);
 }
 
 #[test]
 fn an_inherited_descriptor_that_is_no_listener_is_a_bad_configuration() {
     let file = std::env::temp_dir().join(format!("liftrelay-fd-{}", std::process::id()));
-    let discovery = Discovery::start(String::new());
+    let discovery = MockDiscovery::start(String::new());
     std::fs::write(&file, configuration(&discovery)).unwrap();
     for number in ["0", "77", "three"] {
         let out = std::process::Command::new(env!("CARGO_BIN_EXE_liftrelay"))
--- a/tests/proxy/pipelining.rs
+++ b/tests/proxy/pipelining.rs
@@ -1,9 +1,9 @@
 //! Commands of one connection that are in progress at the same time, on both fronts. Stand-in members hold answers
 //! back until the test releases them, so that each order of events is forced.
 
-use crate::crossings::{patient, told};
-use crate::rig::*;
+use crate::support::*;
 use std::io::{ErrorKind, Read};
+use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 /// One of the two listeners, and how a client asks and is answered there.
@@ -21,25 +21,40 @@
 impl Front {
     fn connect(self, proxy: &Proxy) -> Client {
         match self {
-            Front::Platform => proxy.client(),
-            Front::Extended => proxy.extended(),
+            Front::Platform => proxy.connect(),
+            Front::Extended => proxy.connect_extended(),
         }
     }
 
-    fn read(self, id: u32, class: &str, key: &str) -> Vec<u8> {
+    fn address(self, proxy: &Proxy) -> SocketAddr {
+        match self {
+            Front::Platform => proxy.address,
+            Front::Extended => proxy.extended_address.unwrap(),
+        }
+    }
+
+    /// What a member does that hangs as soon as it has the message that executes the statement.
+    fn hang(self) -> MemberBehavior {
+        match self {
+            Front::Platform => MemberBehavior::HangOn(b'Q'),
+            Front::Extended => MemberBehavior::HangOn(b'E'),
+        }
+    }
+
+    fn read_query(self, id: u32, class: &str, key: &str) -> Vec<u8> {
         let marks = format!("/* id={id:x},c={class},d=900,cluster=2 */");
         self.statement("SELECT payload FROM entries WHERE ref = $1", &marks, key)
     }
 
-    fn write(self, id: u32, wait: u32, key: &str) -> Vec<u8> {
+    fn write_query(self, id: u32, wait: u32, key: &str) -> Vec<u8> {
         let marks = format!("/* id={id:x},c=write,d={wait},cluster=2 */");
         self.statement("INSERT INTO entries VALUES ($1, 'x')", &marks, key)
     }
 
     fn statement(self, sql: &str, marks: &str, key: &str) -> Vec<u8> {
         match self {
-            Front::Platform => simple(&format!("{} {marks}", sql.replace("$1", &format!("'{key}'")))),
-            Front::Extended => messages(&format!("P - {sql} {marks} | B - - {key} | E - | S")),
+            Front::Platform => simple_query(&format!("{} {marks}", sql.replace("$1", &format!("'{key}'")))),
+            Front::Extended => extended_messages(&format!("P - {sql} {marks} | B - - {key} | E - | S")),
         }
     }
 
@@ -52,35 +67,35 @@
 }
 
 /// A primary and so many replicas behind the program, which sends no probes.
-fn group(replicas: usize) -> (Server, Vec<Server>, Proxy) {
+fn group(replicas: usize) -> (MockMember, Vec<MockMember>, Proxy) {
     group_behind(replicas, 0)
 }
 
 /// The same with replicas whose data is behind by so many milliseconds.
-fn group_behind(replicas: usize, millis: u64) -> (Server, Vec<Server>, Proxy) {
-    let primary = Server::start(true);
-    let replicas: Vec<_> = (0..replicas).map(|_| Server::start(false)).collect();
-    replicas.iter().for_each(|replica| replica.lag(millis));
+fn group_behind(replicas: usize, millis: u64) -> (MockMember, Vec<MockMember>, Proxy) {
+    let primary = MockMember::start(true);
+    let replicas: Vec<_> = (0..replicas).map(|_| MockMember::start(false)).collect();
+    replicas.iter().for_each(|replica| replica.set_replication_lag_ms(millis));
     let all: Vec<_> = std::iter::once(&primary).chain(&replicas).collect();
-    let proxy = Proxy::start_by(&all, &patient(""), "");
+    let proxy = Proxy::start_with_shell(&all, &shell_without_probes(""), "");
     // Every member has been asked once, so that its role and its position are known.
-    let mut client = proxy.client();
-    assert_eq!(client.query(&write(0x900, 900)), "T D(value) C Z");
+    let mut client = proxy.connect();
+    assert_eq!(client.query(&write_query(0x900, 900)), SERVED);
     let mut id = 0x901;
-    while replicas.iter().any(|replica| replica.runs() == 0) {
+    while replicas.iter().any(|replica| replica.executed_count() == 0) {
         assert!(id < 0xa00, "some replica is never asked");
-        client.query(&read(id));
+        client.query(&read_query(id));
         id += 1;
     }
-    all.iter().for_each(|server| *server.seen.lock().unwrap() = Seen::default());
+    all.iter().for_each(|server| server.reset_record());
     (primary, replicas, proxy)
 }
 
 /// The program has read all that `client` has sent: another client, whose command came later, has been served.
 fn passed_by(proxy: &Proxy, front: Front, id: u32) {
     let mut other = front.connect(proxy);
-    other.send(&front.read(id, "any", OTHER));
-    assert_eq!(other.answer(), front.served("value"));
+    other.send(&front.read_query(id, "any", OTHER));
+    assert_eq!(other.read_reply(), front.served("value"));
 }
 
 /// Nothing has been said to this client.
@@ -92,9 +107,9 @@
 }
 
 /// The ids of the requests that these members ran.
-fn ran(servers: &[&Server]) -> Vec<u32> {
+fn ran(servers: &[&MockMember]) -> Vec<u32> {
     let id = |text: &String| u32::from_str_radix(text.split("id=").nth(1)?.split(',').next()?, 16).ok();
-    let runs = |server: &&Server| server.seen.lock().unwrap().runs.iter().filter_map(id).collect::<Vec<_>>();
+    let runs = |server: &&MockMember| server.executed().iter().filter_map(id).collect::<Vec<_>>();
     servers.iter().flat_map(runs).collect()
 }
 
@@ -102,18 +117,18 @@
 fn replies_keep_the_order_of_commands_that_finish_in_reverse_order() {
     for front in FRONTS {
         let (_primary, replicas, proxy) = group(2);
-        replicas[0].plan(&[Does::Hold("held")]);
-        replicas[1].plan(&[Does::Hold("held")]);
+        replicas[0].plan(&[MemberBehavior::HoldReply("held")]);
+        replicas[1].plan(&[MemberBehavior::HoldReply("held")]);
         let mut client = front.connect(&proxy);
-        client.send(&[front.read(1, "any", KEY), front.read(2, "any", KEY)].concat());
-        replicas[0].wait("hold");
-        replicas[1].wait("hold");
+        client.send(&[front.read_query(1, "any", KEY), front.read_query(2, "any", KEY)].concat());
+        replicas[0].wait_for(MemberEvent::ReplyHeld);
+        replicas[1].wait_for(MemberEvent::ReplyHeld);
         let first = usize::from(ran(&[&replicas[1]]) == [1]);
-        replicas[1 - first].release(1);
-        told(&proxy, "pending=1");
+        replicas[1 - first].release_replies(1);
+        wait_for_counter(&proxy, "pending=1");
         nothing_said(&client);
-        replicas[first].release(1);
-        assert_eq!([client.answer(), client.answer()], [front.served("held"), front.served("held")]);
+        replicas[first].release_replies(1);
+        assert_eq!([client.read_reply(), client.read_reply()], [front.served("held"), front.served("held")]);
         assert_eq!((ran(&[&replicas[first]]), ran(&[&replicas[1 - first]])), (vec![1], vec![2]), "{front:?}");
     }
 }
@@ -122,19 +137,23 @@
 fn each_reply_belongs_to_its_command_whatever_finishes_first() {
     for front in FRONTS {
         let (_primary, replicas, proxy) = group(1);
-        replicas[0].plan(&[Does::Hold("first"), Does::Value("second"), Does::Value("third")]);
+        replicas[0].plan(&[
+            MemberBehavior::HoldReply("first"),
+            MemberBehavior::ServeValue("second"),
+            MemberBehavior::ServeValue("third"),
+        ]);
         let mut client = front.connect(&proxy);
-        client.send(&front.read(1, "any", KEY));
-        replicas[0].wait("hold");
-        client.send(&[front.read(2, "any", KEY), front.read(3, "any", KEY)].concat());
-        told(&proxy, "pending=1");
-        while replicas[0].runs() < 3 {
-            told(&proxy, "pending=1");
+        client.send(&front.read_query(1, "any", KEY));
+        replicas[0].wait_for(MemberEvent::ReplyHeld);
+        client.send(&[front.read_query(2, "any", KEY), front.read_query(3, "any", KEY)].concat());
+        wait_for_counter(&proxy, "pending=1");
+        while replicas[0].executed_count() < 3 {
+            wait_for_counter(&proxy, "pending=1");
         }
         nothing_said(&client);
-        replicas[0].release(1);
-        assert_eq!(client.answer(), front.served("first"), "{front:?}");
-        let mut rest = [client.answer(), client.answer()];
+        replicas[0].release_replies(1);
+        assert_eq!(client.read_reply(), front.served("first"), "{front:?}");
+        let mut rest = [client.read_reply(), client.read_reply()];
         rest.sort();
         assert_eq!(rest, [front.served("second"), front.served("third")], "{front:?}");
     }
@@ -144,24 +163,24 @@
 fn a_hung_head_of_line_fails_at_its_own_deadline_and_frees_those_behind_it() {
     for front in FRONTS {
         let (_primary, replicas, proxy) = group(1);
-        replicas[0].plan(&[Does::Hang(b'Q'), Does::Serve, Does::Serve]);
-        if front == Front::Extended {
-            replicas[0].seen.lock().unwrap().plan[0] = Does::Hang(b'E');
-        }
+        replicas[0].plan(&[front.hang(), MemberBehavior::Serve, MemberBehavior::Serve]);
         let mut client = front.connect(&proxy);
         let begun = Instant::now();
-        client.send(&front.read(1, "any", KEY));
-        replicas[0].wait("hang");
-        client.send(&[front.read(2, "any", KEY), front.read(3, "any", KEY)].concat());
-        told(&proxy, "any.completed=3"); // One was served as the test began.
+        client.send(&front.read_query(1, "any", KEY));
+        replicas[0].wait_for(MemberEvent::Hanging);
+        client.send(&[front.read_query(2, "any", KEY), front.read_query(3, "any", KEY)].concat());
+        wait_for_counter(&proxy, "any.completed=3"); // One was served as the test began.
         assert!(
             begun.elapsed() < Duration::from_millis(800),
             "{front:?}: they waited for the one that hangs"
         );
         nothing_said(&client);
-        assert!(client.answer().starts_with("E("), "{front:?}");
+        assert!(client.read_reply().starts_with("E("), "{front:?}");
         assert!(begun.elapsed() < Duration::from_millis(1100), "{front:?}: {:?}", begun.elapsed());
-        assert_eq!([client.answer(), client.answer()], [front.served("value"), front.served("value")]);
+        assert_eq!(
+            [client.read_reply(), client.read_reply()],
+            [front.served("value"), front.served("value")]
+        );
     }
 }
 
@@ -171,16 +190,19 @@
         // The replica may serve reads of this session, which has written nothing lately, though it is far behind.
         let (primary, replicas, proxy) = group_behind(1, 60_000);
         let mut client = front.connect(&proxy);
-        client.send(&front.read(1, "own", KEY));
-        assert_eq!(client.answer(), front.served("value"));
+        client.send(&front.read_query(1, "own", KEY));
+        assert_eq!(client.read_reply(), front.served("value"));
         assert_eq!(ran(&[&replicas[0]]), [1], "{front:?}");
-        primary.plan(&[Does::Hold("written"), Does::Value("fresh")]);
-        client.send(&[front.write(2, 4000, KEY), front.read(3, "own", KEY)].concat());
-        primary.wait("hold");
+        primary.plan(&[MemberBehavior::HoldReply("written"), MemberBehavior::ServeValue("fresh")]);
+        client.send(&[front.write_query(2, 4000, KEY), front.read_query(3, "own", KEY)].concat());
+        primary.wait_for(MemberEvent::ReplyHeld);
         passed_by(&proxy, front, 4);
         assert_eq!(ran(&[&primary, &replicas[0]]), [2, 1, 4], "{front:?}: the read has not begun");
-        primary.release(1);
-        assert_eq!([client.answer(), client.answer()], [front.served("written"), front.served("fresh")]);
+        primary.release_replies(1);
+        assert_eq!(
+            [client.read_reply(), client.read_reply()],
+            [front.served("written"), front.served("fresh")]
+        );
         assert_eq!(ran(&[&primary]), [2, 3], "{front:?}");
     }
 }
@@ -189,15 +211,23 @@
 fn a_write_does_not_overtake_an_earlier_write() {
     for front in FRONTS {
         let (primary, _replicas, proxy) = group(1);
-        primary.plan(&[Does::Hold("one"), Does::Value("two"), Does::Value("three")]);
+        primary.plan(&[
+            MemberBehavior::HoldReply("one"),
+            MemberBehavior::ServeValue("two"),
+            MemberBehavior::ServeValue("three"),
+        ]);
         let mut client = front.connect(&proxy);
-        let writes = [front.write(1, 4000, KEY), front.write(2, 4000, OTHER), front.write(3, 4000, KEY)];
+        let writes = [
+            front.write_query(1, 4000, KEY),
+            front.write_query(2, 4000, OTHER),
+            front.write_query(3, 4000, KEY),
+        ];
         client.send(&writes.concat());
-        primary.wait("hold");
+        primary.wait_for(MemberEvent::ReplyHeld);
         passed_by(&proxy, front, 4);
         assert_eq!(ran(&[&primary]), [1], "{front:?}");
-        primary.release(1);
-        let answers = [client.answer(), client.answer(), client.answer()];
+        primary.release_replies(1);
+        let answers = [client.read_reply(), client.read_reply(), client.read_reply()];
         assert_eq!(answers, ["one", "two", "three"].map(|value| front.served(value)));
         assert_eq!(ran(&[&primary]), [1, 2, 3], "{front:?}");
     }
@@ -207,16 +237,16 @@
 fn a_write_waits_for_an_earlier_read_of_its_session_and_for_no_other() {
     for front in FRONTS {
         let (primary, replicas, proxy) = group(1);
-        replicas[0].plan(&[Does::Hold("before")]);
+        replicas[0].plan(&[MemberBehavior::HoldReply("before")]);
         let mut client = front.connect(&proxy);
-        client.send(&front.read(1, "any", KEY));
-        replicas[0].wait("hold");
-        client.send(&[front.write(2, 4000, OTHER), front.write(3, 4000, KEY)].concat());
-        told(&proxy, "write.completed=2"); // One was served as the test began.
+        client.send(&front.read_query(1, "any", KEY));
+        replicas[0].wait_for(MemberEvent::ReplyHeld);
+        client.send(&[front.write_query(2, 4000, OTHER), front.write_query(3, 4000, KEY)].concat());
+        wait_for_counter(&proxy, "write.completed=2"); // One was served as the test began.
         passed_by(&proxy, front, 4);
         assert_eq!(ran(&[&primary]), [2], "{front:?}");
-        replicas[0].release(1);
-        let answers = [client.answer(), client.answer(), client.answer()];
+        replicas[0].release_replies(1);
+        let answers = [client.read_reply(), client.read_reply(), client.read_reply()];
         assert_eq!(answers, ["before", "value", "value"].map(|value| front.served(value)));
         assert_eq!(ran(&[&primary]), [2, 3], "{front:?}");
     }
@@ -226,13 +256,20 @@
 fn a_write_that_failed_lets_the_commands_behind_it_go_on() {
     for front in FRONTS {
         let (primary, _replicas, proxy) = group(1);
-        primary.plan(&[if front == Front::Platform { Does::Hang(b'Q') } else { Does::Hang(b'E') }]);
+        primary.plan(&[front.hang()]);
         let mut client = front.connect(&proxy);
-        let commands = [front.write(1, 500, KEY), front.read(2, "any", KEY), front.write(3, 4000, KEY)];
+        let commands = [
+            front.write_query(1, 500, KEY),
+            front.read_query(2, "any", KEY),
+            front.write_query(3, 4000, KEY),
+        ];
         client.send(&commands.concat());
-        primary.wait("hang");
-        assert!(client.answer().ends_with("E(08007) Z"), "{front:?}");
-        assert_eq!([client.answer(), client.answer()], [front.served("value"), front.served("value")]);
+        primary.wait_for(MemberEvent::Hanging);
+        assert!(client.read_reply().ends_with("E(08007) Z"), "{front:?}");
+        assert_eq!(
+            [client.read_reply(), client.read_reply()],
+            [front.served("value"), front.served("value")]
+        );
         assert_eq!(ran(&[&primary]), [1, 3], "{front:?}");
     }
 }
@@ -241,19 +278,25 @@
 fn a_request_whose_time_is_over_before_its_turn_comes_is_rejected_and_not_begun() {
     for front in FRONTS {
         let (primary, _replicas, proxy) = group(1);
-        primary.plan(&[Does::Hold("slow")]);
+        primary.plan(&[MemberBehavior::HoldReply("slow")]);
         let mut client = front.connect(&proxy);
-        client
-            .send(&[front.write(1, 4000, KEY), front.write(2, 300, KEY), front.write(3, 4000, KEY)].concat());
-        primary.wait("hold");
+        client.send(
+            &[
+                front.write_query(1, 4000, KEY),
+                front.write_query(2, 300, KEY),
+                front.write_query(3, 4000, KEY),
+            ]
+            .concat(),
+        );
+        primary.wait_for(MemberEvent::ReplyHeld);
         let held = Instant::now();
         while held.elapsed() < Duration::from_millis(350) {
             passed_by(&proxy, front, 0x10 + held.elapsed().as_micros() as u32);
         }
-        primary.release(1);
-        assert_eq!(client.answer(), front.served("slow"));
-        assert_eq!(client.answer(), "E(53300) Z", "{front:?}");
-        assert_eq!(client.answer(), front.served("value"));
+        primary.release_replies(1);
+        assert_eq!(client.read_reply(), front.served("slow"));
+        assert_eq!(client.read_reply(), "E(53300) Z", "{front:?}");
+        assert_eq!(client.read_reply(), front.served("value"));
         assert_eq!(ran(&[&primary]), [1, 3], "{front:?}");
     }
 }
@@ -262,21 +305,21 @@
 fn a_client_that_leaves_ends_all_its_attempts_and_nothing_of_it_begins() {
     for front in FRONTS {
         let (primary, replicas, proxy) = group(2);
-        let hang = if front == Front::Platform { Does::Hang(b'Q') } else { Does::Hang(b'E') };
+        let hang = front.hang();
         replicas.iter().for_each(|replica| replica.plan(&[hang]));
-        primary.plan(&[Does::Hold("never")]);
+        primary.plan(&[MemberBehavior::HoldReply("never")]);
         let mut client = front.connect(&proxy);
-        client.send(&[front.read(1, "any", KEY), front.read(2, "any", KEY)].concat());
-        replicas.iter().for_each(|replica| replica.wait("hang"));
-        client.send(&[front.write(3, 4000, OTHER), front.write(4, 4000, OTHER)].concat());
-        primary.wait("hold");
+        client.send(&[front.read_query(1, "any", KEY), front.read_query(2, "any", KEY)].concat());
+        replicas.iter().for_each(|replica| replica.wait_for(MemberEvent::Hanging));
+        client.send(&[front.write_query(3, 4000, OTHER), front.write_query(4, 4000, OTHER)].concat());
+        primary.wait_for(MemberEvent::ReplyHeld);
         drop(client);
-        replicas.iter().for_each(|replica| replica.wait("end"));
-        told(&proxy, "pending=0");
-        primary.release(1);
+        replicas.iter().for_each(|replica| replica.wait_for(MemberEvent::ConnectionClosed));
+        wait_for_counter(&proxy, "pending=0");
+        primary.release_replies(1);
         let mut other = front.connect(&proxy);
-        other.send(&front.write(5, 900, KEY));
-        assert_eq!(other.answer(), front.served("value"));
+        other.send(&front.write_query(5, 900, KEY));
+        assert_eq!(other.read_reply(), front.served("value"));
         assert_eq!(ran(&[&primary]), [3, 5], "{front:?}: what waited for the write has not begun");
     }
 }
@@ -285,23 +328,21 @@
 fn a_cancel_ends_the_first_unanswered_command_and_no_other() {
     for front in FRONTS {
         let (_primary, replicas, proxy) = group(2);
-        replicas.iter().for_each(|replica| replica.plan(&[Does::Hold("held")]));
+        replicas.iter().for_each(|replica| replica.plan(&[MemberBehavior::HoldReply("held")]));
         let mut client = front.connect(&proxy);
-        client.send(&[front.read(1, "any", KEY), front.read(2, "any", KEY)].concat());
-        replicas.iter().for_each(|replica| replica.wait("hold"));
+        client.send(&[front.read_query(1, "any", KEY), front.read_query(2, "any", KEY)].concat());
+        replicas.iter().for_each(|replica| replica.wait_for(MemberEvent::ReplyHeld));
         let first = usize::from(ran(&[&replicas[1]]) == [1]);
-        let mut cancel =
-            Client::raw(if front == Front::Platform { proxy.address } else { proxy.extended.unwrap() });
-        cancel.send(&[&[0, 0, 0, 16, 4, 210, 22, 46][..], &client.key].concat());
-        assert_eq!(client.answer(), "E(08007) Z");
-        replicas[first].release(1);
+        let _cancel = client.send_cancel_to(front.address(&proxy));
+        assert_eq!(client.read_reply(), "E(08007) Z");
+        replicas[first].release_replies(1);
         nothing_said(&client);
-        replicas[1 - first].release(1);
-        assert_eq!(client.answer(), front.served("held"));
+        replicas[1 - first].release_replies(1);
+        assert_eq!(client.read_reply(), front.served("held"));
         // What the cancelled attempt leaves behind reaches nobody.
         for id in 3..7 {
-            client.send(&front.read(id, "any", KEY));
-            assert_eq!(client.answer(), front.served("value"), "{front:?}");
+            client.send(&front.read_query(id, "any", KEY));
+            assert_eq!(client.read_reply(), front.served("value"), "{front:?}");
         }
     }
 }
@@ -310,20 +351,24 @@
 fn sigterm_leaves_every_command_in_progress_with_one_answer() {
     for front in FRONTS {
         let (primary, replicas, mut proxy) = group(2);
-        let hang = if front == Front::Platform { Does::Hang(b'Q') } else { Does::Hang(b'E') };
+        let hang = front.hang();
         replicas[0].plan(&[hang]);
         replicas[1].plan(&[hang]);
         primary.plan(&[hang]);
         let mut client = front.connect(&proxy);
-        client.send(&[front.read(1, "any", KEY), front.read(2, "any", KEY)].concat());
-        replicas.iter().for_each(|replica| replica.wait("hang"));
+        client.send(&[front.read_query(1, "any", KEY), front.read_query(2, "any", KEY)].concat());
+        replicas.iter().for_each(|replica| replica.wait_for(MemberEvent::Hanging));
         client.send(
-            &[front.write(3, 15_000, OTHER), front.write(4, 15_000, OTHER), front.read(5, "any", OTHER)]
-                .concat(),
+            &[
+                front.write_query(3, 15_000, OTHER),
+                front.write_query(4, 15_000, OTHER),
+                front.read_query(5, "any", OTHER),
+            ]
+            .concat(),
         );
-        primary.wait("hang");
+        primary.wait_for(MemberEvent::Hanging);
         proxy.signal("-TERM");
-        let mut answers: Vec<_> = (0..5).map(|_| client.answer()).collect();
+        let mut answers: Vec<_> = (0..5).map(|_| client.read_reply()).collect();
         assert!(answers.iter().all(|answer| answer.contains("E(") && answer.ends_with(" Z")), "{answers:?}");
         assert!(answers.remove(2).ends_with("E(08007) Z"), "{front:?}: the write may have run");
         assert_eq!(ran(&[&primary]), [3], "{front:?}: the second write was not begun");
@@ -336,20 +381,20 @@
 fn a_connection_with_as_many_commands_in_progress_as_it_may_have_is_not_read_from() {
     for front in FRONTS {
         let (primary, replicas, proxy) = group(2);
-        replicas.iter().for_each(|replica| replica.plan(&[Does::Hold("held"); 8]));
+        replicas.iter().for_each(|replica| replica.plan(&[MemberBehavior::HoldReply("held"); 8]));
         let mut client = front.connect(&proxy);
-        let commands: Vec<_> = (1..=12).map(|id| front.read(id, "own", KEY)).collect();
+        let commands: Vec<_> = (1..=12).map(|id| front.read_query(id, "own", KEY)).collect();
         client.send(&commands.concat());
-        told(&proxy, "pending=8");
+        wait_for_counter(&proxy, "pending=8");
         let mut other = front.connect(&proxy);
-        other.send(&front.write(0x20, 900, OTHER));
-        assert_eq!(other.answer(), front.served("value"));
-        told(&proxy, "pending=8");
+        other.send(&front.write_query(0x20, 900, OTHER));
+        assert_eq!(other.read_reply(), front.served("value"));
+        wait_for_counter(&proxy, "pending=8");
         let all: Vec<_> = replicas.iter().chain([&primary]).collect();
         assert!(ran(&all).iter().all(|id| *id <= 8 || *id == 0x20), "{front:?}: {:?}", ran(&all));
-        replicas.iter().for_each(|replica| replica.release(8));
+        replicas.iter().for_each(|replica| replica.release_replies(8));
         for id in 1..=12 {
-            assert!(client.answer().ends_with(" C Z"), "{front:?}: {id}");
+            assert!(client.read_reply().ends_with(" C Z"), "{front:?}: {id}");
         }
     }
 }
@@ -360,23 +405,28 @@
     for front in FRONTS {
         let (primary, replicas, proxy) = group(1);
         let replica = &replicas[0];
-        replica.plan(&[Does::Hold("held"), Does::Value(large), Does::Value(large), Does::Value(large)]);
+        replica.plan(&[
+            MemberBehavior::HoldReply("held"),
+            MemberBehavior::ServeValue(large),
+            MemberBehavior::ServeValue(large),
+            MemberBehavior::ServeValue(large),
+        ]);
         let mut client = front.connect(&proxy);
-        client.send(&front.read(1, "own", KEY));
-        replica.wait("hold");
+        client.send(&front.read_query(1, "own", KEY));
+        replica.wait_for(MemberEvent::ReplyHeld);
         for id in 2..=4 {
-            client.send(&front.read(id, "own", KEY));
+            client.send(&front.read_query(id, "own", KEY));
             // One was served as the test began for each of the classes, and all but the held one since.
-            told(&proxy, &format!("own.completed={}", id - 1));
+            wait_for_counter(&proxy, &format!("own.completed={}", id - 1));
         }
-        client.send(&front.read(5, "own", KEY));
+        client.send(&front.read_query(5, "own", KEY));
         passed_by(&proxy, front, 6);
-        told(&proxy, "pending=1");
+        wait_for_counter(&proxy, "pending=1");
         assert_eq!(ran(&[&primary, replica]), [1, 2, 3, 4, 6], "{front:?}: 180 KB wait");
-        replica.release(1);
-        assert_eq!(client.answer(), front.served("held"));
-        (2..=4).for_each(|_| assert_eq!(client.answer(), front.served(large)));
-        assert_eq!(client.answer(), front.served("value"));
+        replica.release_replies(1);
+        assert_eq!(client.read_reply(), front.served("held"));
+        (2..=4).for_each(|_| assert_eq!(client.read_reply(), front.served(large)));
+        assert_eq!(client.read_reply(), front.served("value"));
     }
 }
 
@@ -384,17 +434,17 @@
 fn an_extended_unit_that_rests_on_an_unfinished_one_keeps_its_order() {
     let (_primary, replicas, proxy) = group(1);
     let read = "SELECT payload FROM entries WHERE ref = $1 /* c=any,d=900 */";
-    replicas[0].plan(&[Does::Hold("held")]);
-    let mut client = proxy.extended();
-    client.send(&messages(&format!(
+    replicas[0].plan(&[MemberBehavior::HoldReply("held")]);
+    let mut client = proxy.connect_extended();
+    client.send(&extended_messages(&format!(
         "P r {read} | B - r | E - | S | B - r | E - | S | P - {read} | B - - | E - | S"
     )));
     // The first holds back the second, which rests on it, and with it all that comes later.
-    told(&proxy, "pending=1");
+    wait_for_counter(&proxy, "pending=1");
     passed_by(&proxy, Front::Extended, 9);
-    assert_eq!(replicas[0].runs(), 2, "the first one and the other client's");
-    replicas[0].release(1);
-    let answers = [client.answer(), client.answer(), client.answer()];
+    assert_eq!(replicas[0].executed_count(), 2, "the first one and the other client's");
+    replicas[0].release_replies(1);
+    let answers = [client.read_reply(), client.read_reply(), client.read_reply()];
     assert!(answers.iter().zip(["1 2 D", "2 D", "1 2 D"]).all(|(a, b)| a.starts_with(b)), "{answers:?}");
 }
 
@@ -402,13 +452,13 @@
 fn a_unit_behind_one_that_failed_after_its_parse_finds_the_statement_and_behind_one_that_was_rejected_does_not()
  {
     let (_primary, replicas, proxy) = group(1);
-    replicas[0].plan(&[Does::Error("42601")]);
-    let mut client = proxy.extended();
+    replicas[0].plan(&[MemberBehavior::ServeError("42601")]);
+    let mut client = proxy.connect_extended();
     let read = "SELECT payload FROM entries WHERE ref = $1 /* c=any,d=900 */";
-    client.send(&messages(&format!("P r {read} | B - r | E - | S | B - r | E - | S")));
-    assert_eq!([client.answer(), client.answer()], ["1 2 E(42601) Z", "2 D(value) C Z"]);
-    replicas[0].plan(&[Does::Hang(b'P')]);
+    client.send(&extended_messages(&format!("P r {read} | B - r | E - | S | B - r | E - | S")));
+    assert_eq!([client.read_reply(), client.read_reply()], ["1 2 E(42601) Z", "2 D(value) C Z"]);
+    replicas[0].plan(&[MemberBehavior::HangOn(b'P')]);
     let late = read.replace("d=900", "d=1").replace("payload", "other");
-    client.send(&messages(&format!("P q {late} | B - q | E - | S | B - q | E - | S")));
-    assert_eq!([client.answer(), client.answer()], ["E(53300) Z", "E(26000) Z"]);
+    client.send(&extended_messages(&format!("P q {late} | B - q | E - | S | B - q | E - | S")));
+    assert_eq!([client.read_reply(), client.read_reply()], ["E(53300) Z", "E(26000) Z"]);
 }
--- /dev/null
+++ b/tests/proxy/support/discovery.rs
@@ -0,0 +1,158 @@
+//! Stand-ins for discovery, and the endpoint lists that they send.
+
+use super::{MockMember, TEST_TIMEOUT};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, channel};
+use std::sync::{Arc, Mutex, Weak};
+use std::time::Duration;
+
+/// A text as one chunk of a chunked HTTP body.
+pub fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
+}
+
+/// A member as an entry of the endpoint list.
+pub fn endpoint_entry(uid: usize, member: &MockMember, state: &str) -> String {
+    let address = member.address;
+    let recovery = if member.primary { "off" } else { "on" };
+    format!(
+        r#"{{"uid":"s-{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":2,"state":"{state}","capacity_hint":1.0,"boot_ms":0,"recovery":"{recovery}"}}"#
+    )
+}
+
+/// A whole endpoint list.
+pub fn full_list(revision: u64, entries: &[String]) -> String {
+    format!(r#"{{"rev":{revision},"all":true,"targets":[{}]}}"#, entries.join(","))
+}
+
+/// A whole endpoint list of serving members.
+pub fn serving_list(revision: u64, members: &[(usize, &MockMember)]) -> String {
+    let entry = |(uid, member): &(usize, &MockMember)| endpoint_entry(*uid, member, "SERVING");
+    full_list(revision, &members.iter().map(entry).collect::<Vec<_>>())
+}
+
+/// An update of one entry of the endpoint list.
+pub fn endpoint_update(revision: u64, entry: &str) -> String {
+    format!(r#"{{"rev":{revision},"all":false,"targets":[{entry}]}}"#)
+}
+
+/// Reads the head of an HTTP request, and returns the request line.
+fn read_request_line(stream: &TcpStream) -> std::io::Result<String> {
+    let mut reader = BufReader::new(stream.try_clone()?);
+    let mut request_line = String::new();
+    reader.read_line(&mut request_line)?;
+    let mut line = String::new();
+    while reader.read_line(&mut line).is_ok_and(|length| length > 2) {
+        line.clear();
+    }
+    Ok(request_line)
+}
+
+/// Discovery: every watch gets the whole list, then what is pushed.
+pub struct MockDiscovery {
+    pub address: SocketAddr,
+    watches: Arc<Mutex<Vec<TcpStream>>>,
+    opened_watches: Receiver<()>,
+}
+
+impl MockDiscovery {
+    /// Serves this list; with an empty one, discovery is down: it accepts a watch and sends nothing.
+    pub fn start(list: String) -> MockDiscovery {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let watches: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
+        let (notify_watch, opened_watches) = channel();
+        if !list.is_empty() {
+            let watches = Arc::downgrade(&watches);
+            std::thread::spawn(move || send_keepalives(&watches));
+        }
+        let streams = watches.clone();
+        std::thread::spawn(move || {
+            for mut stream in listener.incoming().flatten() {
+                let request_line = read_request_line(&stream).unwrap_or_default();
+                if !request_line.contains("stream=1") {
+                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
+                    let _ = stream.write_all(format!("{head}{list}").as_bytes());
+                    continue;
+                }
+                let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+                let list = if list.is_empty() { String::new() } else { chunk(&list) };
+                let _ = stream.write_all(format!("{head}{list}").as_bytes());
+                streams.lock().unwrap().push(stream);
+                let _ = notify_watch.send(());
+            }
+        });
+        MockDiscovery { address, watches, opened_watches }
+    }
+
+    /// Sends this text to all watches.
+    pub fn push(&self, text: &str) {
+        for stream in self.watches.lock().unwrap().iter_mut() {
+            let _ = stream.write_all(chunk(text).as_bytes());
+        }
+    }
+
+    /// Closes all watches.
+    pub fn close_watches(&self) {
+        self.watches.lock().unwrap().clear();
+    }
+
+    /// Waits until the proxy has closed the first watch.
+    pub fn wait_for_closed_watch(&self) {
+        let stream = self.watches.lock().unwrap()[0].try_clone().unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        assert_eq!((&stream).read(&mut [0]).unwrap(), 0);
+    }
+
+    /// Waits for a new watch.
+    pub fn wait_for_watch(&self) {
+        self.opened_watches.recv_timeout(TEST_TIMEOUT).expect("a watch comes");
+    }
+}
+
+/// Sends an empty line to each watch once a second, as the protocol has it, until discovery is dropped.
+fn send_keepalives(watches: &Weak<Mutex<Vec<TcpStream>>>) {
+    while let Some(streams) = watches.upgrade() {
+        streams.lock().unwrap().iter_mut().for_each(|stream| drop(stream.write_all(b"1\r\n\n\r\n")));
+        drop(streams);
+        std::thread::sleep(Duration::from_secs(1));
+    }
+}
+
+/// Discovery whose every response is up to the test.
+pub struct ScriptedDiscovery {
+    pub address: SocketAddr,
+    connections: Receiver<TcpStream>,
+}
+
+impl ScriptedDiscovery {
+    /// Listens, and answers nothing by itself.
+    pub fn start() -> ScriptedDiscovery {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let (sender, connections) = channel();
+        std::thread::spawn(move || listener.incoming().flatten().try_for_each(|stream| sender.send(stream)));
+        ScriptedDiscovery { address, connections }
+    }
+
+    /// The next request, and whether it asks for a watch.
+    pub fn accept_request(&self) -> (TcpStream, bool) {
+        let stream = self.connections.recv_timeout(Duration::from_secs(15)).expect("a request comes");
+        let request_line = read_request_line(&stream).unwrap();
+        (stream, request_line.contains("stream=1"))
+    }
+
+    /// Answers the next requests with this list, up to a watch, which stays open and is returned.
+    pub fn answer_until_watch(&self, list: &str) -> TcpStream {
+        loop {
+            let (mut stream, is_watch) = self.accept_request();
+            if is_watch {
+                write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(list))
+                    .unwrap();
+                return stream;
+            }
+            write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()).unwrap();
+        }
+    }
+}
--- /dev/null
+++ b/tests/proxy/support/mod.rs
@@ -0,0 +1,23 @@
+//! Stand-ins on loopback for members, discovery and clients, around the real program as a process.
+
+mod client;
+mod discovery;
+mod member;
+mod proxy;
+mod wire;
+
+pub use client::Client;
+pub use discovery::{
+    MockDiscovery, ScriptedDiscovery, chunk, endpoint_entry, endpoint_update, full_list, serving_list,
+};
+pub use member::{MemberBehavior, MemberEvent, MockMember};
+pub use proxy::{Proxy, configuration, configuration_at, shell_without_probes, wait_for_counter};
+pub use wire::{extended_messages, read_query, simple_query, startup_message, write_query};
+
+use std::time::Duration;
+
+/// Longer than anything here takes; reached only by a test that fails.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// The reply to a simple query that was served, as [`Client::read_reply`] describes it.
+pub const SERVED: &str = "T D(value) C Z";
