--- a/tests/proxy/support/client.rs
+++ b/tests/proxy/support/client.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Reads up to ReadyForQuery or the end of the stream, and describes the messages in a line: the tag of each,
-    /// a row with its value, an error with its code, and `end` for the end of the stream.
+    /// Reads up to ReadyForQuery or the end of the stream, and describes the messages in a line: the tag of
+    /// each, a row with its value, an error with its code, and `end` for the end of the stream.
     pub fn read_reply(&mut self) -> String {
         self.read_reply_until(|tag| tag == b'Z')
     }
--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -3,6 +3,7 @@
 mod client;
 mod discovery;
 mod member;
+mod member_connection;
 mod proxy;
 mod wire;
 
--- a/tests/proxy/support/proxy.rs
+++ b/tests/proxy/support/proxy.rs
@@ -39,8 +39,8 @@
     )
 }
 
-/// A shell command that starts the program with an admin listener, where only attempts open connections to members,
-/// which may take long to come up; `more` is a further sed script on the configuration.
+/// A shell command that starts the program with an admin listener, where only attempts open connections to
+/// members, which may take long to come up; `more` is a further sed script on the configuration.
 pub fn shell_without_probes(more: &str) -> String {
     let edit = "s/\"probes\":true/\"probes\":false,\"dial_timeout_us\":10000000/";
     format!(
@@ -92,7 +92,8 @@
 }
 
 impl Proxy {
-    /// Starts the program in front of these members, and waits until it is ready and has heard from its primary.
+    /// Starts the program in front of these members, and waits until it is ready and has heard from its
+    /// primary.
     pub fn start(members: &[&MockMember]) -> Proxy {
         let proxy = Proxy::start_with_shell(members, "exec \"$0\" serve --postgres \"$1\"", "");
         assert_eq!(proxy.connect().query(&write_query(0, 900)), SERVED);
@@ -222,7 +223,8 @@
         .unwrap()
 }
 
-/// Reads the log until it has named the listeners; the rest is read and dropped, so that the process never blocks.
+/// Reads the log until it has named the listeners; the rest is read and dropped, so that the process never
+/// blocks.
 fn read_listeners(stderr: ChildStderr, wants_extended: bool) -> Listeners {
     let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
     let mut listeners = Listeners::default();
--- a/tests/proxy/support/wire.rs
+++ b/tests/proxy/support/wire.rs
@@ -54,8 +54,8 @@
     format!("INSERT INTO entries VALUES ('7f', '\\x9f') /* id={id:x},c=write,d={timeout_ms},cluster=2 */")
 }
 
-/// Extended messages in short notation, separated by `|`: `P name sql`, `B portal name parameter`, `E portal`,
-/// `DS name`, `DP portal`, `CS name`, `CP portal`, `H`, `S`. A name of `-` is the unnamed one.
+/// Extended messages in short notation, separated by `|`: `P name sql`, `B portal name parameter`, `E
+/// portal`, `DS name`, `DP portal`, `CS name`, `CP portal`, `H`, `S`. A name of `-` is the unnamed one.
 pub fn extended_messages(script: &str) -> Vec<u8> {
     let mut out = Vec::new();
     for part in script.split('|').map(str::trim) {
