--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! What clients send, as the thread that reads from them hands it over: connection events, and commands with the
-//! fields that decisions need already parsed.
+//! What clients send, as the thread that reads from them hands it over: connection events, and commands with
+//! the fields that decisions need already parsed.
 
 mod simple_query;
 
@@ -19,13 +19,13 @@
         /// The secret.
         secret: u32,
     },
-    /// An opening packet.
+    /// A startup packet.
     Opening(StartupPacket),
-    /// A command, read whole.
+    /// A complete command.
     Command(C),
-    /// A message that this front does not serve.
+    /// A message that this front does not support.
     Unsupported,
-    /// The client says that it is done.
+    /// The client is about to close the connection.
     Terminate,
     /// A message that breaks the protocol.
     Malformed(ProtocolError),
@@ -33,34 +33,34 @@
     Disconnected,
 }
 
-/// What is asked of the core.
+/// A client's request, with what routing needs already parsed.
 pub struct ParsedRequest {
-    /// The class.
+    /// The index of the request class.
     pub class: usize,
-    /// It changes data.
+    /// Whether it changes data.
     pub writes: bool,
-    /// The group.
+    /// The group that holds its data.
     pub group: u32,
     /// The session, 0 for none.
     pub session: u64,
     /// The position that a read must see, as time on the core's clock.
-    pub after: Option<Micros>,
-    /// A client's retry.
-    pub repeat: bool,
-    /// The request's own name, which no other open request may have; empty for none.
-    pub name: Vec<u8>,
-    /// How long the client waits.
-    pub wait: Micros,
+    pub required_position: Option<Micros>,
+    /// Whether the client has tried before.
+    pub is_retry: bool,
+    /// The client's own id of the request, which no other pending request may have; empty for none.
+    pub external_id: Vec<u8>,
+    /// How long the client waits, counted from when the command was read.
+    pub timeout: Micros,
     /// What a member is asked.
-    pub work: MemberRequest,
+    pub member_request: MemberRequest,
 }
 
-/// Messages up to a Sync, a Flush, or a simple query by itself.
+/// The messages up to a Sync or a Flush, or a simple query by itself.
 pub struct ClientBatch {
     /// When the last byte was read.
     pub at: Micros,
     /// The messages.
     pub messages: Vec<Vec<u8>>,
-    /// What ended it: `S`, `H` or `Q`.
+    /// The type of the message that ended it: Sync, Flush or Query.
     pub end: u8,
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,6 +1,6 @@
 //! The fronts: each turns what clients say into requests for the core, and verdicts into answers. What they
-//! have in common is the [`ConnectionManager`]: connections, their [`Pipeline`]s of commands, cancels and closing. A front's
-//! own way of talking is its [`Protocol`].
+//! have in common is the [`ConnectionManager`]: connections, their [`Pipeline`]s of commands, cancels and
+//! closing. A front's own way of talking is its [`Protocol`].
 
 mod pipeline;
 pub mod platform;
@@ -22,8 +22,8 @@
 const IDLE: Micros = 2_000_000;
 const SILENT: Micros = 200_000;
 
-/// Bytes of finished replies of one connection that may wait for an earlier one before no further command of it
-/// begins behind an unfinished one.
+/// Bytes of finished replies of one connection that may wait for an earlier one before no further command of
+/// it begins behind an unfinished one.
 const REORDERED_BYTES: usize = 160 * 1024;
 
 /// What a front wants done.
@@ -313,8 +313,8 @@
         out
     }
 
-    /// Moves a client's commands on: looks at those that have come, lets go of the replies whose turn it is, and
-    /// begins what may begin. On a connection, answers arrive in the order of its commands.
+    /// Moves a client's commands on: looks at those that have come, lets go of the replies whose turn it is,
+    /// and begins what may begin. On a connection, answers arrive in the order of its commands.
     fn next(&mut self, desk: &mut RequestRegistry, now: Micros, id: ClientId, out: &mut Vec<FrontEffect>) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         let before = client.pipeline.buffered();
@@ -352,7 +352,8 @@
         }
     }
 
-    /// Begins the requests whose turn it is; `true` if one of them was answered here, so that more may follow.
+    /// Begins the requests whose turn it is; `true` if one of them was answered here, so that more may
+    /// follow.
     fn begin(
         client: &mut Client<P>,
         desk: &mut RequestRegistry,
@@ -368,7 +369,7 @@
             from = index + 1;
             let Some(mut ready) = client.pipeline.ready(index) else { continue };
             // Guards against an answer that would be taken for another request's.
-            let Some(request) = desk.open(id, std::mem::take(&mut ready.ask.name)) else {
+            let Some(request) = desk.open(id, std::mem::take(&mut ready.ask.external_id)) else {
                 let mut bytes = Vec::new();
                 let why = "a request of this id is open";
                 pg::put_error_response(&mut bytes, "ERROR", pg::sqlstate::PROTOCOL_VIOLATION, why, None);
@@ -436,8 +437,8 @@
     }
 }
 
-/// A request as the core takes it. Its time counts from when its last byte was read, also where it had to wait for
-/// earlier commands: its client counts from when it was sent.
+/// A request as the core takes it. Its time counts from when its last byte was read, also where it had to
+/// wait for earlier commands: its client counts from when it was sent.
 fn arrival(id: RequestId, now: Micros, read_at: Micros, ask: ParsedRequest) -> NewRequest<MemberRequest> {
     let request = Request {
         id,
@@ -445,11 +446,11 @@
         group: ask.group,
         session: ask.session,
         tenant: 0,
-        time_since_write: ask.after.map(|after| now.saturating_sub(after)),
-        remaining: ask.wait.saturating_sub(now.saturating_sub(read_at)),
-        is_retry: ask.repeat,
+        time_since_write: ask.required_position.map(|after| now.saturating_sub(after)),
+        remaining: ask.timeout.saturating_sub(now.saturating_sub(read_at)),
+        is_retry: ask.is_retry,
     };
-    NewRequest { request, work: ask.work.into() }
+    NewRequest { request, work: ask.member_request.into() }
 }
 
 /// Appends the error for a verdict that is not served, or the answer of one that is.
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -20,8 +20,9 @@
 }
 
 impl Access {
-    /// This command may not begin before an earlier one of its connection has ended. A read sees what an earlier
-    /// write wrote, writes keep their order, and a read does not see a later write of its own session.
+    /// This command may not begin before an earlier one of its connection has ended. A read sees what an
+    /// earlier write wrote, writes keep their order, and a read does not see a later write of its own
+    /// session.
     fn must_follow(&self, earlier: &Access) -> bool {
         let same_session = self.session == earlier.session || self.session == 0 || earlier.session == 0;
         self.group == earlier.group && (earlier.writes || (self.writes && same_session))
@@ -149,7 +150,8 @@
         self.entries[index].stage = Stage::Deferred(Box::new(ask), context);
     }
 
-    /// The first command from `from` on that may begin. With `only_first`, none begins behind an unfinished one.
+    /// The first command from `from` on that may begin. With `only_first`, none begins behind an unfinished
+    /// one.
     pub fn next_ready(&self, from: usize, only_first: bool) -> Option<usize> {
         (from..self.entries.len()).find(|index| {
             let entry = &self.entries[*index];
@@ -171,7 +173,7 @@
             Stage::Deferred(mut ask, context) => {
                 let read_at = entry.read_at;
                 entry.stage = Stage::Running(0, context);
-                ask.after = ask.after.max(commit);
+                ask.required_position = ask.required_position.max(commit);
                 Some(Ready { index, read_at, ask: *ask })
             }
             stage => {
@@ -181,8 +183,8 @@
         }
     }
 
-    /// The latest commit before a read that its client may not have been told of when it sent the read, or that is
-    /// of the read's own session.
+    /// The latest commit before a read that its client may not have been told of when it sent the read, or
+    /// that is of the read's own session.
     fn commit_to_see(&self, index: usize) -> Option<Micros> {
         let entry = &self.entries[index];
         let read = entry.access.filter(|access| !access.writes)?;
@@ -210,7 +212,8 @@
         self.entries.iter().position(|entry| entry.request() == Some(request))
     }
 
-    /// A request has its final answer, of which `reply` makes the client's; `commit` is that of a served write.
+    /// A request has its final answer, of which `reply` makes the client's; `commit` is that of a served
+    /// write.
     pub fn finish(
         &mut self,
         index: usize,
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -35,12 +35,17 @@
                 );
             }
             Ok(ParsedQuery::Empty) => pg::put_message(&mut bytes, b'I', &[]),
-            Err(why) => {
-                pg::put_error_response(&mut bytes, "ERROR", pg::sqlstate::PROTOCOL_VIOLATION, why, None)
-            }
+            Err(why) => pg::put_error_response(
+                &mut bytes,
+                "ERROR",
+                pg::sqlstate::PROTOCOL_VIOLATION,
+                &why.to_string(),
+                None,
+            ),
             Ok(ParsedQuery::Request(ask, place)) => {
-                let work = MemberRequest::SimpleQuery { text: query.text, wait_digits: Some(place) };
-                return CommandStep::Forward(ParsedRequest { work, ..*ask }, ());
+                let member_request =
+                    MemberRequest::SimpleQuery { text: query.text, wait_digits: Some(place) };
+                return CommandStep::Forward(ParsedRequest { member_request, ..*ask }, ());
             }
         }
         pg::put_ready_for_query(&mut bytes);
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -224,12 +224,12 @@
             writes: used.iter().any(writes),
             group: first.group,
             session: key,
-            after: after.max(self.commits.get(&key).copied()),
-            repeat: used.iter().any(|k| k.repeat),
+            required_position: after.max(self.commits.get(&key).copied()),
+            is_retry: used.iter().any(|k| k.repeat),
             // A statement is prepared once and its id comes with every execution.
-            name: Vec::new(),
-            wait: used.iter().map(|k| k.wait).min().unwrap_or(first.wait),
-            work,
+            external_id: Vec::new(),
+            timeout: used.iter().map(|k| k.wait).min().unwrap_or(first.wait),
+            member_request: work,
         })
     }
 
@@ -278,7 +278,7 @@
         let mut ask =
             self.ask(&used, key, MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None })?;
         let careful = self.settings.classes[ask.class].idempotency != Idempotency::Idempotent;
-        ask.work =
+        ask.member_request =
             MemberRequest::Extended(ExtendedBatch { messages: parts, confirm_before_execute: careful });
         open.key = key;
         if batch.end != b'H' {
@@ -445,8 +445,8 @@
         (self.skipping, self.executed) = (false, false);
     }
 
-    /// Takes back what a unit prepared beyond its first `kept` statements, but for names that a later unit has
-    /// prepared anew.
+    /// Takes back what a unit prepared beyond its first `kept` statements, but for names that a later unit
+    /// has prepared anew.
     fn undo(&mut self, parsed: Vec<Parsed>, kept: usize) {
         for Parsed { name, prepared, before } in parsed.into_iter().skip(kept).rev() {
             if self.statements.get(&name).is_none_or(|known| !Arc::ptr_eq(&known.prepared, &prepared)) {
@@ -460,7 +460,8 @@
     }
 }
 
-/// The names of statements that a batch prepares, closes or rests on. Its own unnamed statement is its own matter.
+/// The names of statements that a batch prepares, closes or rests on. Its own unnamed statement is its own
+/// matter.
 fn names_touched(batch: &ClientBatch) -> Vec<&[u8]> {
     let mut names = Vec::new();
     let mut own_unnamed = false;
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -11,11 +11,11 @@
         writes: false,
         group: GROUP,
         session: 7,
-        after: None,
-        repeat: false,
-        name: vec![id],
-        wait: 1_000_000,
-        work: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
+        required_position: None,
+        is_retry: false,
+        external_id: vec![id],
+        timeout: 1_000_000,
+        member_request: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
     };
     ClientEvent::Command(SimpleQuery {
         at: 0,
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -5,7 +5,7 @@
 
 use crate::stable_hash::stable_hash;
 use std::ops::Range;
-pub use validate::validate;
+pub use validate::{StatementError, validate};
 
 /// The names of the comment's fields.
 mod field_names {
--- a/src/pg/statement/validate.rs
+++ b/src/pg/statement/validate.rs
@@ -58,12 +58,6 @@
 
 impl std::error::Error for StatementError {}
 
-impl From<StatementError> for &'static str {
-    fn from(error: StatementError) -> Self {
-        error.message()
-    }
-}
-
 /// Checks that a text is one statement whose one comment, at its end, can be read: what members can't read is
 /// not forwarded, as they would close the connection on it, whatever else waits there.
 pub fn validate(text: &[u8]) -> Result<(), StatementError> {
