--- /dev/null
+++ b/src/front/connection.rs
@@ -0,0 +1,138 @@
+//! One client connection, and how its commands advance.
+
+use super::pipeline::{Pipeline, Queued, Ready};
+use super::{CommandStep, FrontEffect, Protocol, RequestRegistry, ServiceState};
+use crate::client::{ClientId, ParsedRequest};
+use crate::core::NewRequest;
+use crate::exchange::MemberRequest;
+use crate::pg;
+use crate::{Micros, Request, RequestId};
+
+/// With this many bytes of finished replies of one connection waiting for an earlier one, no further command
+/// of it begins behind an unfinished one.
+const MAX_REORDERED_BYTES: usize = 160 * 1024;
+
+/// A client connection.
+pub struct Connection<P: Protocol> {
+    /// The secret of its cancel key.
+    pub secret: u32,
+    /// Whether it has made a request that a member serves.
+    pub has_requested: bool,
+    /// The commands that are not answered yet.
+    pub pipeline: Pipeline<P>,
+    /// When it was opened, or its last reply was given.
+    pub idle_since: Micros,
+    /// What the protocol keeps of it.
+    pub session: P::Session,
+}
+
+/// The requests that a connection may begin, and whether it has to go on.
+#[derive(Default)]
+pub struct BegunRequests {
+    /// The requests, in order.
+    pub requests: Vec<NewRequest<MemberRequest>>,
+    /// Whether a command was answered at once, so that others may follow.
+    pub answered_locally: bool,
+}
+
+impl<P: Protocol> Connection<P> {
+    /// A connection that has just been opened.
+    pub fn new(secret: u32, now: Micros) -> Self {
+        Connection {
+            secret,
+            has_requested: false,
+            pipeline: Pipeline::default(),
+            idle_since: now,
+            session: P::Session::default(),
+        }
+    }
+
+    /// Whether it may be closed between commands.
+    pub fn is_idle(&self) -> bool {
+        self.pipeline.is_empty()
+    }
+
+    /// Looks at the commands that have come, in their order, up to one that must wait.
+    pub fn start_queued_commands(
+        &mut self,
+        protocol: &mut P,
+        service: ServiceState,
+        effects: &mut Vec<FrontEffect>,
+    ) {
+        while let Some(Queued { index, command, unfinished }) = self.pipeline.next_queued() {
+            if P::must_wait(&command, &unfinished) {
+                return self.pipeline.put_back(index, command);
+            }
+            let step = protocol.start(&mut self.session, command, service);
+            effects.extend(protocol.take_store_changes().into_iter().map(FrontEffect::RecordChange));
+            match step {
+                CommandStep::Defer(command) => return self.pipeline.put_back(index, command),
+                CommandStep::Reply(reply) => self.pipeline.reply(index, reply),
+                CommandStep::Forward(request, context) => self.pipeline.defer(index, request, context),
+            }
+        }
+    }
+
+    /// Writes the replies whose turn it is.
+    pub fn write_replies(&mut self, id: ClientId, now: Micros, effects: &mut Vec<FrontEffect>) {
+        while let Some(reply) = self.pipeline.next_reply(now) {
+            self.idle_since = now;
+            effects.push(FrontEffect::Write(id, reply));
+            effects.push(FrontEffect::CommandAnswered(id));
+        }
+    }
+
+    /// Begins the requests whose turn it is. With `only_first`, none begins behind an unfinished command.
+    pub fn begin_requests(
+        &mut self,
+        id: ClientId,
+        now: Micros,
+        only_first: bool,
+        registry: &mut RequestRegistry,
+    ) -> BegunRequests {
+        let mut begun = BegunRequests::default();
+        let mut first = 0;
+        loop {
+            let only_first = only_first || self.pipeline.buffered() >= MAX_REORDERED_BYTES;
+            let Some(index) = self.pipeline.next_ready(first, only_first) else { return begun };
+            first = index + 1;
+            let Some(mut ready) = self.pipeline.take_ready(index) else { continue };
+            let external_id = std::mem::take(&mut ready.request.external_id);
+            // Guards against an answer that would be taken for another request's.
+            let Some(request_id) = registry.open(id, external_id) else {
+                self.pipeline.reply(index, duplicate_id_reply());
+                begun.answered_locally = true;
+                continue;
+            };
+            self.pipeline.mark_running(index, request_id);
+            self.has_requested = true;
+            begun.requests.push(new_request(request_id, now, ready));
+        }
+    }
+}
+
+fn duplicate_id_reply() -> Vec<u8> {
+    let mut bytes = Vec::new();
+    let text = "a request of this id is open";
+    pg::put_error_response(&mut bytes, "ERROR", pg::sqlstate::PROTOCOL_VIOLATION, text, None);
+    pg::put_ready_for_query(&mut bytes);
+    bytes
+}
+
+/// A request as the core takes it. Its time counts from when its last byte was read, also where it had to
+/// wait for earlier commands: its client counts from when it was sent.
+fn new_request(id: RequestId, now: Micros, ready: Ready) -> NewRequest<MemberRequest> {
+    let Ready { read_at, request: parsed } = ready;
+    let ParsedRequest { required_position, timeout, .. } = parsed;
+    let request = Request {
+        id,
+        class: parsed.class,
+        group: parsed.group,
+        session: parsed.session,
+        tenant: 0,
+        time_since_write: required_position.map(|position| now.saturating_sub(position)),
+        remaining: timeout.saturating_sub(now.saturating_sub(read_at)),
+        is_retry: parsed.is_retry,
+    };
+    NewRequest { request, work: parsed.member_request.into() }
+}
--- /dev/null
+++ b/src/front/connection_manager.rs
@@ -0,0 +1,312 @@
+//! The connections of a front.
+
+use super::connection::Connection;
+use super::{FrontEffect, Protocol, RequestRegistry, ServiceState};
+use crate::client::{ClientEvent, ClientId};
+use crate::core::FinalAnswer;
+use crate::exchange::MemberResponse;
+use crate::pg::{self, StartupPacket};
+use crate::{Micros, RequestId};
+use std::collections::BTreeMap;
+
+/// A connection that has made requests may be closed to make room when it has been idle this long.
+const EVICTABLE_AFTER_IDLE: Micros = 2_000_000;
+/// A connection that has made no request may be closed to make room this long after it was opened.
+const EVICTABLE_WITHOUT_REQUEST_AFTER: Micros = 200_000;
+/// The reply to a client that asks for an encrypted connection.
+const ENCRYPTION_NOT_SUPPORTED: &[u8] = b"N";
+
+/// The connections of a front.
+pub struct ConnectionManager<P: Protocol> {
+    protocol: P,
+    connections: BTreeMap<ClientId, Connection<P>>,
+    service: ServiceState,
+    /// Connections are closed between requests.
+    closing: bool,
+    /// Bytes of replies that wait for those of earlier commands, over all connections.
+    reordered_bytes: usize,
+    max_reordered_bytes: usize,
+}
+
+impl<P: Protocol> ConnectionManager<P> {
+    /// A front without connections. At most `max_reordered_bytes` of finished replies may wait for earlier
+    /// ones.
+    pub fn new(protocol: P, max_reordered_bytes: usize) -> Self {
+        ConnectionManager {
+            protocol,
+            connections: BTreeMap::new(),
+            service: ServiceState::Starting,
+            closing: false,
+            reordered_bytes: 0,
+            max_reordered_bytes,
+        }
+    }
+
+    /// The proxy can serve, or is taken out of service or back: commands that waited for that go on.
+    pub fn serve(
+        &mut self,
+        service: ServiceState,
+        registry: &mut RequestRegistry,
+        now: Micros,
+    ) -> Vec<FrontEffect> {
+        self.service = service;
+        self.closing &= service == ServiceState::OutOfService;
+        let mut effects = Vec::new();
+        for id in self.connection_ids() {
+            self.advance(registry, now, id, &mut effects);
+        }
+        effects
+    }
+
+    /// From now on connections are closed between requests.
+    pub fn close(&mut self) -> Vec<FrontEffect> {
+        self.closing = true;
+        let mut effects = Vec::new();
+        for id in self.connection_ids() {
+            self.close_if_idle(id, &mut effects);
+        }
+        effects
+    }
+
+    fn connection_ids(&self) -> Vec<ClientId> {
+        self.connections.keys().copied().collect()
+    }
+
+    /// The number of open connections.
+    pub fn open(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// The connection that can best be closed to make room: one that has made no request, or the one that was
+    /// idle longest, if that is long enough. With how well it can be closed.
+    pub fn idlest(&self, now: Micros) -> Option<(bool, Micros, ClientId)> {
+        let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
+        let long = idle.filter_map(|(id, connection)| {
+            let idle_for = now.saturating_sub(connection.idle_since);
+            let required = match connection.has_requested {
+                true => EVICTABLE_AFTER_IDLE,
+                false => EVICTABLE_WITHOUT_REQUEST_AFTER,
+            };
+            (idle_for >= required).then_some((!connection.has_requested, idle_for, *id))
+        });
+        long.max()
+    }
+
+    /// Connections that have made a request, and the one of them that was idle longest, with the time
+    /// from which it may be closed.
+    pub fn kept(&self) -> (usize, Option<(Micros, ClientId)>) {
+        let active = self.connections.iter().filter(|(_, connection)| connection.has_requested);
+        let idle = active.clone().filter(|(_, connection)| connection.is_idle());
+        let evictable = idle.map(|(id, connection)| (connection.idle_since + EVICTABLE_AFTER_IDLE, *id));
+        (active.count(), evictable.min())
+    }
+
+    /// A command of this connection is on its way: it is not idle.
+    pub fn stirs(&mut self, now: Micros, id: ClientId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.idle_since = now;
+        }
+    }
+
+    /// A connection has been closed between requests.
+    pub fn forget(&mut self, id: ClientId) {
+        self.connections.remove(&id);
+    }
+
+    /// Handles what a client's reader found on the wire.
+    pub fn said(
+        &mut self,
+        registry: &mut RequestRegistry,
+        now: Micros,
+        id: ClientId,
+        event: ClientEvent<P::Command>,
+    ) -> Vec<FrontEffect> {
+        let mut effects = Vec::new();
+        match event {
+            ClientEvent::Connected { secret } => {
+                self.connections.insert(id, Connection::new(secret, now));
+            }
+            // A cancel request counts also where there was no capacity for the connection that brings it.
+            ClientEvent::Opening(StartupPacket::CancelRequest { process, secret }) => {
+                self.client_disconnected(registry, id, &mut effects);
+                self.cancel(registry, now, process, secret, &mut effects);
+            }
+            event if self.connections.contains_key(&id) => {
+                self.handle_connection_event(registry, now, id, event, &mut effects);
+            }
+            _ => {}
+        }
+        effects
+    }
+
+    fn handle_connection_event(
+        &mut self,
+        registry: &mut RequestRegistry,
+        now: Micros,
+        id: ClientId,
+        event: ClientEvent<P::Command>,
+        effects: &mut Vec<FrontEffect>,
+    ) {
+        match event {
+            ClientEvent::Connected { .. } | ClientEvent::Opening(StartupPacket::CancelRequest { .. }) => {}
+            ClientEvent::Opening(StartupPacket::EncryptionRequest) => {
+                effects.push(FrontEffect::Write(id, ENCRYPTION_NOT_SUPPORTED.to_vec()));
+            }
+            ClientEvent::Opening(StartupPacket::Startup) => self.write_startup_response(id, effects),
+            ClientEvent::Command(command) => {
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    connection.pipeline.push(command);
+                }
+                self.advance(registry, now, id, effects);
+                self.close_if_idle(id, effects);
+            }
+            ClientEvent::Unsupported => {
+                let text = "only simple queries are served here";
+                self.close_with_error(registry, id, pg::sqlstate::FEATURE_NOT_SUPPORTED, text, effects);
+            }
+            ClientEvent::Malformed(error) => {
+                let text = error.to_string();
+                self.close_with_error(registry, id, pg::sqlstate::PROTOCOL_VIOLATION, &text, effects);
+            }
+            ClientEvent::Terminate | ClientEvent::Disconnected => {
+                self.client_disconnected(registry, id, effects);
+            }
+        }
+    }
+
+    fn write_startup_response(&self, id: ClientId, effects: &mut Vec<FrontEffect>) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let mut bytes = Vec::new();
+        pg::put_startup_response(&mut bytes, process_id(id), connection.secret);
+        effects.push(FrontEffect::Write(id, bytes));
+    }
+
+    /// Gives a request its final answer.
+    pub fn answer(
+        &mut self,
+        registry: &mut RequestRegistry,
+        now: Micros,
+        id: ClientId,
+        request: RequestId,
+        answer: FinalAnswer<MemberResponse>,
+    ) -> Vec<FrontEffect> {
+        let mut effects = Vec::new();
+        let Some(connection) = self.connections.get_mut(&id) else { return effects };
+        let Some(index) = connection.pipeline.position(request) else { return effects };
+        // Guards against replies that fill the memory behind one that does not come.
+        let answer = match answer {
+            FinalAnswer::Served(response)
+                if index > 0 && self.reordered_bytes + response.bytes.len() > self.max_reordered_bytes =>
+            {
+                FinalAnswer::Failed { maybe_executed: true }
+            }
+            answer => answer,
+        };
+        let commit_position = match &answer {
+            FinalAnswer::Served(response) => response.commit_position,
+            FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } => None,
+        };
+        let protocol = &mut self.protocol;
+        let session = &mut connection.session;
+        let buffered_before = connection.pipeline.buffered();
+        connection
+            .pipeline
+            .finish(index, commit_position, |context| protocol.finish(session, context, answer));
+        self.reordered_bytes += connection.pipeline.buffered() - buffered_before;
+        self.advance(registry, now, id, &mut effects);
+        self.close_if_idle(id, &mut effects);
+        effects
+    }
+
+    /// Advances a client's commands: looks at those that have come, writes the replies whose turn it is, and
+    /// begins what may begin. On a connection, replies leave in the order of its commands.
+    fn advance(
+        &mut self,
+        registry: &mut RequestRegistry,
+        now: Micros,
+        id: ClientId,
+        effects: &mut Vec<FrontEffect>,
+    ) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let buffered_before = connection.pipeline.buffered();
+        let only_first = self.reordered_bytes >= self.max_reordered_bytes / 2;
+        let mut requests = Vec::new();
+        loop {
+            connection.start_queued_commands(&mut self.protocol, self.service, effects);
+            // Before any request is started: its answer may come at once, and belongs behind these.
+            connection.write_replies(id, now, effects);
+            let begun = connection.begin_requests(id, now, only_first, registry);
+            requests.extend(begun.requests);
+            if !begun.answered_locally {
+                break;
+            }
+        }
+        self.reordered_bytes = self.reordered_bytes + connection.pipeline.buffered() - buffered_before;
+        effects.extend(requests.into_iter().map(FrontEffect::StartRequest));
+    }
+
+    fn close_if_idle(&mut self, id: ClientId, effects: &mut Vec<FrontEffect>) {
+        let idle = self.connections.get(&id).is_some_and(Connection::is_idle);
+        if self.closing && idle {
+            effects.push(FrontEffect::CloseIfIdle(id));
+        }
+    }
+
+    fn client_disconnected(
+        &mut self,
+        registry: &mut RequestRegistry,
+        id: ClientId,
+        effects: &mut Vec<FrontEffect>,
+    ) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        self.reordered_bytes -= connection.pipeline.buffered();
+        for request in connection.pipeline.running() {
+            registry.close(request);
+            effects.push(FrontEffect::AbandonRequest(request));
+        }
+        effects.push(FrontEffect::Close(id));
+    }
+
+    /// Reports an error after which the connection can't go on.
+    fn close_with_error(
+        &mut self,
+        registry: &mut RequestRegistry,
+        id: ClientId,
+        sqlstate: &str,
+        text: &str,
+        effects: &mut Vec<FrontEffect>,
+    ) {
+        let mut bytes = Vec::new();
+        pg::put_error_response(&mut bytes, "FATAL", sqlstate, text, None);
+        effects.push(FrontEffect::Write(id, bytes));
+        self.client_disconnected(registry, id, effects);
+    }
+
+    /// Cancels the first command that is not answered: in PostgreSQL, the one that runs.
+    fn cancel(
+        &mut self,
+        registry: &mut RequestRegistry,
+        now: Micros,
+        process: u32,
+        secret: u32,
+        effects: &mut Vec<FrontEffect>,
+    ) {
+        let mut connections = self.connections.iter();
+        let found =
+            connections.find(|(id, connection)| process_id(**id) == process && connection.secret == secret);
+        let Some((&id, connection)) = found else { return };
+        let Some(request) = connection.pipeline.first_running() else { return };
+        registry.close(request);
+        effects.push(FrontEffect::AbandonRequest(request));
+        let answer = FinalAnswer::Failed { maybe_executed: true };
+        effects.extend(self.answer(registry, now, id, request, answer));
+    }
+}
+
+/// The process number that a client is told for cancel requests.
+fn process_id(id: ClientId) -> u32 {
+    id as u32
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/front/connection_manager/tests.rs
@@ -0,0 +1,103 @@
+use super::*;
+use crate::client::{ParsedQuery, ParsedRequest, SimpleQuery};
+use crate::exchange::MemberRequest;
+use crate::front::platform::Platform;
+
+const GROUP: u32 = 2;
+const CLIENT: ClientId = 16;
+const MAX_REORDERED_BYTES: usize = 1000;
+
+/// A connection manager with one connection.
+struct Harness {
+    manager: ConnectionManager<Platform>,
+    registry: RequestRegistry,
+}
+
+impl Harness {
+    fn connected() -> Self {
+        let mut harness = Harness {
+            manager: ConnectionManager::new(Platform, MAX_REORDERED_BYTES),
+            registry: RequestRegistry::default(),
+        };
+        harness.handle(0, ClientEvent::Connected { secret: 1 });
+        harness
+    }
+
+    fn handle(&mut self, now: Micros, event: ClientEvent<SimpleQuery>) -> Vec<FrontEffect> {
+        self.manager.said(&mut self.registry, now, CLIENT, event)
+    }
+
+    /// Sends reads with these ids; returns the requests that were started.
+    fn send_queries(&mut self, ids: impl Iterator<Item = u8>) -> Vec<RequestId> {
+        ids.flat_map(|id| started_requests(self.handle(0, query(id)))).collect()
+    }
+
+    /// Answers a request; returns what the client is written.
+    fn answer(&mut self, now: Micros, request: RequestId, length: usize) -> Vec<Vec<u8>> {
+        written(self.manager.answer(&mut self.registry, now, CLIENT, request, served(length)))
+    }
+}
+
+fn query(id: u8) -> ClientEvent<SimpleQuery> {
+    let request = ParsedRequest {
+        class: 0,
+        writes: false,
+        group: GROUP,
+        session: 7,
+        required_position: None,
+        is_retry: false,
+        external_id: vec![id],
+        timeout: 1_000_000,
+        member_request: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
+    };
+    ClientEvent::Command(SimpleQuery {
+        at: 0,
+        text: Vec::new(),
+        fields: Ok(ParsedQuery::Request(Box::new(request), 0..0)),
+    })
+}
+
+fn started_requests(effects: Vec<FrontEffect>) -> Vec<RequestId> {
+    let id = |effect: FrontEffect| match effect {
+        FrontEffect::StartRequest(started) => Some(started.request.id),
+        _ => None,
+    };
+    effects.into_iter().filter_map(id).collect()
+}
+
+fn written(effects: Vec<FrontEffect>) -> Vec<Vec<u8>> {
+    let bytes = |effect: FrontEffect| match effect {
+        FrontEffect::Write(_, bytes) => Some(bytes),
+        _ => None,
+    };
+    effects.into_iter().filter_map(bytes).collect()
+}
+
+fn served(length: usize) -> FinalAnswer<MemberResponse> {
+    FinalAnswer::Served(MemberResponse { bytes: vec![b'.'; length], commit_position: None })
+}
+
+#[test]
+fn reply_that_exceeds_the_reorder_buffer_is_replaced_by_an_error() {
+    let mut harness = Harness::connected();
+    let requests = harness.send_queries(1..=3);
+    assert_eq!(requests.len(), 3, "they run side by side");
+    assert!(harness.answer(1, requests[2], 900).is_empty());
+    assert!(harness.answer(2, requests[1], 900).is_empty());
+    let replies = harness.answer(3, requests[0], 5000);
+    assert_eq!(replies.len(), 3);
+    assert!(replies[0].len() > 5000, "the first one waits for nothing and needs no capacity");
+    assert!(replies[1].windows(5).any(|code| code == b"08007"));
+    assert!(replies[2].len() > 900);
+    assert_eq!(harness.manager.reordered_bytes, 0);
+}
+
+#[test]
+fn disconnect_releases_the_clients_reordered_replies() {
+    let mut harness = Harness::connected();
+    let requests = harness.send_queries(1..=2);
+    harness.answer(1, requests[1], 900);
+    assert!(harness.manager.reordered_bytes >= 900);
+    harness.handle(2, ClientEvent::Disconnected);
+    assert_eq!(harness.manager.reordered_bytes, 0);
+}
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -1,4 +1,4 @@
-//! The commands of one client connection that are read and not answered yet.
+//! The commands of one client connection that have been read and are not answered yet.
 //!
 //! Commands run side by side where PostgreSQL's order allows it, and their replies leave in the order of the
 //! commands. `docs/design-pipelining.md` says which pairs may overlap, and why.
@@ -10,16 +10,20 @@
 
 /// What a command does to its group's data, as far as the order of commands goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Access {
+struct Access {
     /// It changes data.
-    pub writes: bool,
+    writes: bool,
     /// The group that it concerns.
-    pub group: u32,
+    group: u32,
     /// The session, 0 where it is not known.
-    pub session: u64,
+    session: u64,
 }
 
 impl Access {
+    fn of(request: &ParsedRequest) -> Self {
+        Access { writes: request.writes, group: request.group, session: request.session }
+    }
+
     /// This command may not begin before an earlier one of its connection has ended. A read sees what an
     /// earlier write wrote, writes keep their order, and a read does not see a later write of its own
     /// session.
@@ -56,7 +60,7 @@
 }
 
 impl<P: Protocol> Entry<P> {
-    fn finished(&self) -> bool {
+    fn is_finished(&self) -> bool {
         matches!(self.stage, Stage::Finished(_))
     }
 
@@ -76,16 +80,14 @@
 }
 
 /// Commits that a connection remembers: as many as there can be writes beside a read in one pipeline.
-const COMMITS: usize = 8;
+const MAX_REMEMBERED_COMMITS: usize = 8;
 
-/// A command that may begin now.
+/// A request that may begin now.
 pub struct Ready {
-    /// Which entry it is.
-    index: usize,
     /// When its last byte was read.
     pub read_at: Micros,
     /// What it asks of the core.
-    pub ask: ParsedRequest,
+    pub request: ParsedRequest,
 }
 
 /// A command that is to be looked at.
@@ -145,9 +147,9 @@
     }
 
     /// A command is a request; it begins once the order of commands allows it.
-    pub fn defer(&mut self, index: usize, ask: ParsedRequest, context: P::Context) {
-        self.entries[index].access = Some(ask.access());
-        self.entries[index].stage = Stage::Deferred(Box::new(ask), context);
+    pub fn defer(&mut self, index: usize, request: ParsedRequest, context: P::Context) {
+        self.entries[index].access = Some(Access::of(&request));
+        self.entries[index].stage = Stage::Deferred(Box::new(request), context);
     }
 
     /// The first command from `from` on that may begin. With `only_first`, none begins behind an unfinished
@@ -158,23 +160,24 @@
             let Some(access) = entry.access.filter(|_| matches!(entry.stage, Stage::Deferred(..))) else {
                 return false;
             };
-            let mut unfinished = self.entries.range(..*index).filter(|earlier| !earlier.finished());
+            let mut unfinished = self.entries.range(..*index).filter(|earlier| !earlier.is_finished());
             !unfinished.any(|earlier| {
                 only_first || earlier.access.as_ref().is_some_and(|earlier| access.must_follow(earlier))
             })
         })
     }
 
-    /// What the command asks; it stays where it is until [`Pipeline::run`] or [`Pipeline::reply`].
-    pub fn ready(&mut self, index: usize) -> Option<Ready> {
+    /// Takes what the command asks; the command itself stays where it is until [`Pipeline::mark_running`] or
+    /// [`Pipeline::reply`].
+    pub fn take_ready(&mut self, index: usize) -> Option<Ready> {
         let commit = self.commit_to_see(index);
         let entry = &mut self.entries[index];
         match std::mem::replace(&mut entry.stage, Stage::Finished(Vec::new())) {
-            Stage::Deferred(mut ask, context) => {
+            Stage::Deferred(mut request, context) => {
                 let read_at = entry.read_at;
                 entry.stage = Stage::Running(0, context);
-                ask.required_position = ask.required_position.max(commit);
-                Some(Ready { index, read_at, ask: *ask })
+                request.required_position = request.required_position.max(commit);
+                Some(Ready { read_at, request: *request })
             }
             stage => {
                 entry.stage = stage;
@@ -201,8 +204,8 @@
     }
 
     /// The core has the command as this request.
-    pub fn run(&mut self, ready: &Ready, request: RequestId) {
-        if let Stage::Running(number, _) = &mut self.entries[ready.index].stage {
+    pub fn mark_running(&mut self, index: usize, request: RequestId) {
+        if let Stage::Running(number, _) = &mut self.entries[index].stage {
             *number = request;
         }
     }
@@ -229,9 +232,9 @@
 
     /// Takes the first reply, if every command before it has been answered.
     pub fn next_reply(&mut self, now: Micros) -> Option<Vec<u8>> {
-        let entry = self.entries.pop_front_if(|entry| entry.finished())?;
+        let entry = self.entries.pop_front_if(|entry| entry.is_finished())?;
         if let Some((access, position)) = entry.access.zip(entry.commit) {
-            self.commits.truncate(COMMITS - 1);
+            self.commits.truncate(MAX_REMEMBERED_COMMITS - 1);
             self.commits.push_front(Commit { access, position, replied_at: now });
         }
         match entry.stage {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,13 +1,15 @@
 //! The platform's front: simple queries, one statement each, described by the comment that they carry.
 
-use super::{CommandStep, Protocol, ServiceState, put_verdict};
+use super::final_answer::append_final_answer;
+use super::{CommandStep, Protocol, ServiceState};
 use crate::Micros;
 use crate::client::{ParsedQuery, ParsedRequest, SimpleQuery};
 use crate::core::FinalAnswer;
 use crate::exchange::{MemberRequest, MemberResponse};
 use crate::pg;
+use crate::pg::message_tags::backend;
 
-/// The platform's way of talking.
+/// The platform's protocol.
 #[derive(Default)]
 pub struct Platform;
 
@@ -21,41 +23,44 @@
     }
 
     fn start(&mut self, (): &mut (), query: SimpleQuery, service: ServiceState) -> CommandStep<Self> {
-        let mut bytes = Vec::new();
         match query.fields {
-            Ok(ParsedQuery::Empty) if service == ServiceState::Starting => return CommandStep::Defer(query),
             // The front layer's question, whether it may send clients.
-            Ok(ParsedQuery::Empty) if service == ServiceState::OutOfService => {
-                pg::put_error_response(
-                    &mut bytes,
-                    "ERROR",
-                    pg::sqlstate::CANNOT_CONNECT_NOW,
-                    "out of service",
-                    None,
-                );
-            }
-            Ok(ParsedQuery::Empty) => pg::put_message(&mut bytes, b'I', &[]),
-            Err(why) => pg::put_error_response(
-                &mut bytes,
-                "ERROR",
-                pg::sqlstate::PROTOCOL_VIOLATION,
-                &why.to_string(),
-                None,
-            ),
-            Ok(ParsedQuery::Request(ask, place)) => {
+            Ok(ParsedQuery::Empty) => match service {
+                ServiceState::Starting => CommandStep::Defer(query),
+                ServiceState::InService => CommandStep::Reply(empty_query_reply()),
+                ServiceState::OutOfService => {
+                    CommandStep::Reply(error_reply(pg::sqlstate::CANNOT_CONNECT_NOW, "out of service"))
+                }
+            },
+            Ok(ParsedQuery::Request(request, timeout_digits)) => {
                 let member_request =
-                    MemberRequest::SimpleQuery { text: query.text, wait_digits: Some(place) };
-                return CommandStep::Forward(ParsedRequest { member_request, ..*ask }, ());
+                    MemberRequest::SimpleQuery { text: query.text, wait_digits: Some(timeout_digits) };
+                CommandStep::Forward(ParsedRequest { member_request, ..*request }, ())
+            }
+            Err(invalid) => {
+                CommandStep::Reply(error_reply(pg::sqlstate::PROTOCOL_VIOLATION, &invalid.to_string()))
             }
         }
-        pg::put_ready_for_query(&mut bytes);
-        CommandStep::Reply(bytes)
     }
 
-    fn finish(&mut self, (): &mut (), (): (), verdict: FinalAnswer<MemberResponse>) -> Vec<u8> {
+    fn finish(&mut self, (): &mut (), (): (), answer: FinalAnswer<MemberResponse>) -> Vec<u8> {
         let mut bytes = Vec::new();
-        put_verdict(&mut bytes, &verdict);
+        append_final_answer(&mut bytes, &answer);
         pg::put_ready_for_query(&mut bytes);
         bytes
     }
 }
+
+fn empty_query_reply() -> Vec<u8> {
+    let mut bytes = Vec::new();
+    pg::put_message(&mut bytes, backend::EMPTY_QUERY_RESPONSE, &[]);
+    pg::put_ready_for_query(&mut bytes);
+    bytes
+}
+
+fn error_reply(sqlstate: &str, text: &str) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    pg::put_error_response(&mut bytes, "ERROR", sqlstate, text, None);
+    pg::put_ready_for_query(&mut bytes);
+    bytes
+}
--- a/src/front/postgres.rs
+++ b/src/front/postgres.rs
@@ -5,7 +5,8 @@
 //! unseen by the client, where the rest of the unit uses them; after an Execute, such a unit takes no
 //! further one, as the implicit transaction has ended at the member.
 
-use super::{CommandStep, Protocol, ServiceState, put_verdict};
+use super::final_answer::append_final_answer;
+use super::{CommandStep, Protocol, ServiceState};
 use crate::client::{ClientBatch, ParsedRequest};
 use crate::clock::from_unix_ms;
 use crate::core::FinalAnswer;
@@ -556,13 +557,13 @@
         })
     }
 
-    fn notes(&mut self) -> Vec<Change> {
+    fn take_store_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.news)
     }
 
     fn finish(&mut self, session: &mut Session, open: Open, verdict: FinalAnswer<MemberResponse>) -> Vec<u8> {
         let mut bytes = Vec::new();
-        put_verdict(&mut bytes, &verdict);
+        append_final_answer(&mut bytes, &verdict);
         let (parses, error) = tally(&bytes);
         session.undo(open.parsed, if error { parses } else { usize::MAX });
         session.skipping |= error && open.end == b'H';
