--- /dev/null
+++ b/src/front/postgres/batch_planner.rs
@@ -0,0 +1,221 @@
+//! Turns the messages of a batch into what a member is asked.
+
+use super::analysis::{StatementAnalyzer, StatementDescription};
+use super::bind::parse_parameters;
+use super::error::BatchError;
+use super::session::{ParsedStatement, Portal, Session};
+use super::statement_recorder::StatementRecorder;
+use crate::extended::ExtendedMessage;
+use crate::pg::message_tags::{describe_targets, frontend};
+use crate::pg::{self, statement};
+
+/// The longest statement that is prepared.
+const MAX_STATEMENT_BYTES: usize = 32 * 1024;
+/// The most bytes of prepared statements of one client.
+const MAX_STATEMENT_BYTES_PER_CLIENT: usize = 128 * 1024;
+/// The length of a parameter's type in a Parse.
+const TYPE_BYTES: usize = 4;
+/// The length of the row limit in an Execute.
+const ROW_LIMIT_BYTES: usize = 4;
+
+/// The plan of a batch.
+#[derive(Default)]
+pub struct BatchPlan {
+    /// The messages for the member.
+    pub messages: Vec<ExtendedMessage>,
+    /// The statements that they prepare, bind or describe.
+    pub statements: Vec<StatementDescription>,
+    /// The statements that the batch prepares.
+    pub parsed: Vec<ParsedStatement>,
+    /// The session that the first bound portal names, 0 for none.
+    pub session_key: u64,
+}
+
+impl BatchPlan {
+    /// Whether it executes a portal.
+    pub fn executes(&self) -> bool {
+        self.messages.iter().any(|message| matches!(message, ExtendedMessage::Execute { .. }))
+    }
+
+    fn set_session_key_once(&mut self, session_key: u64) {
+        if self.session_key == 0 {
+            self.session_key = session_key;
+        }
+    }
+}
+
+/// Plans a batch, message by message.
+pub struct BatchPlanner<'a> {
+    /// Describes statements.
+    pub analyzer: &'a StatementAnalyzer,
+    /// Is told of statements that are prepared.
+    pub recorder: &'a mut StatementRecorder,
+    /// The connection's statements and portals.
+    pub session: &'a mut Session,
+    /// The plan so far.
+    pub plan: BatchPlan,
+}
+
+impl BatchPlanner<'_> {
+    /// Plans a message.
+    pub fn add_message(&mut self, message: &[u8]) -> Result<(), BatchError> {
+        let body = pg::message_body(message);
+        match message.first() {
+            Some(&frontend::PARSE) => self.add_parse(body),
+            Some(&frontend::BIND) => self.add_bind(body),
+            Some(&frontend::EXECUTE) => self.add_execute(body),
+            Some(&frontend::DESCRIBE) => self.add_describe(body),
+            Some(&frontend::CLOSE) => self.add_close(body),
+            _ => Err(BatchError::MalformedMessage),
+        }
+    }
+
+    fn add_parse(&mut self, body: &[u8]) -> Result<(), BatchError> {
+        let (name, rest) = pg::split_c_string(body).ok_or(BatchError::MalformedMessage)?;
+        let (sql, parameter_types) = pg::split_c_string(rest).ok_or(BatchError::MalformedMessage)?;
+        if !are_parameter_types(parameter_types) {
+            return Err(BatchError::MalformedMessage);
+        }
+        self.check_may_prepare(name, sql)?;
+        let statement = self.analyzer.describe_statement(sql, parameter_types)?;
+        self.recorder.record(&statement.prepared);
+        self.plan.messages.push(ExtendedMessage::Parse(statement.prepared.clone()));
+        self.plan.statements.push(statement.clone());
+        self.plan.parsed.push(self.session.prepare(name, statement));
+        Ok(())
+    }
+
+    fn check_may_prepare(&self, name: &[u8], sql: &[u8]) -> Result<(), BatchError> {
+        let statements = &self.session.statements;
+        if !name.is_empty() && statements.contains_key(name) {
+            return Err(BatchError::DuplicateStatement);
+        }
+        let bytes = self.session.statement_bytes() + sql.len();
+        if statements.len() >= self.analyzer.config.statements || bytes > MAX_STATEMENT_BYTES_PER_CLIENT {
+            return Err(BatchError::TooManyStatements);
+        }
+        if sql.len() > MAX_STATEMENT_BYTES {
+            return Err(BatchError::StatementTooLong);
+        }
+        Ok(())
+    }
+
+    fn add_bind(&mut self, body: &[u8]) -> Result<(), BatchError> {
+        let (portal, rest) = pg::split_c_string(body).ok_or(BatchError::MalformedMessage)?;
+        let (name, arguments) = pg::split_c_string(rest).ok_or(BatchError::MalformedMessage)?;
+        let parameters = parse_parameters(arguments).ok_or(BatchError::MalformedMessage)?;
+        let statement = self.statement(name)?;
+        let session_key =
+            self.session_parameter(&parameters).map_or(statement.session_key, statement::session_id);
+        self.plan.set_session_key_once(session_key);
+        let bound = Portal {
+            statement: statement.clone(),
+            session_key,
+            arguments: arguments.to_vec(),
+            flushed: false,
+        };
+        self.session.portals.insert(portal.to_vec(), bound);
+        self.plan.messages.push(ExtendedMessage::Bind {
+            portal: portal.to_vec(),
+            statement: statement.prepared.clone(),
+            arguments: arguments.to_vec(),
+            reply_forwarded: true,
+        });
+        self.plan.statements.push(statement);
+        Ok(())
+    }
+
+    /// The value of the parameter that names the session, if there is one.
+    fn session_parameter<'p>(&self, parameters: &[Option<&'p [u8]>]) -> Option<&'p [u8]> {
+        let index = self.analyzer.config.session_parameter.checked_sub(1)?;
+        parameters.get(index).copied().flatten()
+    }
+
+    fn add_execute(&mut self, body: &[u8]) -> Result<(), BatchError> {
+        let (portal, row_limit) = pg::split_c_string(body).ok_or(BatchError::MalformedMessage)?;
+        if row_limit.len() != ROW_LIMIT_BYTES {
+            return Err(BatchError::MalformedMessage);
+        }
+        self.ensure_bound(portal)?;
+        let (portal, row_limit) = (portal.to_vec(), row_limit.to_vec());
+        self.plan.messages.push(ExtendedMessage::Execute { portal, row_limit });
+        Ok(())
+    }
+
+    fn add_describe(&mut self, body: &[u8]) -> Result<(), BatchError> {
+        match parse_target(body)? {
+            Target::Statement(name) => {
+                let statement = self.statement(name)?;
+                let message = ExtendedMessage::DescribeStatement(statement.prepared.clone());
+                self.plan.messages.push(message);
+                self.plan.statements.push(statement);
+            }
+            Target::Portal(name) => {
+                self.ensure_bound(name)?;
+                self.plan.messages.push(ExtendedMessage::DescribePortal(name.to_vec()));
+            }
+        }
+        Ok(())
+    }
+
+    fn add_close(&mut self, body: &[u8]) -> Result<(), BatchError> {
+        let message = match parse_target(body)? {
+            Target::Statement(name) => {
+                self.session.statements.remove(name);
+                ExtendedMessage::CloseStatement
+            }
+            Target::Portal(name) => match self.session.portals.remove(name) {
+                Some(portal) if !portal.flushed => ExtendedMessage::ClosePortal(name.to_vec()),
+                // The member does not have it: the client gets its CloseComplete all the same.
+                _ => ExtendedMessage::CloseStatement,
+            },
+        };
+        self.plan.messages.push(message);
+        Ok(())
+    }
+
+    fn statement(&self, name: &[u8]) -> Result<StatementDescription, BatchError> {
+        let statement = self.session.statements.get(name).cloned();
+        statement.ok_or_else(|| BatchError::unknown_statement(name))
+    }
+
+    /// Makes sure that the member will have a portal: one that was bound before a Flush is bound again.
+    fn ensure_bound(&mut self, name: &[u8]) -> Result<(), BatchError> {
+        let portal = self.session.portals.get_mut(name).ok_or_else(|| BatchError::unknown_portal(name))?;
+        if portal.flushed {
+            portal.flushed = false;
+            self.plan.set_session_key_once(portal.session_key);
+            self.plan.messages.push(ExtendedMessage::Bind {
+                portal: name.to_vec(),
+                statement: portal.statement.prepared.clone(),
+                arguments: portal.arguments.clone(),
+                reply_forwarded: false,
+            });
+            self.plan.statements.push(portal.statement.clone());
+        }
+        Ok(())
+    }
+}
+
+/// What a Describe or a Close is about.
+enum Target<'a> {
+    Statement(&'a [u8]),
+    Portal(&'a [u8]),
+}
+
+fn parse_target(body: &[u8]) -> Result<Target<'_>, BatchError> {
+    let (&kind, rest) = body.split_first().ok_or(BatchError::MalformedMessage)?;
+    let Some((name, [])) = pg::split_c_string(rest) else { return Err(BatchError::MalformedMessage) };
+    match kind {
+        describe_targets::STATEMENT => Ok(Target::Statement(name)),
+        describe_targets::PORTAL => Ok(Target::Portal(name)),
+        _ => Err(BatchError::MalformedMessage),
+    }
+}
+
+/// Whether these bytes are a count and so many type numbers.
+fn are_parameter_types(bytes: &[u8]) -> bool {
+    bytes
+        .split_first_chunk()
+        .is_some_and(|(count, types)| types.len() == TYPE_BYTES * usize::from(u16::from_be_bytes(*count)))
+}
--- /dev/null
+++ b/src/front/postgres/error.rs
@@ -0,0 +1,88 @@
+//! Why a batch is rejected without having been sent to a member.
+
+use crate::pg::sqlstate;
+
+/// Why a batch is rejected. The text is sent to the client.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BatchError {
+    /// A message is not what the protocol allows.
+    #[error("malformed message")]
+    MalformedMessage,
+    /// The comment names a class that does not exist.
+    #[error("unknown class")]
+    UnknownClass,
+    /// Statements that start with this keyword are not supported.
+    #[error("{keyword} is not supported on this listener")]
+    UnsupportedStatement {
+        /// The keyword, in lower case.
+        keyword: String,
+    },
+    /// A query holds more than one statement.
+    #[error("one statement a query, please")]
+    SeveralStatements,
+    /// A statement that writes names a class of reads.
+    #[error("{keyword} in a class that is not for writes")]
+    WriteInReadClass {
+        /// The keyword, in lower case.
+        keyword: String,
+    },
+    /// The statements of a batch are for different groups.
+    #[error("statements of more than one group before a Sync")]
+    SeveralGroups,
+    /// The implicit transaction ended at the Flush after an Execute.
+    #[error("a further execute in a unit that was flushed after one")]
+    ExecuteAfterFlush,
+    /// The name of a statement is in use.
+    #[error("a statement of that name exists")]
+    DuplicateStatement,
+    /// The client has prepared as much as it may.
+    #[error("too many prepared statements")]
+    TooManyStatements,
+    /// The text of a statement is too long.
+    #[error("statement too long to prepare")]
+    StatementTooLong,
+    /// There is no prepared statement of this name.
+    #[error("no prepared statement \"{name}\"")]
+    UnknownStatement {
+        /// The name.
+        name: String,
+    },
+    /// There is no portal of this name.
+    #[error("no portal \"{name}\"")]
+    UnknownPortal {
+        /// The name.
+        name: String,
+    },
+    /// An operator has taken the proxy out of service.
+    #[error("out of service")]
+    OutOfService,
+}
+
+impl BatchError {
+    /// The SQLSTATE that the client gets.
+    pub fn sqlstate(&self) -> &'static str {
+        match self {
+            BatchError::MalformedMessage | BatchError::UnknownClass => sqlstate::PROTOCOL_VIOLATION,
+            BatchError::UnsupportedStatement { .. }
+            | BatchError::SeveralStatements
+            | BatchError::WriteInReadClass { .. }
+            | BatchError::SeveralGroups
+            | BatchError::ExecuteAfterFlush => sqlstate::FEATURE_NOT_SUPPORTED,
+            BatchError::DuplicateStatement => sqlstate::DUPLICATE_PREPARED_STATEMENT,
+            BatchError::TooManyStatements | BatchError::StatementTooLong => sqlstate::PROGRAM_LIMIT_EXCEEDED,
+            BatchError::UnknownStatement { .. } => sqlstate::INVALID_SQL_STATEMENT_NAME,
+            BatchError::UnknownPortal { .. } => sqlstate::INVALID_CURSOR_NAME,
+            BatchError::OutOfService => sqlstate::CANNOT_CONNECT_NOW,
+        }
+    }
+
+    /// No prepared statement has this name.
+    pub fn unknown_statement(name: &[u8]) -> Self {
+        BatchError::UnknownStatement { name: String::from_utf8_lossy(name).into_owned() }
+    }
+
+    /// No portal has this name.
+    pub fn unknown_portal(name: &[u8]) -> Self {
+        BatchError::UnknownPortal { name: String::from_utf8_lossy(name).into_owned() }
+    }
+}
--- /dev/null
+++ b/src/front/postgres/mod.rs
@@ -0,0 +1,241 @@
+//! The extended front: prepared statements, portals and pipelines. Messages up to a Sync are one request,
+//! with the effect of its strictest class and one final answer.
+//!
+//! A Flush before the Sync makes a request of what came so far. Portals bound there are bound again,
+//! unseen by the client, where the rest of the unit uses them; after an Execute, such a unit takes no
+//! further one, as the implicit transaction has ended at the member.
+
+mod analysis;
+mod batch_planner;
+mod bind;
+mod config;
+mod dependencies;
+mod error;
+mod reply_summary;
+mod session;
+mod session_commits;
+mod statement_recorder;
+
+pub use config::{Listen, UnknownClassError};
+pub use session::Session;
+
+use super::final_answer::append_final_answer;
+use super::{CommandStep, Protocol, ServiceState};
+use crate::client::ClientBatch;
+use crate::core::FinalAnswer;
+use crate::exchange::{MemberRequest, MemberResponse};
+use crate::extended::ExtendedBatch;
+use crate::pg::message_tags::{backend, frontend};
+use crate::pg::{self, statement};
+use crate::store::Change;
+use crate::{Micros, Settings};
+use analysis::{StatementAnalyzer, StatementsOfBatch};
+use batch_planner::{BatchPlan, BatchPlanner};
+use dependencies::statement_names;
+use error::BatchError;
+use reply_summary::ReplySummary;
+use session::ParsedStatement;
+use session_commits::SessionCommits;
+use statement_recorder::StatementRecorder;
+use std::sync::Arc;
+
+/// The length of a Query message whose text is empty.
+const EMPTY_QUERY_BYTES: usize = 6;
+
+/// What is needed of a request to make its reply.
+pub struct UnitContext {
+    parsed: Vec<ParsedStatement>,
+    session_key: u64,
+    /// The type of the message that ended the batch.
+    end: u8,
+}
+
+/// The extended front's protocol.
+pub struct Postgres {
+    analyzer: StatementAnalyzer,
+    commits: SessionCommits,
+    recorder: StatementRecorder,
+}
+
+impl Postgres {
+    /// A front with these defaults, whose classes must exist.
+    pub fn new(config: Listen, settings: Arc<Settings>) -> Result<Self, UnknownClassError> {
+        Ok(Postgres {
+            analyzer: StatementAnalyzer::new(config, settings)?,
+            commits: SessionCommits::default(),
+            recorder: StatementRecorder::default(),
+        })
+    }
+
+    fn start_batch(
+        &mut self,
+        session: &mut Session,
+        batch: &ClientBatch,
+        service: ServiceState,
+    ) -> Result<CommandStep<Self>, BatchError> {
+        match batch.messages.first() {
+            Some(message) if batch.end == frontend::QUERY => {
+                // The front layer's question, whether it may send clients.
+                if service == ServiceState::OutOfService && message.len() == EMPTY_QUERY_BYTES {
+                    return Err(BatchError::OutOfService);
+                }
+                self.start_simple_query(session, message)
+            }
+            _ => self.start_extended_batch(session, batch),
+        }
+    }
+
+    fn start_simple_query(
+        &self,
+        session: &mut Session,
+        message: &[u8],
+    ) -> Result<CommandStep<Self>, BatchError> {
+        let body = pg::message_body(message);
+        let Some((text, [])) = pg::split_c_string(body) else { return Err(BatchError::MalformedMessage) };
+        if text.trim_ascii().is_empty() {
+            let mut reply = Vec::new();
+            pg::put_message(&mut reply, backend::EMPTY_QUERY_RESPONSE, &[]);
+            pg::put_ready_for_query(&mut reply);
+            return Ok(CommandStep::Reply(reply));
+        }
+        let statement = self.analyzer.describe_statement(text, &[])?;
+        let session_key = statement.session_key;
+        let statements = StatementsOfBatch {
+            statements: &[statement],
+            session_key,
+            last_commit: self.commits.last(session_key),
+        };
+        let member_request = MemberRequest::SimpleQuery {
+            text: text.to_vec(),
+            wait_digits: statement::parse_fields(text).timeout.map(|timeout| timeout.digits),
+        };
+        let request = self.analyzer.combine(&statements, member_request)?;
+        session.end_unit();
+        let context = UnitContext { parsed: Vec::new(), session_key, end: frontend::QUERY };
+        Ok(CommandStep::Forward(request, context))
+    }
+
+    fn start_extended_batch(
+        &mut self,
+        session: &mut Session,
+        batch: &ClientBatch,
+    ) -> Result<CommandStep<Self>, BatchError> {
+        let plan = self.plan_batch(session, batch)?;
+        if plan.statements.is_empty() {
+            // Only Close messages, which don't concern a member.
+            let mut reply = Vec::new();
+            plan.messages.iter().for_each(|_| pg::put_message(&mut reply, backend::CLOSE_COMPLETE, &[]));
+            session.end_batch(batch.end, &mut reply);
+            return Ok(CommandStep::Reply(reply));
+        }
+        let executes = plan.executes();
+        if executes && session.executed {
+            session.undo_parses(plan.parsed, 0);
+            return Err(BatchError::ExecuteAfterFlush);
+        }
+        session.executed |= executes;
+        let statements = StatementsOfBatch {
+            statements: &plan.statements,
+            session_key: plan.session_key,
+            last_commit: self.commits.last(plan.session_key),
+        };
+        let extended = ExtendedBatch { messages: plan.messages, confirm_before_execute: false };
+        let mut request = self.analyzer.combine(&statements, MemberRequest::Extended(extended))?;
+        if let MemberRequest::Extended(extended) = &mut request.member_request {
+            extended.confirm_before_execute = !self.analyzer.is_idempotent(request.class);
+        }
+        if batch.end != frontend::FLUSH {
+            session.end_unit();
+        }
+        let context = UnitContext { parsed: plan.parsed, session_key: plan.session_key, end: batch.end };
+        Ok(CommandStep::Forward(request, context))
+    }
+
+    fn plan_batch(&mut self, session: &mut Session, batch: &ClientBatch) -> Result<BatchPlan, BatchError> {
+        let mut planner = BatchPlanner {
+            analyzer: &self.analyzer,
+            recorder: &mut self.recorder,
+            session,
+            plan: BatchPlan::default(),
+        };
+        let result = batch.messages.iter().try_for_each(|message| planner.add_message(message));
+        let plan = planner.plan;
+        match result {
+            Ok(()) => Ok(plan),
+            Err(error) => {
+                session.undo_parses(plan.parsed, 0);
+                Err(error)
+            }
+        }
+    }
+}
+
+impl Protocol for Postgres {
+    type Command = ClientBatch;
+    type Session = Session;
+    type Context = UnitContext;
+
+    fn read_at(batch: &ClientBatch) -> Micros {
+        batch.at
+    }
+
+    /// A unit that rests on what an unfinished one prepares keeps its order, and so does all behind a Flush.
+    fn must_wait(batch: &ClientBatch, unfinished: &[&UnitContext]) -> bool {
+        let names = statement_names(batch);
+        let prepares_a_dependency = |context: &UnitContext| {
+            context.parsed.iter().any(|parsed| names.contains(&parsed.name.as_slice()))
+        };
+        unfinished.iter().any(|context| context.end == frontend::FLUSH || prepares_a_dependency(context))
+    }
+
+    fn start(
+        &mut self,
+        session: &mut Session,
+        batch: ClientBatch,
+        service: ServiceState,
+    ) -> CommandStep<Self> {
+        let mut reply = Vec::new();
+        if session.skipping {
+            if batch.end == frontend::SYNC {
+                session.end_batch(batch.end, &mut reply);
+            }
+            return CommandStep::Reply(reply);
+        }
+        self.start_batch(session, &batch, service).unwrap_or_else(|error| {
+            pg::put_error_response(&mut reply, "ERROR", error.sqlstate(), &error.to_string(), None);
+            session.skipping = batch.end == frontend::FLUSH;
+            session.end_batch(batch.end, &mut reply);
+            CommandStep::Reply(reply)
+        })
+    }
+
+    fn take_store_changes(&mut self) -> Vec<Change> {
+        self.recorder.take_changes()
+    }
+
+    fn finish(
+        &mut self,
+        session: &mut Session,
+        context: UnitContext,
+        answer: FinalAnswer<MemberResponse>,
+    ) -> Vec<u8> {
+        let mut reply = Vec::new();
+        append_final_answer(&mut reply, &answer);
+        let ReplySummary { parse_completes, has_error } = ReplySummary::of(&reply);
+        session.undo_parses(context.parsed, if has_error { parse_completes } else { usize::MAX });
+        session.skipping |= has_error && context.end == frontend::FLUSH;
+        if let FinalAnswer::Served(MemberResponse { commit_position: Some(position), .. }) = answer
+            && !has_error
+            && context.session_key != 0
+        {
+            self.commits.record(context.session_key, position);
+        }
+        if context.end == frontend::FLUSH {
+            session.end_batch(context.end, &mut reply);
+        } else {
+            // A unit behind it may be under way: what this one's Sync ends was ended when it began.
+            pg::put_ready_for_query(&mut reply);
+        }
+        reply
+    }
+}
--- a/src/pg/message_tags.rs
+++ b/src/pg/message_tags.rs
@@ -86,3 +86,11 @@
     /// The detail: here, the milliseconds until a retry is welcome.
     pub const DETAIL: u8 = b'D';
 }
+
+/// What a Describe or a Close message is about.
+pub mod describe_targets {
+    /// A prepared statement.
+    pub const STATEMENT: u8 = b'S';
+    /// A portal.
+    pub const PORTAL: u8 = b'P';
+}
--- a/src/pg/sqlstate.rs
+++ b/src/pg/sqlstate.rs
@@ -12,3 +12,11 @@
 pub const QUERY_CANCELED: &str = "57014";
 /// Not supported on this listener.
 pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
+/// A prepared statement of that name exists.
+pub const DUPLICATE_PREPARED_STATEMENT: &str = "42P05";
+/// No prepared statement has that name.
+pub const INVALID_SQL_STATEMENT_NAME: &str = "26000";
+/// No portal has that name.
+pub const INVALID_CURSOR_NAME: &str = "34000";
+/// More than the listener allows.
+pub const PROGRAM_LIMIT_EXCEEDED: &str = "54000";
