--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -16,6 +16,35 @@
 /// The reply to a client that asks for an encrypted connection.
 const ENCRYPTION_NOT_SUPPORTED: &[u8] = b"N";
 
+/// A connection that may be closed to make room. The greatest one is best closed first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct EvictionCandidate {
+    /// It has made no request.
+    pub never_requested: bool,
+    /// How long it has been idle.
+    pub idle_for: Micros,
+    /// The connection.
+    pub client: ClientId,
+}
+
+/// A connection that has made requests and is idle. The least one is closed first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct EvictableConnection {
+    /// The time from which it may be closed.
+    pub evictable_at: Micros,
+    /// The connection.
+    pub client: ClientId,
+}
+
+/// The connections that have made a request.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RetainedConnections {
+    /// How many there are.
+    pub count: usize,
+    /// The one of them that was idle longest.
+    pub next_evictable: Option<EvictableConnection>,
+}
+
 /// The connections of a front.
 pub struct ConnectionManager<P: Protocol> {
     protocol: P,
@@ -43,7 +72,7 @@
     }
 
     /// The proxy can serve, or is taken out of service or back: commands that waited for that go on.
-    pub fn serve(
+    pub fn set_service_state(
         &mut self,
         service: ServiceState,
         registry: &mut RequestRegistry,
@@ -59,7 +88,7 @@
     }
 
     /// From now on connections are closed between requests.
-    pub fn close(&mut self) -> Vec<FrontEffect> {
+    pub fn close_between_requests(&mut self) -> Vec<FrontEffect> {
         self.closing = true;
         let mut effects = Vec::new();
         for id in self.connection_ids() {
@@ -73,36 +102,39 @@
     }
 
     /// The number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
     /// The connection that can best be closed to make room: one that has made no request, or the one that was
-    /// idle longest, if that is long enough. With how well it can be closed.
-    pub fn idlest(&self, now: Micros) -> Option<(bool, Micros, ClientId)> {
+    /// idle longest, if that is long enough.
+    pub fn best_eviction_candidate(&self, now: Micros) -> Option<EvictionCandidate> {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
-        let long = idle.filter_map(|(id, connection)| {
+        let evictable = idle.filter_map(|(id, connection)| {
             let idle_for = now.saturating_sub(connection.idle_since);
             let required = match connection.has_requested {
                 true => EVICTABLE_AFTER_IDLE,
                 false => EVICTABLE_WITHOUT_REQUEST_AFTER,
             };
-            (idle_for >= required).then_some((!connection.has_requested, idle_for, *id))
+            let never_requested = !connection.has_requested;
+            (idle_for >= required).then_some(EvictionCandidate { never_requested, idle_for, client: *id })
         });
-        long.max()
+        evictable.max()
     }
 
-    /// Connections that have made a request, and the one of them that was idle longest, with the time
-    /// from which it may be closed.
-    pub fn kept(&self) -> (usize, Option<(Micros, ClientId)>) {
-        let active = self.connections.iter().filter(|(_, connection)| connection.has_requested);
-        let idle = active.clone().filter(|(_, connection)| connection.is_idle());
-        let evictable = idle.map(|(id, connection)| (connection.idle_since + EVICTABLE_AFTER_IDLE, *id));
-        (active.count(), evictable.min())
+    /// The connections that have made a request, and may be kept open for good by their clients.
+    pub fn retained_connections(&self) -> RetainedConnections {
+        let retained = self.connections.iter().filter(|(_, connection)| connection.has_requested);
+        let idle = retained.clone().filter(|(_, connection)| connection.is_idle());
+        let evictable = idle.map(|(id, connection)| EvictableConnection {
+            evictable_at: connection.idle_since + EVICTABLE_AFTER_IDLE,
+            client: *id,
+        });
+        RetainedConnections { count: retained.count(), next_evictable: evictable.min() }
     }
 
     /// A command of this connection is on its way: it is not idle.
-    pub fn stirs(&mut self, now: Micros, id: ClientId) {
+    pub fn touch(&mut self, now: Micros, id: ClientId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.idle_since = now;
         }
@@ -114,7 +146,7 @@
     }
 
     /// Handles what a client's reader found on the wire.
-    pub fn said(
+    pub fn handle_event(
         &mut self,
         registry: &mut RequestRegistry,
         now: Micros,
--- a/src/front/connection_manager/tests.rs
+++ b/src/front/connection_manager/tests.rs
@@ -24,7 +24,7 @@
     }
 
     fn handle(&mut self, now: Micros, event: ClientEvent<SimpleQuery>) -> Vec<FrontEffect> {
-        self.manager.said(&mut self.registry, now, CLIENT, event)
+        self.manager.handle_event(&mut self.registry, now, CLIENT, event)
     }
 
     /// Sends reads with these ids; returns the requests that were started.
--- a/src/front/postgres/analysis.rs
+++ b/src/front/postgres/analysis.rs
@@ -1,6 +1,6 @@
 //! What a statement's text says about how to route it.
 
-use super::config::{Listen, UnknownClassError};
+use super::config::{ExtendedListenerConfig, UnknownClassError};
 use super::error::BatchError;
 use crate::client::ParsedRequest;
 use crate::clock::from_unix_ms;
@@ -45,13 +45,13 @@
 /// Describes statements, with the listener's defaults for what they don't say.
 pub struct StatementAnalyzer {
     /// The listener's configuration.
-    pub config: Listen,
+    pub config: ExtendedListenerConfig,
     settings: Arc<Settings>,
 }
 
 impl StatementAnalyzer {
     /// An analyzer with these defaults, whose classes must exist.
-    pub fn new(config: Listen, settings: Arc<Settings>) -> Result<Self, UnknownClassError> {
+    pub fn new(config: ExtendedListenerConfig, settings: Arc<Settings>) -> Result<Self, UnknownClassError> {
         config.check(&settings)?;
         Ok(StatementAnalyzer { config, settings })
     }
--- a/src/front/postgres/config.rs
+++ b/src/front/postgres/config.rs
@@ -7,7 +7,7 @@
 /// The file under `deploy/` that says where this front listens, and its defaults.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listen {
+pub struct ExtendedListenerConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The class of reads whose statement names none.
@@ -32,7 +32,7 @@
     pub name: String,
 }
 
-impl Listen {
+impl ExtendedListenerConfig {
     /// Checks that the classes that it names exist.
     pub fn check(&self, settings: &Settings) -> Result<(), UnknownClassError> {
         for name in [&self.read_class, &self.write_class] {
--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -16,7 +16,7 @@
 mod session_commits;
 mod statement_recorder;
 
-pub use config::{Listen, UnknownClassError};
+pub use config::{ExtendedListenerConfig, UnknownClassError};
 pub use session::Session;
 
 use super::final_answer::append_final_answer;
@@ -59,7 +59,7 @@
 
 impl Postgres {
     /// A front with these defaults, whose classes must exist.
-    pub fn new(config: Listen, settings: Arc<Settings>) -> Result<Self, UnknownClassError> {
+    pub fn new(config: ExtendedListenerConfig, settings: Arc<Settings>) -> Result<Self, UnknownClassError> {
         Ok(Postgres {
             analyzer: StatementAnalyzer::new(config, settings)?,
             commits: SessionCommits::default(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -83,7 +83,7 @@
 mod threads;
 
 pub use config::{Config, ConfigError, from_toml};
-pub use front::postgres::Listen;
+pub use front::postgres::{ExtendedListenerConfig, UnknownClassError};
 pub use model::*;
 pub use net::{ListenError, client_listener};
 pub use router::Router;
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 use cli::{Arguments, Command, StoreAction, StorePut};
 use liftrelay::store::{self, Store, StoreConfig, StoreError};
 use liftrelay::syslog::{self, Collector, SyslogError};
-use liftrelay::{Config, ConfigError, Listen, ListenError, client_listener, from_toml};
+use liftrelay::{Config, ConfigError, ExtendedListenerConfig, ListenError, client_listener, from_toml};
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -78,7 +78,7 @@
 /// All that the proxy is configured with.
 struct Deployment {
     config: Config,
-    postgres: Option<Listen>,
+    postgres: Option<ExtendedListenerConfig>,
     replicas: StoreConfig,
     collector: Option<Collector>,
 }
@@ -91,7 +91,7 @@
         syslog: Option<PathBuf>,
     ) -> Result<Deployment, ConfigError> {
         let config = Config::from_env()?;
-        let postgres: Option<Listen> = postgres.as_deref().map(from_toml).transpose()?;
+        let postgres: Option<ExtendedListenerConfig> = postgres.as_deref().map(from_toml).transpose()?;
         if let Some(postgres) = &postgres {
             postgres.check(&config.settings).map_err(ConfigError::invalid)?;
         }
--- a/src/server/fronts.rs
+++ b/src/server/fronts.rs
@@ -40,7 +40,7 @@
         client: ClientId,
         event: ClientEvent<SimpleQuery>,
     ) -> Vec<FrontEffect> {
-        self.platform.said(&mut self.requests, now, client, event)
+        self.platform.handle_event(&mut self.requests, now, client, event)
     }
 
     /// Handles an event of a client of the extended front.
@@ -51,7 +51,7 @@
         event: ClientEvent<ClientBatch>,
     ) -> Vec<FrontEffect> {
         match &mut self.postgres {
-            Some(postgres) => postgres.said(&mut self.requests, now, client, event),
+            Some(postgres) => postgres.handle_event(&mut self.requests, now, client, event),
             None => Vec::new(),
         }
     }
@@ -66,9 +66,11 @@
     ) -> Vec<FrontEffect> {
         match &mut self.postgres {
             Some(postgres) if extended => {
-                postgres.said(&mut self.requests, now, client, ClientEvent::Connected { secret })
+                postgres.handle_event(&mut self.requests, now, client, ClientEvent::Connected { secret })
+            }
+            _ => {
+                self.platform.handle_event(&mut self.requests, now, client, ClientEvent::Connected { secret })
             }
-            _ => self.platform.said(&mut self.requests, now, client, ClientEvent::Connected { secret }),
         }
     }
 
@@ -94,51 +96,52 @@
 
     /// Sets whether the proxy serves: commands that waited for that go on.
     pub(super) fn set_service_state(&mut self, now: Micros, state: ServiceState) -> Vec<FrontEffect> {
-        let mut effects = self.platform.serve(state, &mut self.requests, now);
+        let mut effects = self.platform.set_service_state(state, &mut self.requests, now);
         if let Some(postgres) = &mut self.postgres {
-            effects.extend(postgres.serve(state, &mut self.requests, now));
+            effects.extend(postgres.set_service_state(state, &mut self.requests, now));
         }
         effects
     }
 
     /// From now on, connections are closed between requests.
     pub(super) fn close_idle_connections(&mut self) -> Vec<FrontEffect> {
-        let mut effects = self.platform.close();
+        let mut effects = self.platform.close_between_requests();
         if let Some(postgres) = &mut self.postgres {
-            effects.extend(postgres.close());
+            effects.extend(postgres.close_between_requests());
         }
         effects
     }
 
     /// How many connections are open.
     pub(super) fn open_connections(&self) -> usize {
-        self.platform.open() + self.postgres.as_ref().map_or(0, ConnectionManager::open)
+        self.platform.connection_count()
+            + self.postgres.as_ref().map_or(0, ConnectionManager::connection_count)
     }
 
     /// The connection that can best be closed to make room for another.
     pub(super) fn eviction_candidate(&self, now: Micros) -> Option<ClientId> {
-        let of_platform = self.platform.idlest(now);
-        let of_postgres = self.postgres.as_ref().and_then(|postgres| postgres.idlest(now));
-        let (.., client) = of_platform.max(of_postgres)?;
-        Some(client)
+        let of_platform = self.platform.best_eviction_candidate(now);
+        let of_postgres = self.postgres.as_ref().and_then(|postgres| postgres.best_eviction_candidate(now));
+        of_platform.max(of_postgres).map(|candidate| candidate.client)
     }
 
     /// The connections that clients keep open between requests.
     pub(super) fn kept_connections(&self) -> KeptConnections {
-        let (of_platform, longest_in_platform) = self.platform.kept();
-        let (of_postgres, longest_in_postgres) =
-            self.postgres.as_ref().map_or((0, None), ConnectionManager::kept);
+        let of_platform = self.platform.retained_connections();
+        let of_postgres = self.postgres.as_ref().map(ConnectionManager::retained_connections);
+        let of_postgres = of_postgres.unwrap_or_default();
+        let evictable = of_platform.next_evictable.into_iter().chain(of_postgres.next_evictable);
         KeptConnections {
-            count: of_platform + of_postgres,
-            longest_idle: longest_in_platform.into_iter().chain(longest_in_postgres).min(),
+            count: of_platform.count + of_postgres.count,
+            longest_idle: evictable.min().map(|next| (next.evictable_at, next.client)),
         }
     }
 
     /// A command of this client is on its way: its connection is not idle.
     pub(super) fn touch(&mut self, now: Micros, client: ClientId) {
-        self.platform.stirs(now, client);
+        self.platform.touch(now, client);
         if let Some(postgres) = &mut self.postgres {
-            postgres.stirs(now, client);
+            postgres.touch(now, client);
         }
     }
 
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::core::{Core, Input};
-use crate::front::postgres::{Listen, Postgres};
+use crate::front::postgres::{ExtendedListenerConfig, Postgres};
 use crate::net::admin::{self, CallSink, LoopUnavailable};
 use crate::net::client::{self, ClientListener, ClientReactor, ReactorEvent, ReactorLimits};
 use crate::net::member::{MemberEvents, WorkerPool};
@@ -29,7 +29,7 @@
 pub fn serve(
     config: &Config,
     listener: TcpListener,
-    extended: Option<Listen>,
+    extended: Option<ExtendedListenerConfig>,
     replicas: &StoreConfig,
 ) -> std::io::Result<()> {
     let extended_listener = extended.as_ref().map(|listen| TcpListener::bind(listen.listen)).transpose()?;
@@ -109,7 +109,7 @@
         store: Store,
         messages: Messages,
         listeners: Vec<ClientListener>,
-        extended: Option<Listen>,
+        extended: Option<ExtendedListenerConfig>,
     ) -> std::io::Result<(Server, ClientReactor)> {
         let inherited_listener = config.listen_fd.is_some();
         let budget =
