--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -93,7 +93,7 @@
         let mut begun = BegunRequests::default();
         let mut first = 0;
         loop {
-            let only_first = only_first || self.pipeline.buffered() >= MAX_REORDERED_BYTES;
+            let only_first = only_first || self.pipeline.buffered_bytes() >= MAX_REORDERED_BYTES;
             let Some(index) = self.pipeline.next_ready(first, only_first) else { return begun };
             first = index + 1;
             let Some(mut ready) = self.pipeline.take_ready(index) else { continue };
--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -224,7 +224,7 @@
     ) -> Vec<FrontEffect> {
         let mut effects = Vec::new();
         let Some(connection) = self.connections.get_mut(&id) else { return effects };
-        let Some(index) = connection.pipeline.position(request) else { return effects };
+        let Some(index) = connection.pipeline.index_of(request) else { return effects };
         // Guards against replies that fill the memory behind one that does not come.
         let answer = match answer {
             FinalAnswer::Served(response)
@@ -240,11 +240,11 @@
         };
         let protocol = &mut self.protocol;
         let session = &mut connection.session;
-        let buffered_before = connection.pipeline.buffered();
+        let buffered_before = connection.pipeline.buffered_bytes();
         connection
             .pipeline
             .finish(index, commit_position, |context| protocol.finish(session, context, answer));
-        self.reordered_bytes += connection.pipeline.buffered() - buffered_before;
+        self.reordered_bytes += connection.pipeline.buffered_bytes() - buffered_before;
         self.advance(registry, now, id, &mut effects);
         self.close_if_idle(id, &mut effects);
         effects
@@ -260,7 +260,7 @@
         effects: &mut Vec<FrontEffect>,
     ) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let buffered_before = connection.pipeline.buffered();
+        let buffered_before = connection.pipeline.buffered_bytes();
         let only_first = self.reordered_bytes >= self.max_reordered_bytes / 2;
         let mut requests = Vec::new();
         loop {
@@ -273,7 +273,7 @@
                 break;
             }
         }
-        self.reordered_bytes = self.reordered_bytes + connection.pipeline.buffered() - buffered_before;
+        self.reordered_bytes = self.reordered_bytes + connection.pipeline.buffered_bytes() - buffered_before;
         effects.extend(requests.into_iter().map(FrontEffect::StartRequest));
     }
 
@@ -291,7 +291,7 @@
         effects: &mut Vec<FrontEffect>,
     ) {
         let Some(connection) = self.connections.remove(&id) else { return };
-        self.reordered_bytes -= connection.pipeline.buffered();
+        self.reordered_bytes -= connection.pipeline.buffered_bytes();
         for request in connection.pipeline.running() {
             registry.close(request);
             effects.push(FrontEffect::AbandonRequest(request));
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -47,15 +47,15 @@
 struct Entry<P: Protocol> {
     read_at: Micros,
     access: Option<Access>,
-    /// The commit of a write that has been served.
-    commit: Option<Micros>,
+    /// The position of the commit of a write that has been served.
+    commit_position: Option<Micros>,
     stage: Stage<P>,
 }
 
-/// A write of this connection whose reply has left.
-struct Commit {
+/// A write of this connection whose reply has been sent.
+struct RepliedWrite {
     access: Access,
-    position: Micros,
+    commit_position: Micros,
     replied_at: Micros,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    fn buffered(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         match &self.stage {
             Stage::Finished(reply) => reply.len(),
             _ => 0,
@@ -79,8 +79,8 @@
     }
 }
 
-/// Commits that a connection remembers: as many as there can be writes beside a read in one pipeline.
-const MAX_REMEMBERED_COMMITS: usize = 8;
+/// Replied writes that a connection remembers: as many as there can be writes beside a read in one pipeline.
+const MAX_REPLIED_WRITES: usize = 8;
 
 /// A request that may begin now.
 pub struct Ready {
@@ -103,12 +103,12 @@
 /// The commands of a connection, the first one read at the front.
 pub struct Pipeline<P: Protocol> {
     entries: VecDeque<Entry<P>>,
-    commits: VecDeque<Commit>,
+    replied_writes: VecDeque<RepliedWrite>,
 }
 
 impl<P: Protocol> Default for Pipeline<P> {
     fn default() -> Self {
-        Pipeline { entries: VecDeque::new(), commits: VecDeque::new() }
+        Pipeline { entries: VecDeque::new(), replied_writes: VecDeque::new() }
     }
 }
 
@@ -121,7 +121,12 @@
     /// Appends a command.
     pub fn push(&mut self, command: P::Command) {
         let read_at = P::read_at(&command);
-        self.entries.push_back(Entry { read_at, access: None, commit: None, stage: Stage::Queued(command) });
+        self.entries.push_back(Entry {
+            read_at,
+            access: None,
+            commit_position: None,
+            stage: Stage::Queued(command),
+        });
     }
 
     /// Takes the first command that is not looked at yet, with the contexts of the unfinished ones before it.
@@ -170,13 +175,13 @@
     /// Takes what the command asks; the command itself stays where it is until [`Pipeline::mark_running`] or
     /// [`Pipeline::reply`].
     pub fn take_ready(&mut self, index: usize) -> Option<Ready> {
-        let commit = self.commit_to_see(index);
+        let commit_position = self.required_commit_position(index);
         let entry = &mut self.entries[index];
         match std::mem::replace(&mut entry.stage, Stage::Finished(Vec::new())) {
             Stage::Deferred(mut request, context) => {
                 let read_at = entry.read_at;
                 entry.stage = Stage::Running(0, context);
-                request.required_position = request.required_position.max(commit);
+                request.required_position = request.required_position.max(commit_position);
                 Some(Ready { read_at, request: *request })
             }
             stage => {
@@ -188,19 +193,19 @@
 
     /// The latest commit before a read that its client may not have been told of when it sent the read, or
     /// that is of the read's own session.
-    fn commit_to_see(&self, index: usize) -> Option<Micros> {
+    fn required_commit_position(&self, index: usize) -> Option<Micros> {
         let entry = &self.entries[index];
         let read = entry.access.filter(|access| !access.writes)?;
-        let told = self.commits.iter().filter(|commit| {
-            let own = commit.access.session == read.session;
-            commit.access.group == read.group && (own || entry.read_at <= commit.replied_at)
+        let replied = self.replied_writes.iter().filter(|write| {
+            let same_session = write.access.session == read.session;
+            write.access.group == read.group && (same_session || entry.read_at <= write.replied_at)
         });
-        let untold = self
-            .entries
-            .range(..index)
-            .filter(|earlier| earlier.access.is_some_and(|access| access.group == read.group));
-        let untold = untold.filter_map(|earlier| earlier.commit);
-        told.map(|commit| commit.position).chain(untold).max()
+        let unreplied = self.entries.range(..index);
+        let unreplied =
+            unreplied.filter(|earlier| earlier.access.is_some_and(|access| access.group == read.group));
+        let replied_commits = replied.map(|write| write.commit_position);
+        let unreplied_commits = unreplied.filter_map(|earlier| earlier.commit_position);
+        replied_commits.chain(unreplied_commits).max()
     }
 
     /// The core has the command as this request.
@@ -210,21 +215,21 @@
         }
     }
 
-    /// Where a request stands.
-    pub fn position(&self, request: RequestId) -> Option<usize> {
+    /// Which entry a request is.
+    pub fn index_of(&self, request: RequestId) -> Option<usize> {
         self.entries.iter().position(|entry| entry.request() == Some(request))
     }
 
-    /// A request has its final answer, of which `reply` makes the client's; `commit` is that of a served
-    /// write.
+    /// A request has its final answer, of which `reply` makes the client's; `commit_position` that of a
+    /// served write.
     pub fn finish(
         &mut self,
         index: usize,
-        commit: Option<Micros>,
+        commit_position: Option<Micros>,
         reply: impl FnOnce(P::Context) -> Vec<u8>,
     ) {
         let entry = &mut self.entries[index];
-        entry.commit = commit.filter(|_| entry.access.is_some_and(|access| access.writes));
+        entry.commit_position = commit_position.filter(|_| entry.access.is_some_and(|access| access.writes));
         if let Stage::Running(_, context) = std::mem::replace(&mut entry.stage, Stage::Finished(Vec::new())) {
             entry.stage = Stage::Finished(reply(context));
         }
@@ -233,9 +238,9 @@
     /// Takes the first reply, if every command before it has been answered.
     pub fn next_reply(&mut self, now: Micros) -> Option<Vec<u8>> {
         let entry = self.entries.pop_front_if(|entry| entry.is_finished())?;
-        if let Some((access, position)) = entry.access.zip(entry.commit) {
-            self.commits.truncate(MAX_REMEMBERED_COMMITS - 1);
-            self.commits.push_front(Commit { access, position, replied_at: now });
+        if let Some((access, commit_position)) = entry.access.zip(entry.commit_position) {
+            self.replied_writes.truncate(MAX_REPLIED_WRITES - 1);
+            self.replied_writes.push_front(RepliedWrite { access, commit_position, replied_at: now });
         }
         match entry.stage {
             Stage::Finished(reply) => Some(reply),
@@ -244,8 +249,8 @@
     }
 
     /// Bytes of replies that wait for those of earlier commands.
-    pub fn buffered(&self) -> usize {
-        self.entries.iter().map(Entry::buffered).sum()
+    pub fn buffered_bytes(&self) -> usize {
+        self.entries.iter().map(Entry::buffered_bytes).sum()
     }
 
     /// Requests that the core has, the first command's at the front.
--- a/src/front/postgres/analysis.rs
+++ b/src/front/postgres/analysis.rs
@@ -33,7 +33,7 @@
 }
 
 /// The statements of a batch, to be made one request.
-pub struct StatementsOfBatch<'a> {
+pub struct BatchStatements<'a> {
     /// The statements that the batch prepares, binds or describes.
     pub statements: &'a [StatementDescription],
     /// The session, 0 for none.
@@ -114,7 +114,7 @@
     /// Makes one request of the statements of a batch, of the strictest class among them.
     pub fn combine(
         &self,
-        batch: &StatementsOfBatch<'_>,
+        batch: &BatchStatements<'_>,
         member_request: MemberRequest,
     ) -> Result<ParsedRequest, BatchError> {
         let statements = batch.statements;
--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -29,7 +29,7 @@
 use crate::pg::{self, statement};
 use crate::store::Change;
 use crate::{Micros, Settings};
-use analysis::{StatementAnalyzer, StatementsOfBatch};
+use analysis::{BatchStatements, StatementAnalyzer};
 use batch_planner::{BatchPlan, BatchPlanner};
 use dependencies::statement_names;
 use error::BatchError;
@@ -100,7 +100,7 @@
         }
         let statement = self.analyzer.describe_statement(text, &[])?;
         let session_key = statement.session_key;
-        let statements = StatementsOfBatch {
+        let statements = BatchStatements {
             statements: &[statement],
             session_key,
             last_commit: self.commits.last(session_key),
@@ -134,7 +134,7 @@
             return Err(BatchError::ExecuteAfterFlush);
         }
         session.executed |= executes;
-        let statements = StatementsOfBatch {
+        let statements = BatchStatements {
             statements: &plan.statements,
             session_key: plan.session_key,
             last_commit: self.commits.last(plan.session_key),
