--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -239,3 +239,6 @@
         reply
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/front/postgres/tests.rs
@@ -0,0 +1,93 @@
+use super::bind::parse_parameters;
+use super::*;
+use crate::pg::message_tags::describe_targets;
+
+fn message(tag: u8, body: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    pg::put_message(&mut bytes, tag, &[body]);
+    bytes
+}
+
+fn batch(messages: Vec<Vec<u8>>) -> ClientBatch {
+    ClientBatch { at: 0, messages, end: frontend::SYNC }
+}
+
+#[test]
+fn bind_parameters_are_values_or_nulls() {
+    let arguments = b"\0\x01\0\x01\0\x02\0\0\0\x02ab\xff\xff\xff\xff\0\0";
+    assert_eq!(parse_parameters(arguments), Some(vec![Some(b"ab".as_slice()), None]));
+}
+
+#[test]
+fn bind_arguments_that_are_incomplete_too_long_or_of_negative_length_are_malformed() {
+    let arguments = b"\0\0\0\x01\0\0\0\x02ab\0\x01\0\0";
+    for end in 0..arguments.len() {
+        assert_eq!(parse_parameters(&arguments[..end]), None, "cut at {end}");
+    }
+    assert!(parse_parameters(arguments).is_some());
+    assert_eq!(parse_parameters(&[arguments.as_slice(), b"\0"].concat()), None);
+    assert_eq!(parse_parameters(b"\0\0\0\x01\xff\xff\xff\xfe\0\0"), None);
+}
+
+#[test]
+fn reply_summary_counts_prepared_statements_and_sees_an_error() {
+    let prepared = message(backend::PARSE_COMPLETE, b"");
+    let row = message(backend::DATA_ROW, b"1E1E1E");
+    let reply = [prepared.clone(), row, prepared].concat();
+    assert_eq!(ReplySummary::of(&reply), ReplySummary { parse_completes: 2, has_error: false });
+    let failed = [reply, message(backend::ERROR_RESPONSE, b"\0")].concat();
+    assert_eq!(ReplySummary::of(&failed), ReplySummary { parse_completes: 2, has_error: true });
+}
+
+#[test]
+fn batch_depends_on_named_statements_and_on_an_unnamed_one_that_it_does_not_prepare() {
+    let parse_unnamed = message(frontend::PARSE, b"\0select 1\0\0\0");
+    let bind_unnamed = message(frontend::BIND, b"portal\0\0\0\0\0\0\0\0");
+    let close_named =
+        message(frontend::CLOSE, &[&[describe_targets::STATEMENT], b"name\0".as_slice()].concat());
+    let close_portal =
+        message(frontend::CLOSE, &[&[describe_targets::PORTAL], b"portal\0".as_slice()].concat());
+    let uses_unnamed = batch(vec![bind_unnamed.clone(), close_portal]);
+    assert_eq!(statement_names(&uses_unnamed), [b""]);
+    let prepares_unnamed = batch(vec![parse_unnamed, bind_unnamed, close_named]);
+    assert_eq!(statement_names(&prepares_unnamed), [b"name"]);
+}
+
+#[test]
+fn undone_parse_restores_the_previous_statement_unless_prepared_anew() {
+    let analyzer = analyzer();
+    let describe = |sql: &str| analyzer.describe_statement(sql.as_bytes(), &[]).ok().unwrap();
+    let text = |session: &Session| session.statements[b"".as_slice()].prepared.sql.clone();
+    let mut session = Session::default();
+    session.prepare(b"", describe("select 1"));
+    let second = session.prepare(b"", describe("select 2"));
+    session.undo_parses(vec![second], 0);
+    assert_eq!(text(&session), b"select 1");
+    let third = session.prepare(b"", describe("select 3"));
+    session.prepare(b"", describe("select 4"));
+    session.undo_parses(vec![third], 0);
+    assert_eq!(text(&session), b"select 4");
+}
+
+fn analyzer() -> StatementAnalyzer {
+    let class = crate::Class {
+        requirement: crate::Requirement::Any,
+        idempotency: crate::Idempotency::Idempotent,
+        latency_objective: 200_000,
+        deadline: 800_000,
+        priority_weight: 1.0,
+        late_value: 0.0,
+    };
+    let settings =
+        Settings { classes: vec![class], class_names: vec!["read".to_string()], ..Settings::default() };
+    let config = ExtendedListenerConfig {
+        listen: ([127, 0, 0, 1], 0).into(),
+        read_class: "read".to_string(),
+        write_class: "read".to_string(),
+        group: 1,
+        wait_ms: 100,
+        session_parameter: 0,
+        statements: 8,
+    };
+    StatementAnalyzer::new(config, Arc::new(settings)).unwrap()
+}
