--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,6 +58,9 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::SetTimer { .. })));
 //! ```
 
+#![cfg_attr(not(test), deny(clippy::unwrap_used))]
+#![deny(clippy::too_many_lines)]
+
 mod client;
 mod clock;
 mod config;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,7 @@
 //! liftrelay's command line: runs the sub-commands, and turns their errors into one line and an exit code.
 
+#![deny(clippy::too_many_lines, clippy::unwrap_used)]
+
 mod cli;
 
 use cli::{Arguments, Command, StoreAction, StorePut};
--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -3,7 +3,7 @@
 
 use super::connect::{OpenConnection, connect};
 use super::events::{MemberEvent, MemberEvents};
-use super::job::{AssignedJob, JobExecution, JobReply};
+use super::job::{Job, JobExecution, JobReply};
 use super::liveness::answers_empty_query;
 use crate::Outcome;
 use crate::core::{ConnectionId, Input};
@@ -75,7 +75,7 @@
     }
 
     /// Runs a job; what the event loop is to be told.
-    pub(super) fn run_job(&self, job: AssignedJob) -> Vec<MemberEvent> {
+    pub(super) fn run_job(&self, job: Job) -> Vec<MemberEvent> {
         let state = self.idle_state().take();
         let mut events = Vec::new();
         if let Some(state) = state.and_then(|state| self.run_job_with(state, &job, &mut events)) {
@@ -104,7 +104,7 @@
     fn run_job_with(
         &self,
         mut state: ConnectionState,
-        job: &AssignedJob,
+        job: &Job,
         events: &mut Vec<MemberEvent>,
     ) -> Option<ConnectionState> {
         if job.state.is_withdrawn() {
@@ -136,11 +136,11 @@
             events.push(Input::ConnectionIdle(self.link));
             return Some(state);
         };
-        events.push(Input::JobFinished { connection: self.link, job: job.job, result: ending, reusable });
+        events.push(Input::JobFinished { connection: self.link, job: job.id, result: ending, reusable });
         reusable.then_some(state)
     }
 
-    fn check_liveness(&self, open: &mut OpenConnection, job: &AssignedJob) -> Liveness {
+    fn check_liveness(&self, open: &mut OpenConnection, job: &Job) -> Liveness {
         if !job.state.start_preparing() {
             return Liveness::WithdrawnBefore;
         }
@@ -154,7 +154,7 @@
 
     /// Opens the connection where it is not open, and executes the job on it; `None` if the job was withdrawn
     /// before anything was written.
-    fn execute(&self, state: &mut ConnectionState, job: &AssignedJob) -> Option<JobReply> {
+    fn execute(&self, state: &mut ConnectionState, job: &Job) -> Option<JobReply> {
         let mut open = match state.open.take() {
             Some(open) => open,
             None => match self.open() {
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -1,7 +1,6 @@
 //! A job on a member connection: what is written for it, and what it ends with.
 
 use super::connect::OpenConnection;
-use super::connection::MemberConnection;
 use super::job_state::JobState;
 use super::load_report::MemberStatus;
 use crate::core::{JobId, JobResult, JobSpec};
@@ -16,12 +15,10 @@
 /// The simple query that asks a member for its load report.
 const HEALTH_CHECK: &[u8] = b"SHOW health";
 
-/// A job as it is handed to a worker.
-pub(super) struct AssignedJob {
-    /// The connection to run it on.
-    pub(super) connection: Arc<MemberConnection>,
+/// A job for a connection.
+pub(super) struct Job {
     /// The number of the job.
-    pub(super) job: JobId,
+    pub(super) id: JobId,
     /// What is to be done.
     pub(super) what: JobSpec<MemberRequest>,
     /// The job must not begin later than this.
@@ -30,7 +27,7 @@
     pub(super) state: Arc<JobState>,
 }
 
-impl AssignedJob {
+impl Job {
     /// Whether an open connection is to be checked before the job begins.
     pub(super) fn wants_liveness_check(&self) -> bool {
         matches!(self.what, JobSpec::Attempt { verify_connection: true, .. })
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -19,11 +19,12 @@
 use crate::core::{ConnectionId, JobId, JobSpec};
 use crate::exchange::MemberRequest;
 use connection::MemberConnection;
-use job::AssignedJob;
+use job::Job;
 use job_state::JobState;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use worker_pool::AssignedJob;
 
 /// What became of the withdrawal of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,13 +77,8 @@
             }
             JobSpec::Probe => None,
         };
-        self.workers.dispatch(AssignedJob {
-            connection: self.connection.clone(),
-            job,
-            what,
-            start_deadline,
-            state: self.state.clone(),
-        })
+        let job = Job { id: job, what, start_deadline, state: self.state.clone() };
+        self.workers.dispatch(AssignedJob { connection: self.connection.clone(), job })
     }
 
     /// Withdraws a job that has not begun; `None` if it has begun. A connection in use for a liveness check,
--- a/src/net/member/worker_pool.rs
+++ b/src/net/member/worker_pool.rs
@@ -1,6 +1,7 @@
 //! The threads that run jobs on member connections, one job at a time each.
 
-use super::job::AssignedJob;
+use super::connection::MemberConnection;
+use super::job::Job;
 use crate::threads::spawn;
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,6 +21,14 @@
     next_worker: Arc<AtomicU64>,
 }
 
+/// A job with the connection that it runs on.
+pub(super) struct AssignedJob {
+    /// The connection.
+    pub(super) connection: Arc<MemberConnection>,
+    /// The job.
+    pub(super) job: Job,
+}
+
 /// A worker that waits for its next job.
 struct IdleWorker {
     number: u64,
@@ -46,8 +55,7 @@
     fn run_worker(self, number: u64, first: AssignedJob) {
         let (jobs, inbox) = bounded(1);
         let mut next_job = Some(first);
-        while let Some(job) = next_job {
-            let connection = job.connection.clone();
+        while let Some(AssignedJob { connection, job }) = next_job {
             let events = connection.run_job(job);
             // The worker is idle before the event loop hears that the job has ended: what the loop dispatches
             // in response then finds this worker.
--- a/src/server/endpoint_watch.rs
+++ b/src/server/endpoint_watch.rs
@@ -107,7 +107,8 @@
             return;
         }
         if let Err(error) = self.endpoint_watches.replace(address, self.seed, self.messages.clone()) {
-            tracing::error!(target: LOG_TARGET, %error, "reload failed: no thread for the new discovery watch");
+            let message = "reload failed: no thread for the new discovery watch";
+            tracing::error!(target: LOG_TARGET, %error, "{message}");
         }
     }
 }
