--- a/tests/proxy/support/member.rs
+++ b/tests/proxy/support/member.rs
@@ -132,9 +132,11 @@
         self.record.lock().unwrap().plan = behaviors.iter().copied().collect();
     }
 
-    /// Forgets what it has received and executed, and the plan.
+    /// Forgets what it has received and executed, the plan, and the events so far: a connection that ended while
+    /// the program started must not pass for the one that a test waits for.
     pub fn reset_record(&self) {
         *self.record.lock().unwrap() = MemberRecord::default();
+        self.events.lock().unwrap().try_iter().for_each(drop);
     }
 
     /// The number of statements that were executed.
