--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -1,5 +1,5 @@
 //! Races between events. Stand-ins hold back, release, hang or reset on command, so that each order of events
-//! is forced and not left to chance; `docs/crossings.md` lists them.
+//! is forced and not left to chance; `docs/race-conditions.md` lists them.
 
 mod clients;
 mod discovery;
