--- a/src/core/connections.rs
+++ b/src/core/connections.rs
@@ -1,4 +1,4 @@
-//! The connections to members: endpoint updates, checkout and check-in, and how far idle ones are trusted.
+//! The connections to members: endpoint updates, checkout and check-in, and verification of idle ones.
 
 use super::pool::{CheckIn, Checkout};
 use super::timers::TimerEvent;
@@ -18,7 +18,7 @@
 /// A connection that was idle for this long is verified before a write that must not be executed twice.
 const VERIFY_WRITES_AFTER_IDLE: Micros = 1_000_000;
 
-/// The connection that a job gets.
+/// The connection that a job is given.
 pub(super) struct JobConnection {
     pub id: ConnectionId,
     /// Since when it was idle; `None` if it is new.
@@ -26,7 +26,7 @@
 }
 
 impl<W, A> Core<W, A> {
-    /// Applies an update of the endpoint list, and cancels what has not been sent to members out of service.
+    /// Applies an update of the endpoint list, and cancels unsent attempts to members out of service.
     pub(super) fn apply_endpoint_update(&mut self, now: Micros, full: bool, members: Vec<ListedMember>) {
         let to_close = self.pool.apply_endpoint_update(now, full, &members);
         self.close_connections(to_close);
@@ -46,7 +46,7 @@
         });
     }
 
-    /// Takes a connection to a member out of the pool; opens one where none is idle.
+    /// Checks out a connection to a member; opens one if none is idle.
     pub(super) fn check_out(&mut self, endpoint: EndpointId) -> Option<JobConnection> {
         match self.pool.check_out(endpoint) {
             Checkout::Unavailable => None,
@@ -61,15 +61,15 @@
         }
     }
 
-    /// Returns a connection to the pool.
+    /// Checks in a connection.
     pub(super) fn check_in(&mut self, now: Micros, connection: ConnectionId) {
         if self.pool.check_in(connection, now) == CheckIn::Close {
             self.effects.push(Effect::CloseConnection(connection));
         }
     }
 
-    /// A connection has been closed. Guards against one that ends without reporting its job: nobody knows how
-    /// far the job had come.
+    /// A connection has been closed. Guards against one that ends without reporting its job: the progress of
+    /// that job is unknown.
     pub(super) fn connection_closed(&mut self, now: Micros, connection: ConnectionId) {
         self.pool.remove(connection);
         let orphaned = self.jobs.iter().filter(|(_, job)| job.connection == connection);
@@ -87,14 +87,14 @@
         self.close_connections(to_close);
     }
 
-    /// A connection was dropped on the way while it was idle: the others may have been, too.
+    /// A connection was dropped by the network while it was idle: the others may have been as well.
     pub(super) fn distrust_idle_connections(&mut self, now: Micros) {
         self.revalidate_until = now + REVALIDATION_PERIOD;
     }
 
-    /// Whether a connection must be verified before an attempt. Guards against one that was dropped on the
-    /// way while it was idle: what is written to it first is lost, and a write would count as one that may
-    /// have been executed.
+    /// Whether a connection must be verified before an attempt. Guards against one that was dropped by the
+    /// network while it was idle: the first bytes written to it are lost, and a write would count as one that
+    /// may have been executed.
     pub(super) fn must_verify(
         &self,
         now: Micros,
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,4 +1,4 @@
-//! The figures that operators see.
+//! The counters that operators see.
 
 use super::FinalAnswer;
 
@@ -27,13 +27,13 @@
 /// The members in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Members that are listed and not gone.
+    /// Members in the list that are not removed.
     pub listed: usize,
     /// Those of them that get no requests at present.
     pub unavailable: usize,
 }
 
-/// What the reducer has counted since the start, and the present state.
+/// The reducer's counters since the start, and its current state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// The final answers, for each class by index.
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -1,18 +1,18 @@
-//! Jobs in flight: the attempts and probes that connections carry out, from their start to their result.
+//! Jobs in flight: the attempts and health checks that connections run, from their start to their result.
 
 use super::connections::JobConnection;
 use super::timers::TimerEvent;
 use super::{ConnectionId, Core, Effect, JobId, JobResult, JobSpec};
 use crate::{AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId, ResponseMetadata};
 
-/// A probe without an answer by then has failed.
+/// A health check without an answer by then has failed.
 const PROBE_TIMEOUT: Micros = 250_000;
 /// The shortest timeout of an attempt, however close the deadline of its request is.
 const MIN_ATTEMPT_TIMEOUT: Micros = 1_000;
 /// Positions may be this far ahead of the clock: commits are rounded up, and clocks are read at different
 /// moments.
 const MAX_POSITION_LEAD: Micros = 250_000;
-/// A reused connection that is reset this soon had been dropped on the way while it was idle.
+/// A reused connection that is reset this soon had been dropped by the network while it was idle.
 const STALE_RESET_LIMIT: Micros = 10_000;
 
 /// What a job is for.
@@ -20,20 +20,20 @@
 pub(super) enum JobPurpose {
     /// An attempt of a request, counted from 0.
     Attempt { request: RequestId, attempt: u32 },
-    /// A probe of the member.
+    /// A health check of the member.
     Probe,
 }
 
 /// Why a job is cancelled.
 #[derive(Clone, Copy)]
 pub(super) enum CancelReason {
-    /// It has run out of time.
+    /// It has timed out.
     TimedOut,
     /// Its result is not needed any more, or it must not be started any more.
     NotNeeded,
 }
 
-/// A job that a connection has been given and whose result is not known yet.
+/// A job that has been given to a connection and whose result is not known yet.
 pub(super) struct InFlightJob {
     pub connection: ConnectionId,
     pub endpoint: EndpointId,
@@ -41,7 +41,7 @@
     /// The connection was idle before, not new.
     reused: bool,
     started_at: Micros,
-    /// Why it is being cancelled, from the cancellation on.
+    /// Why it is being cancelled; set by the cancellation.
     cancel_reason: Option<CancelReason>,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// An attempt that the router asks for.
+/// An attempt that the router requests.
 pub(super) struct AttemptOrder {
     pub request: RequestId,
     pub endpoint: EndpointId,
@@ -67,16 +67,16 @@
 }
 
 impl<W, A> Core<W, A> {
-    /// Starts an attempt. Returns the event that tells the router if it could not be sent.
+    /// Starts an attempt. Returns the event that notifies the router if it could not be sent.
     pub(super) fn start_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<Event> {
         let AttemptOrder { request, endpoint, .. } = order;
         let pending = self.requests.get_mut(&request)?;
         let attempt = pending.attempts;
         pending.attempts += 1;
-        // Guards against a second execution, whatever the router asks for.
+        // Guards against a second execution, whatever the router requests.
         let allowed = attempt < self.settings.max_attempts && !pending.must_not_be_repeated();
         let timeout = order.timeout.min(pending.deadline.saturating_sub(now)).max(MIN_ATTEMPT_TIMEOUT);
-        // Guards against a repeat that waits for its connection until its key is forgotten.
+        // Guards against a retry that waits for its connection until its idempotency key has expired.
         let start_within = order.start_within.min(pending.deduplication_time_left(now));
         let idempotency = pending.idempotency;
         let work = pending.work.clone();
@@ -96,7 +96,7 @@
         None
     }
 
-    /// Starts a probe. Returns the event that tells the router if that is impossible.
+    /// Starts a health check. Returns the event that notifies the router if that is impossible.
     pub(super) fn start_probe(&mut self, now: Micros, endpoint: EndpointId) -> Option<Event> {
         let Some(connection) = self.check_out(endpoint) else {
             return Some(Event::Probed { endpoint, answered: false, report: LoadReport::default() });
@@ -141,8 +141,8 @@
     }
 
     /// Cancels those of the selected attempts that have not been started. Guards against an attempt that
-    /// waits for its connection to be opened or verified, and starts when its client has gone or its member
-    /// has been told to drain.
+    /// waits for its connection to be opened or verified, and starts after its client has disconnected or its
+    /// member has been listed as draining.
     pub(super) fn cancel_unsent(&mut self, selected: impl Fn(JobId, &InFlightJob) -> bool) {
         for (&id, job) in &self.jobs {
             if job.is_live_attempt() && selected(id, job) {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A job has been cancelled: its outcome depends on how far it had come.
+    /// Handles the cancellation of a job: its outcome depends on its progress.
     pub(super) fn job_cancelled(&mut self, now: Micros, id: JobId, maybe_sent: bool, reusable: bool) {
         let Some(job) = self.jobs.get(&id) else { return };
         let reason = job.cancel_reason.unwrap_or(CancelReason::NotNeeded);
@@ -159,7 +159,7 @@
             self.pool.mark_broken(job.connection);
         }
         let outcome = match reason {
-            // A member that let a connection hang before the job was sent could not be reached.
+            // The connection hung before the job was sent: the member counts as unreachable.
             CancelReason::TimedOut if !maybe_sent && !reusable => Outcome::ConnectFailed,
             _ if !maybe_sent => Outcome::NeverSent,
             CancelReason::TimedOut => Outcome::TimedOut,
@@ -168,7 +168,7 @@
         self.finish_job(now, id, JobResult::from_outcome(outcome));
     }
 
-    /// Takes the result of a job, which may come after a cancellation has ended the job.
+    /// Handles the result of a job, which may arrive after a cancellation has ended the job.
     pub(super) fn finish_job(&mut self, now: Micros, id: JobId, mut result: JobResult<A>) {
         let Some(job) = self.jobs.remove(&id) else { return };
         drop_impossible_positions(now, &mut result);
@@ -198,7 +198,7 @@
         {
             pending.mark_maybe_executed(job.started_at);
         }
-        // An answer with `NeverSent` tells nothing of the member: it is an error of the statement itself.
+        // A response with `NeverSent` carries no evidence about the member: the statement itself is in error.
         if matches!(outcome, Outcome::Ok | Outcome::NeverSent)
             && let Some(answer) = answer
         {
@@ -231,7 +231,7 @@
     }
 }
 
-/// Guards against a position that no member can have reached yet: it would pass for fresh for ever.
+/// Guards against a position that no member can have reached yet: it would count as fresh forever.
 fn drop_impossible_positions<A>(now: Micros, result: &mut JobResult<A>) {
     let is_possible = |position: &Micros| *position <= now + MAX_POSITION_LEAD;
     result.metadata.position = result.metadata.position.filter(is_possible);
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,7 +1,7 @@
-//! The vocabulary of the reducer: what it is told ([`Input`]) and what it asks for ([`Effect`]).
+//! The types of the reducer: its inputs ([`Input`]) and the effects that it requests ([`Effect`]).
 //!
-//! `W` is the work that a request asks of a member and `A` is the answer to it; the reducer passes both on
-//! without looking inside.
+//! `W` is the work that a request asks of a member and `A` is its response; the reducer passes both on
+//! without inspecting them.
 
 pub use crate::endpoint_list::ListedMember;
 
@@ -10,28 +10,28 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The number of a job, never used twice.
+/// The id of a job; ids are never reused.
 pub type JobId = u64;
 
 /// A request that has been read from a client.
 pub struct NewRequest<W> {
-    /// What the router needs to know of it; `remaining` counts from now.
+    /// The properties that the router needs; `remaining` counts from now.
     pub request: Request,
-    /// What it asks of a member.
+    /// The work that it asks of a member.
     pub work: Arc<W>,
 }
 
-/// What a connection is to do next.
+/// The kind of work that a connection does next.
 pub enum JobSpec<W> {
-    /// Send an attempt and wait for its answer.
+    /// Send an attempt and wait for its response.
     Attempt {
-        /// What is asked.
+        /// The work to send.
         work: Arc<W>,
-        /// How long this proxy waits for the answer.
+        /// How long this proxy waits for the response.
         timeout: Micros,
-        /// The attempt must be started within this from now, or not at all.
+        /// The attempt must be started within this time from now, or not at all.
         start_within: Micros,
-        /// Make sure first that the connection still leads to the member.
+        /// Verify first that the connection to the member is still alive.
         verify_connection: bool,
     },
     /// Ask the member for its load report.
@@ -40,18 +40,18 @@
 
 /// How a job ended.
 pub struct JobResult<A> {
-    /// The outcome, classified as the table of the protocol says.
+    /// The outcome, classified by the protocol's table.
     pub outcome: Outcome,
-    /// What the answer says of the member.
+    /// What the response reports about the member.
     pub metadata: ResponseMetadata,
-    /// The load report that came with the answer.
+    /// The load report that came with the response.
     pub report: LoadReport,
-    /// What goes to the client, if there is an answer to give.
+    /// The response for the client, if there is one.
     pub answer: Option<A>,
 }
 
 impl<A> JobResult<A> {
-    /// A result that tells nothing but its outcome.
+    /// A result that carries only its outcome.
     pub fn from_outcome(outcome: Outcome) -> Self {
         let metadata = ResponseMetadata::default();
         let report = LoadReport::default();
@@ -67,7 +67,7 @@
     ClientDisconnected(RequestId),
     /// An update of the endpoint list.
     EndpointUpdate {
-        /// The members are the whole list: one that is not among them is gone.
+        /// The members are the complete list: a member that is missing from it has been removed.
         full: bool,
         /// The members that the update names.
         members: Vec<ListedMember>,
@@ -80,14 +80,14 @@
         job: JobId,
         /// How it ended.
         result: JobResult<A>,
-        /// The connection can take another job.
+        /// The connection can be given another job.
         reusable: bool,
     },
     /// The last byte of an attempt has been written to its member.
     AttemptWritten,
     /// A connection whose job was cancelled before its start is open and idle.
     ConnectionIdle(ConnectionId),
-    /// A check before reuse found that a connection no longer leads to its member; a new one is opened in
+    /// A check before reuse found that a connection to a member is dead; a new one is opened in
     /// its place, under the same number.
     StaleConnectionFound,
     /// A connection has been closed.
@@ -98,15 +98,15 @@
         job: JobId,
         /// Its last byte may have been handed to the kernel.
         maybe_sent: bool,
-        /// The connection can take another job.
+        /// The connection can be given another job.
         reusable: bool,
     },
-    /// The proxy shuts down: every request must have its answer before the deadline.
+    /// The proxy shuts down: every request must be answered before the deadline.
     ShutdownRequested {
         /// When the proxy shuts down.
         deadline: Micros,
     },
-    /// The time that [`Core::next_timer_at`](super::Core::next_timer_at) told has come.
+    /// The time that [`Core::next_timer_at`](super::Core::next_timer_at) returned has been reached.
     TimerDue,
 }
 
@@ -116,7 +116,7 @@
     Served(A),
     /// The request was rejected: it has not been executed, and a retry is harmless.
     Rejected {
-        /// After which time the client should retry; 0 for no advice.
+        /// The retry delay advised to the client; 0 for no advice.
         retry_after: Micros,
     },
     /// The request failed.
@@ -130,31 +130,31 @@
 pub enum Effect<W, A> {
     /// Open a connection.
     OpenConnection {
-        /// The number it gets.
+        /// The id of the new connection.
         connection: ConnectionId,
-        /// Where it leads.
+        /// The address of the member.
         address: SocketAddr,
     },
     /// Give a connection its next job; a connection that is still being opened starts it afterwards.
     StartJob {
         /// The connection.
         connection: ConnectionId,
-        /// The number of the job.
+        /// The id of the job.
         job: JobId,
-        /// What is to be done.
+        /// The work of the job.
         spec: JobSpec<W>,
     },
     /// Cancel a job, and close its connection if the job may have been sent. The reply is an
     /// [`Input::JobCancelled`], at once.
     CancelJob {
-        /// The connection that does the job.
+        /// The connection that runs the job.
         connection: ConnectionId,
         /// The job.
         job: JobId,
     },
     /// Cancel a job if it has not been started. The reply is an [`Input::JobCancelled`], at once, if so.
     CancelUnsentJob {
-        /// The connection that has the job.
+        /// The connection that the job was given to.
         connection: ConnectionId,
         /// The job.
         job: JobId,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The reducer: `(state, now, input) -> effects`.
 //!
 //! [`Core`] owns the [`Router`], the pending requests, the jobs in flight, the timers and the accounting of
-//! the connection pool. Its state changes in [`Core::step`] only. It deals in requests, attempts and outcomes
-//! and knows no wire format: the work of a request (`W`) and the answer to it (`A`) pass through it unopened.
+//! the connection pool. Its state changes in [`Core::step`] only. It handles requests, attempts and outcomes
+//! and knows no wire format: a request's work (`W`) and its response (`A`) pass through it uninspected.
 
 mod connections;
 mod counters;
@@ -29,7 +29,7 @@
 use std::collections::BTreeMap;
 use timers::{TimerEvent, Timers};
 
-/// All state on which the proxy's decisions rest, and the only place where it changes.
+/// All state that the proxy's decisions depend on, and the only place where it changes.
 pub struct Core<W, A> {
     settings: Settings,
     router: Router,
@@ -43,12 +43,12 @@
     /// Until then, every idle connection is verified before it is reused.
     revalidate_until: Micros,
     counters: Counters,
-    /// What the present step asks for.
+    /// The effects that the current step requests.
     effects: Vec<Effect<W, A>>,
 }
 
 impl<W, A> Core<W, A> {
-    /// A reducer that knows no member yet and holds at most `max_connections` connections to members.
+    /// A reducer that knows no member yet and opens at most `max_connections` connections to members.
     pub fn new(settings: Settings, seed: u64, now: Micros, max_connections: usize) -> Self {
         let mut timers = Timers::default();
         timers.set(now + EVICTION_INTERVAL, TimerEvent::EvictIdle);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes one input and returns the effects to carry out, in order.
+    /// Handles one input and returns the effects to carry out, in order.
     pub fn step(&mut self, now: Micros, input: Input<W, A>) -> Vec<Effect<W, A>> {
         match input {
             Input::RequestReceived(request) => self.admit_request(now, request),
@@ -117,7 +117,7 @@
             match event {
                 TimerEvent::Router(token) => self.notify_router(now, Event::TimerFired(token)),
                 TimerEvent::JobTimeout(job) => self.cancel_job(job, CancelReason::TimedOut),
-                // What the router based its choice on no longer holds.
+                // The state that the router based its choice on may have changed.
                 TimerEvent::StartLimit(job) => self.cancel_unsent(|id, _| id == job),
                 TimerEvent::RequestDeadline(request) => self.expire_request(now, request),
                 TimerEvent::EvictIdle => self.evict_idle(now),
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,4 +1,4 @@
-//! The accounting of the connection pool: which connections lead to which member, and which of them are idle.
+//! The accounting of the connection pool: the connections to each member, and which of them are idle.
 //! The sockets themselves belong to the event loop.
 
 use super::ListedMember;
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The number of a connection to a member, never used twice.
+/// The id of a connection to a member; ids are never reused.
 pub type ConnectionId = u64;
 
-/// A member that has been gone for this long is forgotten.
+/// A member that has been absent from the endpoint list for this long is dropped.
 const FORGET_GONE_AFTER: Micros = 30_000_000;
 
 struct Connection {
     endpoint: EndpointId,
     address: SocketAddr,
     idle_since: Option<Micros>,
-    /// It was closed in the middle of a job: it is not reused, whatever the job still reports.
+    /// It was closed in the middle of a job: it is not reused, whatever result the job still reports.
     broken: bool,
 }
 
@@ -24,7 +24,7 @@
 #[derive(Default)]
 struct MemberPool {
     address: Option<SocketAddr>,
-    /// Idle connections in the order of their last use: the most recently used is at the end and goes first.
+    /// Idle connections in the order of their last use: the most recently used is last and is reused first.
     idle: Vec<ConnectionId>,
     /// Since when the member has been absent from the endpoint list.
     gone_since: Option<Micros>,
@@ -38,29 +38,29 @@
     members: BTreeMap<EndpointId, MemberPool>,
 }
 
-/// The connection that a job gets.
+/// The connection that a job is given.
 pub enum Checkout {
     /// The most recently used idle connection.
     Reused {
-        /// Its number.
+        /// Its id.
         connection: ConnectionId,
         /// Since when it has been idle.
         idle_since: Micros,
     },
     /// A new connection, to be opened.
     New {
-        /// Its number.
+        /// Its id.
         connection: ConnectionId,
-        /// Where it leads.
+        /// The address of the member.
         address: SocketAddr,
-        /// An idle connection to another member, to be closed first to make room.
+        /// An idle connection to another member, to be closed first to free capacity.
         evicted: Option<ConnectionId>,
     },
     /// The member's address is unknown, or all connections are in use and the pool is full.
     Unavailable,
 }
 
-/// What becomes of a connection whose job is over.
+/// The state of a connection after its job has ended.
 #[must_use]
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum CheckIn {
@@ -77,7 +77,7 @@
     }
 
     /// Applies an update of the endpoint list. Returns the idle connections to close: those to members that
-    /// are gone, are draining or have moved to another address.
+    /// have been removed, are draining or have moved to another address.
     pub fn apply_endpoint_update(
         &mut self,
         now: Micros,
@@ -99,7 +99,7 @@
         to_close
     }
 
-    /// Takes the most recently used idle connection to a member, or a new one if there is room.
+    /// Checks out the most recently used idle connection to a member, or a new one if there is capacity.
     pub fn check_out(&mut self, endpoint: EndpointId) -> Checkout {
         let Some(member) = self.members.get_mut(&endpoint) else {
             return Checkout::Unavailable;
@@ -135,7 +135,7 @@
         Some(oldest)
     }
 
-    /// Returns a connection that has nothing to do. Guards against reuse of a connection whose member has
+    /// Checks in a connection whose job has ended. Guards against reuse of a connection whose member has
     /// moved, or whose job ended just as it was closed.
     pub fn check_in(&mut self, connection_id: ConnectionId, now: Micros) -> CheckIn {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
@@ -193,7 +193,7 @@
         self.idle.retain(|idle| *idle != connection);
     }
 
-    /// Removes and returns the idle connections that no longer lead to a member in service.
+    /// Removes and returns the idle connections whose member is not in service.
     fn remove_unusable(
         &mut self,
         out_of_service: bool,
@@ -204,7 +204,7 @@
         self.idle.extract_if(.., |id| out_of_service || !is_current(id)).collect()
     }
 
-    /// Notes since when the member has been gone; `state` is its entry in the update, if it has one.
+    /// Records since when the member has been absent; `state` is its entry in the update, if it has one.
     fn track_absence(&mut self, now: Micros, full: bool, state: Option<EndpointState>) {
         match state {
             Some(EndpointState::Removed) => self.gone_since = self.gone_since.or(Some(now)),
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Members that are gone must not pile up, as new ones get new ids for ever. They are kept for a while
-    /// because a list may be wrong.
+    /// Guards against growth without bound, as new members always get new ids. Removed members are kept for a
+    /// while because a list may be wrong.
     fn is_forgotten(&self, now: Micros) -> bool {
         self.gone_since.is_some_and(|since| now >= since + FORGET_GONE_AFTER)
     }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -13,15 +13,15 @@
 /// has not.
 const DEADLINE_GRACE: Micros = 3_000;
 
-/// A request that waits for its final answer.
+/// A request without a final answer yet.
 pub(super) struct PendingRequest<W> {
     pub class: usize,
     pub work: Arc<W>,
     pub deadline: Micros,
-    /// The attempts that the router has asked for, those included that were not sent.
+    /// The attempts that the router has requested, including those that were not sent.
     pub attempts: u32,
     pub idempotency: Idempotency,
-    /// When the first attempt was sent of those that the member may have executed.
+    /// When the first attempt that the member may have executed was sent.
     pub first_maybe_executed_at: Option<Micros>,
 }
 
@@ -32,7 +32,7 @@
         self.first_maybe_executed_at = Some(earliest);
     }
 
-    /// Another attempt could take effect a second time, which the request's class rules out.
+    /// Whether another attempt could take effect a second time, which the request's class rules out.
     pub fn must_not_be_repeated(&self) -> bool {
         self.idempotency == Idempotency::AtMostOnce && self.first_maybe_executed_at.is_some()
     }
@@ -48,7 +48,7 @@
 }
 
 impl<W, A> Core<W, A> {
-    /// Admits a request and hands it to the router, or rejects it.
+    /// Admits a request and passes it to the router, or rejects it.
     pub(super) fn admit_request(&mut self, now: Micros, new_request: NewRequest<W>) {
         let NewRequest { mut request, work } = new_request;
         let id = request.id;
@@ -62,7 +62,7 @@
         }
         let client_limit = request.remaining.saturating_sub(ANSWER_MARGIN);
         request.remaining = client_limit.min(self.time_until_shutdown(now));
-        // A pipelined request may have waited for earlier commands until its time was over.
+        // A pipelined request may have waited for earlier commands until its deadline had passed.
         if request.remaining == 0 {
             return self.answer(id, request.class, FinalAnswer::Rejected { retry_after: 0 });
         }
@@ -81,7 +81,7 @@
         self.notify_router(now, Event::Request(request));
     }
 
-    /// The client has gone: no answer is owed any more.
+    /// The client has disconnected: no answer is required any more.
     pub(super) fn abandon_request(&mut self, now: Micros, id: RequestId) {
         if self.requests.remove(&id).is_none() {
             return;
@@ -91,7 +91,7 @@
     }
 
     /// Answers a request at its deadline. Guards against a request that the router still holds then: the
-    /// client is owed its answer.
+    /// client must get its answer.
     pub(super) fn expire_request(&mut self, now: Micros, id: RequestId) {
         let Some(pending) = self.requests.remove(&id) else { return };
         let in_flight = self.jobs.values().any(|job| job.serves(id));
@@ -107,13 +107,13 @@
         self.release_request(now, id);
     }
 
-    /// Lets go of the attempts of a request that is no longer pending.
+    /// Cancels the attempts of a request that is no longer pending.
     fn release_request(&mut self, now: Micros, id: RequestId) {
         self.notify_router(now, Event::ClientDisconnected(id));
         self.cancel_unsent(|_, job| job.serves(id));
     }
 
-    /// Answers a request with what a member has sent.
+    /// Answers a request with a member's response.
     pub(super) fn serve_request(&mut self, id: RequestId, answer: A) {
         if let Some(pending) = self.requests.remove(&id) {
             self.answer(id, pending.class, FinalAnswer::Served(answer));
--- a/src/core/routing.rs
+++ b/src/core/routing.rs
@@ -1,4 +1,4 @@
-//! The exchange with the [`Router`](crate::Router): events to it, and the actions that it asks for.
+//! The exchange with the [`Router`](crate::Router): events to it, and the actions that it requests.
 
 use super::jobs::{AttemptOrder, CancelReason, JobPurpose};
 use super::timers::TimerEvent;
@@ -7,8 +7,8 @@
 use std::collections::VecDeque;
 
 impl<W, A> Core<W, A> {
-    /// Notifies the router of an event and carries out what it asks for. What cannot be carried out is an
-    /// event again.
+    /// Notifies the router of an event and carries out the requested actions. An action that fails at once is
+    /// reported as another event.
     pub(super) fn notify_router(&mut self, now: Micros, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Carries out one action. Returns the event that tells the router of an immediate failure.
+    /// Carries out one action. Returns the event that notifies the router of an immediate failure.
     fn perform(&mut self, now: Micros, action: Action) -> Option<Event> {
         match action {
             Action::Send { request, endpoint, timeout, start_within } => {
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -1,11 +1,11 @@
-//! Shutdown: every pending request gets its final answer before the proxy ends.
+//! Shutdown: every pending request gets its final answer before the proxy exits.
 
 use super::Core;
 use super::timers::TimerEvent;
 use crate::Micros;
 
 impl<W, A> Core<W, A> {
-    /// Brings the deadlines of all pending requests forward to the end of the proxy.
+    /// Brings the deadlines of all pending requests forward to the exit of the proxy.
     pub(super) fn begin_shutdown(&mut self, deadline: Micros) {
         self.shutdown_deadline = Some(deadline);
         for (id, pending) in &mut self.requests {
@@ -16,7 +16,7 @@
         }
     }
 
-    /// How long the proxy still runs; [`Micros::MAX`] while no shutdown has been requested.
+    /// How long the proxy keeps running; [`Micros::MAX`] while no shutdown has been requested.
     pub(super) fn time_until_shutdown(&self, now: Micros) -> Micros {
         match self.shutdown_deadline {
             Some(deadline) => deadline.saturating_sub(now),
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! Races that only the order of the inputs decides: each is stepped through the reducer by hand.
+//! Races that depend only on the order of the inputs: each is stepped through the reducer by hand.
 
 use super::*;
 use crate::{
@@ -48,7 +48,7 @@
     ListedMember { entry, address: SocketAddr::from(([127, 0, 0, 1], number)) }
 }
 
-/// A reducer with two members, of which the first is hinted to be the primary. `cancel` says whether the
+/// A reducer with two members, of which the first is hinted to be the primary. `cancel` sets whether the
 /// router may cancel attempts.
 fn core(cancel: bool) -> TestCore {
     let keyed = Idempotency::Keyed { across_groups: true, window: KEY_WINDOW };
@@ -95,7 +95,7 @@
         first
     }
 
-    /// The input that tells of its end; the connection stays open.
+    /// The input that reports its end; the connection stays open.
     fn finished(&self, outcome: Outcome, role: Role, position: Micros) -> Input<(), ()> {
         let metadata = ResponseMetadata { role: Some(role), position: Some(position) };
         let answer = (outcome == Outcome::Ok).then_some(());
@@ -103,7 +103,7 @@
         Input::JobFinished { connection: self.connection, job: self.job, result, reusable: true }
     }
 
-    /// The input that tells of its cancellation before it was sent; the connection stays open.
+    /// The input that reports its cancellation before it was sent; the connection stays open.
     fn cancelled_unsent(&self) -> Input<(), ()> {
         Input::JobCancelled { job: self.job, maybe_sent: false, reusable: true }
     }
@@ -133,7 +133,7 @@
     let attempt = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
     let effects = core.step(START + MS, Input::ClientDisconnected(1));
     assert_eq!(unsent_cancellations(&effects), [attempt.job]);
-    // The reply to the cancellation ends the attempt; no answer is owed, and nothing follows.
+    // The reply to the cancellation ends the attempt; no answer is required, and nothing follows.
     let effects = core.step(START + MS, attempt.cancelled_unsent());
     assert!(effects.is_empty());
 }
@@ -189,7 +189,7 @@
 fn connection_closed_just_as_its_job_finished_is_not_reused() {
     let mut core = core(true);
     let attempt = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
-    // The attempt times out while its result is on the way, which says that the connection is reusable.
+    // The attempt times out while its result is in transit, which reports that the connection is reusable.
     let now = START + 2000 * MS;
     let effects = core.step(now, Input::TimerDue);
     assert!(effects.iter().any(|effect| matches!(effect, Effect::CancelJob { .. })));
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -7,13 +7,13 @@
 /// What happens when a timer fires.
 #[derive(Clone, Copy)]
 pub enum TimerEvent {
-    /// The router asked to be called back with this token.
+    /// The router requested a call back with this token.
     Router(u32),
-    /// The job has run out of time.
+    /// The job has timed out.
     JobTimeout(JobId),
     /// The attempt may no longer be started.
     StartLimit(JobId),
-    /// The request must have had its final answer.
+    /// The deadline by which the request must have been answered.
     RequestDeadline(RequestId),
     /// Connections that have been idle for too long are closed.
     EvictIdle,
