--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,12 +11,12 @@
 const SHED_START: f64 = 0.15; // Work is shed from this queueing delay on, all of it this much above.
 const SHED_SPAN: f64 = 0.6;
 const SHED_RELIEF: f64 = 2.0; // Shedding yields to the limits by this for each attempt at an endpoint.
-const LIMIT_SHARE_MIN: f64 = 0.5; // The share of the limit that the cheapest work may use, and the dearest.
+const LIMIT_SHARE_MIN: f64 = 0.5; // The share of the limit for the lowest-priority work, and the highest.
 const LIMIT_SHARE_MAX: f64 = 1.4;
 
 impl Router {
-    /// Departure: an endpoint takes no more of this router's attempts than it answers in their objectives,
-    /// and a share is shed by how long attempts queue in the group, cheapest first. Guards against overload.
+    /// Departure: an endpoint gets no more of this router's attempts than it answers in their objectives,
+    /// and a share is shed by the group's queueing delay, lowest priority first. Guards against overload.
     pub(super) fn has_capacity(&self, pending: &PendingRequest, index: EndpointIndex) -> bool {
         let rank = self.priority_rank(pending, index);
         let limit_share = LIMIT_SHARE_MIN + (LIMIT_SHARE_MAX - LIMIT_SHARE_MIN) * rank;
@@ -28,8 +28,8 @@
         is_admitted && (self.pending_count(index) as f64) < limit
     }
 
-    /// What a request is worth for its work, from 0 to 1. Writes rank by what is left of their own weight, as
-    /// they can go nowhere but to the primary; all that replicas can do ranks lower there.
+    /// The value of a request for its work, from 0 to 1. Writes rank by what is left of their own weight, as
+    /// only the primary can serve them; all that replicas can serve ranks lower there.
     fn priority_rank(&self, pending: &PendingRequest, index: EndpointIndex) -> f64 {
         let class = &self.settings.classes[pending.request.class];
         let unloaded = self.unloaded(pending.request.class);
@@ -53,7 +53,7 @@
         self.traffic.baselines.unloaded(class)
     }
 
-    /// Learns from the time of an attempt; none for one that was not answered, which counts as a whole delay,
+    /// Records the time of an attempt; none for one that was not answered, which counts as a full delay,
     /// however little time the client had left.
     pub(super) fn record_latency(
         &mut self,
@@ -61,7 +61,7 @@
         attempt: OutstandingAttempt,
         elapsed: Option<Micros>,
     ) {
-        // Departure: what was out while this process was suspended tells of it, not of the endpoint.
+        // Departure: attempts outstanding while this process was suspended are no evidence of the endpoint.
         if attempt.sent_at < self.resumed_at {
             return;
         }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may be used: what the list allows, outlier ejection, and trials.
+//! Which endpoints may be used: endpoint list states, outlier ejection, and trials.
 
 use super::*;
 
@@ -12,7 +12,7 @@
 
 impl Router {
     /// Departure: where only draining binds, an endpoint that is listed as removed is used while it answers.
-    /// Guards against lists that are wrong or old, even empty; costs an attempt where the list is right.
+    /// Guards against lists that are wrong, stale or empty; costs an attempt where the list is right.
     pub(super) fn is_usable(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         let may_be_in_service = self.may_serve_though_removed(index) && !endpoint.down;
@@ -33,11 +33,11 @@
         self.topology[index].ejected && self.now >= self.topology[index].next_trial_at
     }
 
-    /// Departure: an endpoint whose failures stand out is ejected and taken back by single trials. Guards
-    /// against black holes, dead machines and fast failers, which all look idle to a pending count.
+    /// Departure: an endpoint whose failures stand out is ejected and readmitted by single trials. Guards
+    /// against black holes, dead machines and fast failures, which all look idle to a pending count.
     pub(super) fn record_failure(&mut self, index: EndpointIndex, failure: Failure) {
         let is_occasional = matches!(failure, Failure::Error | Failure::Lost);
-        // A primary that errs now and then still does what no other can.
+        // A primary with occasional errors still does what no other endpoint can.
         let is_needed = is_occasional && self.topology.role(index) == Role::Primary;
         let is_down = failure == Failure::NoConnection && self.topology[index].down;
         self.update_failure_rates(index, true, is_down);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes in a connection that was refused or broke. Guards against taking a few of them for the end of
+    /// Records a connection that was refused or broke. Guards against counting a few of them as the end of
     /// the process.
     pub(super) fn record_disconnect(&mut self, index: EndpointIndex, refused: bool) {
         let endpoint = &mut self.topology[index];
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,8 @@
 //! Every decision of liftrelay. The types of settings, events and actions are in `src/model/mod.rs`.
 //!
-//! The ordinary path is C-JDBC's least pending requests first: each router counts its own outstanding
+//! The default is C-JDBC's least pending requests first: each router counts its own outstanding
 //! attempts at each endpoint and sends a read to the group's replica with the fewest, ties in turn; writes
-//! and reads of the latest data go to the endpoint last seen as primary. What departs is marked "Departure".
+//! and reads of the latest data go to the endpoint last seen as primary. Deviations are marked "Departure".
 
 mod admission;
 mod health;
@@ -22,17 +22,17 @@
 const TICK_BATCHES: u64 = 4; // Batches between two runs of the periodic work (held requests, probes).
 const TICK_INTERVAL_MIN: Micros = 10_000; // The shortest interval between two runs of the periodic work.
 const SUSPENSION_DELAY: Micros = 100_000; // A tick later than this means that this process was suspended.
-const LIST_RETRY_DELAY: Micros = 1_000_000; // Wait before the list is asked for again after a failure.
+const LIST_RETRY_DELAY: Micros = 1_000_000; // Delay before the list is polled again after a failure.
 pub(crate) const FIRST_SEND_NUMBER: u64 = 1 << 16; // Endpoints not sent to yet draw theirs below.
 pub(crate) const BUDGET_START: f64 = 1.0; // Retries and trials that are saved up at first.
 const TICK_TIMER: u32 = 0;
 const LIST_TIMER: u32 = 1;
 
-/// Where a request goes next.
+/// The next step of a request.
 enum Selection {
     /// To an endpoint, with a short timeout where this explores: a trial, or a search for the primary.
     Send { endpoint: EndpointIndex, exploratory: bool },
-    /// Nowhere now: it is looked at again later.
+    /// Nowhere now: it is held and reconsidered later.
     Hold,
     /// Nowhere: it is shed.
     Shed,
@@ -55,7 +55,7 @@
         self.actions.push(Action::SetTimer { token, after });
     }
 
-    /// Starts the ticks with the first event; later, notices that this process was suspended.
+    /// Starts the ticks with the first event; later, detects that this process was suspended.
     pub(crate) fn check_ticks(&mut self) {
         if self.next_tick_at == 0 {
             let after = 1 + self.random.below(self.tick_interval());
@@ -106,7 +106,7 @@
         let next_probe_at = self.now + self.random.below(probe_spread);
         let last_send_number = self.random.below(FIRST_SEND_NUMBER);
         // A trial comes first where it costs no time: where trials reach all endpoints in a second. Only a
-        // start that the list tells lets a new one be used at once: slow start bounds what it gets.
+        // start that the list reports lets a new one be used at once: slow start bounds its load.
         let trials_per_second = self.traffic.arrivals.at(self.now) * health::TRIAL_SHARE;
         let trials_are_quick = trials_per_second > self.topology.endpoint_count() as f64;
         let ejected = !is_first_list && (entry.started_at == 0 || trials_are_quick);
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells of its endpoint, and what comes next for its request.
+//! What the end of an attempt shows about its endpoint, and the next step of its request.
 
 use super::*;
 
@@ -9,7 +9,7 @@
         let Some(attempt) = endpoint.take_outstanding(result.request, result.attempt) else { return };
         let group = endpoint.group;
         let primary_before = self.topology.primary(group);
-        let unloaded = self.unloaded(attempt.class); // Before this attempt's time is taken in.
+        let unloaded = self.unloaded(attempt.class); // Before this attempt's time is recorded.
         self.topology[index].record_outcome(result.outcome, self.now);
         let is_usable = self.is_usable(index);
         self.topology.record_response(index, &result, is_usable, self.now);
@@ -28,7 +28,7 @@
             Outcome::Error => self.record_failure(index, Failure::Error),
             Outcome::ConnectFailed => self.record_disconnect(index, true),
             Outcome::Reset => self.record_disconnect(index, false),
-            // Departure: a lost attempt tells of no queueing. Guards against losses that pass for load.
+            // Departure: a lost attempt is no evidence of queueing. Guards against counting losses as load.
             Outcome::TimedOut if self.is_lost(index, attempt) => self.record_failure(index, Failure::Lost),
             Outcome::TimedOut | Outcome::Full => {
                 self.record_latency(index, attempt, None);
@@ -56,13 +56,13 @@
             Requirement::BoundedStaleness(bound) => attempt.sent_at.saturating_sub(bound),
             _ => self.requests.get(&attempt.request).map_or(0, |pending| pending.required_position),
         };
-        // Of a request that is over, nobody knows any more what it required.
+        // The requirements of a completed request are no longer known.
         if required > 0 {
             self.topology[index].replication.record_missing(required, self.now);
         }
     }
 
-    /// Takes the next step for the request, if it is still owed an answer.
+    /// Takes the next step for the request, if it still has no final answer.
     fn continue_request(
         &mut self,
         index: EndpointIndex,
@@ -82,13 +82,13 @@
         if outcome.may_have_run() {
             pending.record_run(attempt.sent_at);
         }
-        // What ended in an error at the primary may be tried there again.
+        // A request that failed with an error at the primary may be retried there.
         if outcome != Outcome::Error || class.role() == Role::Replica {
             pending.tried.push(index);
         }
         let cost = match outcome {
             Outcome::NotServable | Outcome::NeverSent => 0.0,
-            // Guards against lost writes, which are not sent again, using up the retries of reads.
+            // Guards against lost writes, which are not retried, using up the retries of reads.
             _ if pending.is_spent(class) => 0.0,
             Outcome::Full => 1.0,
             _ => (result.elapsed as f64 / unloaded).min(1.0),
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -37,8 +37,8 @@
         let pending = &self.requests[&id];
         let (group, class) = (pending.request.group, pending.request.class);
         let starts_round = pending.search_attempts == 0;
-        // Departure: half of the attempts go into the first round, the last is for a primary that is known.
-        // Guards against a write that asks all of a group amid a handover and has none left afterwards.
+        // Departure: half of the attempts go to the first round, the last is for a primary that is known.
+        // Guards against a write that asks all of a group during a failover and has none left afterwards.
         let max = self.settings.max_attempts;
         if pending.attempts + 1 >= max || (!starts_round && pending.attempts >= max / 2) {
             return self.back_off(id);
@@ -82,7 +82,7 @@
         primary.filter(|primary| self.has_capacity(pending, *primary))
     }
 
-    /// Holds a request, ever longer. Guards against a primary that refuses connections using all attempts up.
+    /// Holds a request with backoff. Guards against a primary that refuses connections using up all attempts.
     fn back_off(&mut self, id: RequestId) -> Selection {
         let pending = self.requests.get_mut(&id).expect("checked by the caller");
         let left = pending.useful_until.saturating_sub(self.now);
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -1,10 +1,10 @@
-//! Probes: asking endpoints for their role and position.
+//! Health checks (probes): asking endpoints for their role and position.
 
 use super::*;
 
 const PROBE_SHARE: f64 = 0.5; // Probes for each request, ...
 pub(super) const INTERVAL_MIN: Micros = 250_000; // ... and the least interval between two of an endpoint.
-const URGENCY: Micros = 4; // Probes are this much closer at endpoints that are down and in groups not led.
+const URGENCY: Micros = 4; // Probe rate factor at endpoints that are down and in groups not led.
 
 impl Router {
     pub(super) fn start_probes(&mut self) {
@@ -21,7 +21,7 @@
             let interval = (usual / urgency).max(INTERVAL_MIN / urgency);
             let endpoint = &mut self.topology[index];
             if urgency == 1 && self.now < endpoint.replication.observed_at() + interval {
-                continue; // Answers have told the same lately.
+                continue; // Recent answers have shown the same.
             }
             let jitter = self.random.below(interval / 4);
             endpoint.next_probe_at = self.now + interval - interval / 8 + jitter;
@@ -36,7 +36,7 @@
     }
 
     /// A group counts as led also where only the list names its primary. Guards against all routers that have
-    /// just started probing in a hurry.
+    /// just started probing at a high rate.
     fn is_probe_urgent(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         let primary = self.topology.presumed_primary(endpoint.group);
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -1,10 +1,10 @@
-//! Selection for reads that a replica may serve: the fewest pending of those that are fresh enough.
+//! Selection for reads that a replica may serve: the fewest pending among those that are fresh enough.
 
 use super::*;
 
 const LONG_READ_MULTIPLE: f64 = 5.0; // A read is long at this multiple of the lightest class.
 const CONNECTED_REPLICAS: usize = 2; // Of equals, so many of a group are used while connections last.
-const CONNECTION_LIFE_PERCENT: Micros = 80; // A connection lasts so much of what an endpoint allows.
+const CONNECTION_LIFE_PERCENT: Micros = 80; // A connection lasts this part of what an endpoint allows.
 
 /// What kind of endpoint may serve a read, the preferred first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -66,7 +66,7 @@
     }
 
     /// Departure: where endpoints serve stale data, a read first probes a replica if none is known as fresh.
-    /// Guards against sending all to primaries: each of many routers knows no replica's position lately.
+    /// Guards against sending all to primaries: each of many routers knows no replica's recent position.
     fn probe_before_read(&mut self, id: RequestId, open: &[EndpointIndex]) -> bool {
         let pending = &self.requests[&id];
         let required = self.required_position(pending);
@@ -102,7 +102,7 @@
         self.topology[index].replication.expected_position(behavior, self.now)
     }
 
-    /// Its answer is not too old, or it gives none then. A trial keeps to this like any other send.
+    /// Its answer is fresh enough, or it rejects the read. Trials keep to this like all sends.
     fn may_serve(&self, pending: &PendingRequest, index: EndpointIndex) -> bool {
         !self.settings.endpoints_serve_stale()
             || self.topology.role(index) == Role::Primary
@@ -116,7 +116,7 @@
         let is_candidate = |member: &EndpointIndex| {
             (!any_healthy || !self.topology[*member].ejected) && self.may_serve(pending, *member)
         };
-        // Departure: an endpoint known to lag is not tried while the primary can be waited for. Guards
+        // Departure: an endpoint known to lag is not tried while waiting for the primary is possible. Guards
         // against rejecting replicas, which drain fastest and look idlest, when all of a group lag.
         let is_open = |member: &EndpointIndex| {
             let waits_for_primary = is_led && self.tier(pending, *member) == Tier::LaggingReplica;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Ranks the accepted of the open members for a read.
+    /// Ranks the accepted members among those available for a read.
     fn ranks(&self, read: &PendingRequest, open: &[EndpointIndex], accepted: &[EndpointIndex]) -> Vec<Rank> {
         let is_long = self.is_long_read(read.request.class);
         let long_read_replica = self.long_read_replica(read.request.group);
@@ -173,7 +173,7 @@
         lasts && !self.topology.is_primary_of(group, index)
     }
 
-    /// Departure: long reads that need no freshness gather at one replica, the same for all routers, and of
+    /// Departure: long reads without freshness go to one replica, the same for all routers, and at
     /// equal counts the others come first for the rest, since long reads may keep it from applying commits.
     fn long_read_replica(&self, group: GroupId) -> Option<EndpointIndex> {
         let has_long_reads = (0..self.settings.classes.len()).any(|class| self.is_long_read(class));
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request: from its arrival over its attempts, holds and retries to its final answer.
+//! The lifecycle of a request: from its arrival over its attempts, holds and retries to its final answer.
 
 use super::primary::SEARCH_INTERVAL;
 use super::*;
@@ -9,7 +9,7 @@
 const ATTEMPT_WINDOW: f64 = 0.5; // ... and that one attempt may take, ...
 const KEYED_TIMEOUT_MULTIPLE: f64 = 4.0; // ... or this multiple of its usual time, if that is more.
 const EXPLORATORY_TIMEOUT_MULTIPLE: f64 = 3.0; // The same for trials and searches for the primary.
-const ANSWER_VALIDITY: Micros = 100_000; // What an answer tells counts as known this long.
+const ANSWER_VALIDITY: Micros = 100_000; // Evidence from an answer counts as current this long.
 
 impl Router {
     pub(crate) fn on_request(&mut self, request: Request) {
@@ -49,7 +49,7 @@
             Role::Primary => self.select_primary(id),
             Role::Replica => self.select_replica(id),
         };
-        // A held request is looked at again before its time runs out, whatever it waits for.
+        // A held request is reconsidered before its deadline, whatever it waits for.
         let reserve = (self.unloaded(class) as Micros / 2).max(2 * self.tick_interval());
         let last_hold = useful_until.saturating_sub(reserve);
         match selection {
@@ -108,7 +108,7 @@
     }
 
     /// Departure: how long an attempt may wait for its connection where endpoints serve stale data. Guards
-    /// against data that was fresh enough when an endpoint was selected, and a primary that is none any more.
+    /// against data that was fresh enough at selection, and against a primary that has stepped down.
     fn start_within(&self, class: usize, index: EndpointIndex) -> Micros {
         let requirement = self.settings.classes[class].requirement;
         if !self.settings.endpoints_serve_stale() {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Goes on with a request whose attempt failed, if the retry budget covers the cost.
+    /// Retries a request whose attempt failed, if the retry budget covers the cost.
     pub(super) fn retry(&mut self, id: RequestId, cost: f64) {
         if self.retry_budget < cost {
             return self.give_up(id);
@@ -150,20 +150,20 @@
         self.finish(id);
     }
 
-    /// Drops a request that has had its answer and cancels what is still in flight for it.
+    /// Drops a request that has its final answer and cancels its attempts in flight.
     pub(crate) fn finish(&mut self, id: RequestId) {
         let in_flight = self.requests.remove(&id).and_then(|pending| pending.in_flight);
         let cancel = |attempt| Action::Cancel { request: id, attempt };
         self.actions.extend(in_flight.filter(|_| self.settings.cancel).map(cancel));
     }
 
-    /// Tries held requests of a group again, at once where the primary has just been found.
+    /// Retries held requests of a group, at once where the primary has just been found.
     pub(super) fn resume_held_in_group(&mut self, group: GroupId, primary_before: Option<EndpointIndex>) {
         let primary = self.topology.primary(group);
         self.resume_held(Some(group), primary.is_some() && primary != primary_before);
     }
 
-    /// Tries held requests again: those that are due, or all where the primary has just been found.
+    /// Retries held requests: those that are due, or all where the primary has just been found.
     pub(super) fn resume_held(&mut self, group: Option<GroupId>, found_primary: bool) {
         let resumes = |pending: &PendingRequest| {
             let is_due = |until| found_primary || until <= self.now;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-/// The share of what overloads it that an endpoint gets, were all routers to use their budgets up: of reads,
-/// and at a primary of what only it can do, as others take the reads.
+/// The share of the overload threshold that an endpoint gets if all routers use up their budgets: for reads,
+/// and at a primary for primary-only work, as replicas serve the reads.
 const LOAD_SHARE: PerRole<f64> = PerRole { replica: 0.4, primary: 0.8 };
-/// The part of the overload window that budgets are saved for; half of that for what only a primary can do.
+/// The part of the overload window that budgets are saved for; half of that for primary-only work.
 const SAVED_WINDOWS: f64 = 0.5;
 const SAVED_DIVISOR: PerRole<f64> = PerRole { replica: 1.0, primary: 2.0 };
-/// The list tells of a restart within this; until then what is back has just started.
+/// The list reports a restart within this; until then an endpoint that is back has just started.
 const RESTART_REPORT_DELAY: Micros = 4_000_000;
 
 impl Router {
-    /// Warming up by the list, down, or back from that so lately that the list may not say so yet.
+    /// Warming up by the list, down, or back so recently that the list may not report it yet.
     pub(super) fn is_warming_up(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         let warm_at = endpoint.started_at + self.settings.slow_start_duration;
@@ -23,9 +23,9 @@
     }
 
     /// Departure: an endpoint that warms up gets a share of what a warm one serves for this router. A budget
-    /// too small for a request is staked on a draw, only for the endpoint picked: all routers together stay
-    /// under what overloads it. A new request to its primary stakes, on credit, the budget's share of all
-    /// that its group is asked. Guards against starving a class that each of many routers sees seldom.
+    /// too small for a request is staked on a draw, only for the endpoint selected: all routers together stay
+    /// under its overload threshold. A new request to its primary stakes, on credit, the budget's share of
+    /// its group's offered work. Guards against starving a class that each of many routers sees seldom.
     pub(super) fn admit_slow_start(&mut self, index: EndpointIndex, class: usize, on_credit: bool) -> bool {
         if !self.is_warming_up(index) {
             return true;
@@ -43,12 +43,12 @@
 
     fn slow_start_credit(&self, index: EndpointIndex, role: Role, cost: f64) -> f64 {
         let asked = self.traffic.offered_primary_work(&self.settings.classes, self.now);
-        // What little has been asked so far counts as what an endpoint serves. Guards against surges.
+        // The work offered so far, while little, counts as what an endpoint serves. Guards against surges.
         let asked = (asked / self.topology.group_count() as f64).max(self.work_per_endpoint()).max(1e-12);
         self.slow_start_rate(index, role) / asked * cost
     }
 
-    /// Takes a request that is sent out of the budget.
+    /// Deducts a request that is sent from the budget.
     pub(super) fn charge_slow_start(&mut self, index: EndpointIndex, class: usize) {
         let role = self.settings.classes[class].role();
         let cost = self.unloaded(class);
@@ -56,7 +56,7 @@
         let budgets = &mut self.topology[index].slow_start;
         budgets[role] = SlowStartBudget { saved, updated_at: self.now };
         if role == Role::Replica {
-            budgets.primary.saved -= cost; // What is read there is not left for writes.
+            budgets.primary.saved -= cost; // Budget used for reads there is not left for writes.
         }
     }
 
@@ -65,7 +65,7 @@
         let rate = self.slow_start_rate(index, role);
         let window = self.settings.overload_window as f64;
         let most = rate * window * SAVED_WINDOWS / SAVED_DIVISOR[role] / 1e6;
-        // Of what only a primary can do a whole request may be saved, as it comes seldom at one router.
+        // Enough for one complete primary-only request may be saved, as these are rare at one router.
         let most = most.max(if role == Role::Primary { self.unloaded(class) } else { 0.0 });
         let endpoint = &self.topology[index];
         let budget = endpoint.slow_start[role];
@@ -73,7 +73,7 @@
         (budget.saved + rate * elapsed as f64 / 1e6).min(most)
     }
 
-    /// The work a second that an endpoint may be sent while it warms up.
+    /// The work per second that an endpoint may be sent while it warms up.
     fn slow_start_rate(&self, index: EndpointIndex, role: Role) -> f64 {
         let endpoint = &self.topology[index];
         let since = if endpoint.down { self.now } else { endpoint.started_at.max(endpoint.recovered_at) };
@@ -83,7 +83,7 @@
         self.work_per_endpoint() * capacity * LOAD_SHARE[role] * self.settings.overload_multiple
     }
 
-    /// The work a second that a warm endpoint serves for this router, at most its share of all that is asked.
+    /// The work per second that a warm endpoint serves for this router, at most its share of offered work.
     /// Guards against giving nothing to endpoints that warm up just after this router's start, when it has
     /// seen nothing served.
     fn work_per_endpoint(&self) -> f64 {
