--- a/src/estimators/failure_rate.rs
+++ b/src/estimators/failure_rate.rs
@@ -5,18 +5,18 @@
 pub(crate) struct FailureRate(f64);
 
 impl FailureRate {
-    /// A share to start from.
+    /// A share with this initial value.
     pub(crate) fn new(share: f64) -> Self {
         FailureRate(share)
     }
 
-    /// Takes one outcome in, with this weight.
+    /// Records one outcome with this weight.
     pub(crate) fn record(&mut self, failed: bool, gain: f64) {
         let outcome = if failed { 1.0 } else { 0.0 };
         self.0 += (outcome - self.0) * gain;
     }
 
-    /// The share of attempts that failed lately.
+    /// The share of recent attempts that failed.
     pub(crate) fn share(self) -> f64 {
         self.0
     }
--- a/src/estimators/latency_baseline.rs
+++ b/src/estimators/latency_baseline.rs
@@ -8,9 +8,9 @@
 const FASTER_GAIN: f64 = 0.3;
 /// The same for a slower reading; small, so that sustained load does not become the norm.
 const SLOWER_GAIN: f64 = 0.02;
-/// The first guess of the unloaded time, as a share of the latency objective.
+/// The initial estimate of the unloaded time, as a share of the latency objective.
 const FIRST_GUESS: f64 = 0.25;
-/// The number of answers that the first guess weighs as much as, until the first reading.
+/// The number of answers that the initial estimate counts as, until the first reading.
 const GUESS_SAMPLES: f64 = 3.0;
 
 struct Baseline {
@@ -25,13 +25,13 @@
 #[derive(Default)]
 pub(crate) struct LatencyBaselines {
     classes: Vec<Baseline>,
-    /// Over all classes, the sum and the number of answer times as shares of the first guess.
+    /// Over all classes, the sum and the number of answer times as shares of the initial estimate.
     relative_sum: f64,
     relative_samples: f64,
 }
 
 impl LatencyBaselines {
-    /// First guesses only.
+    /// Initial estimates only.
     pub(crate) fn new(classes: &[Class]) -> Self {
         let classes = classes.iter().map(|class| {
             let first_guess = class.latency_objective as f64 * FIRST_GUESS;
@@ -50,8 +50,8 @@
         self.classes.iter().map(|baseline| baseline.unloaded)
     }
 
-    /// Takes the time of one answer in; classes without a reading share the pace of all. Guards against
-    /// going by the first guess for minutes where a class is rare.
+    /// Records the time of one answer; classes without a reading use the ratio of all classes. Guards against
+    /// relying on the initial estimate for minutes where a class is rare.
     pub(crate) fn record(&mut self, class: usize, elapsed: Micros) {
         let elapsed = elapsed as f64;
         self.relative_sum += elapsed / self.classes[class].first_guess;
--- a/src/estimators/mod.rs
+++ b/src/estimators/mod.rs
@@ -1,5 +1,5 @@
-//! Estimators that the routing policy reads: moving rates, averages and baselines. They measure and decide
-//! nothing.
+//! Estimators that the routing policy reads: moving rates, averages and baselines. They measure and make
+//! no decisions.
 
 mod failure_rate;
 mod latency_baseline;
--- a/src/estimators/queueing_delay.rs
+++ b/src/estimators/queueing_delay.rs
@@ -4,7 +4,7 @@
 
 /// The weight of one attempt in an average.
 const GAIN: f64 = 0.15;
-/// The time constant with which the average of a group fades to the average of all groups.
+/// The time constant with which the average of a group decays to the average of all groups.
 const GROUP_SPAN: f64 = 5_000_000.0;
 
 /// A moving average over attempts.
@@ -12,7 +12,7 @@
 pub(crate) struct QueueingDelay(f64);
 
 impl QueueingDelay {
-    /// Takes the delay of one attempt in.
+    /// Records the delay of one attempt.
     pub(crate) fn record(&mut self, delay: f64) {
         self.0 += (delay - self.0) * GAIN;
     }
@@ -23,7 +23,7 @@
     }
 }
 
-/// The average of one group, which fades to the average of all groups while nothing is seen of the group.
+/// The average of one group, which decays to the average of all groups while the group has no attempts.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct GroupQueueingDelay {
     share: f64,
@@ -37,7 +37,7 @@
         all_groups.0 + (self.share - all_groups.0) * fade
     }
 
-    /// Takes the delay of one attempt in; it weighs the more, the longer ago the last one was.
+    /// Records the delay of one attempt; its weight grows with the time since the previous one.
     pub(crate) fn record(&mut self, delay: f64, all_groups: QueueingDelay, now: Micros) {
         let estimate = self.estimate(all_groups, now);
         let staleness = 1.0 - (-((now - self.updated_at) as f64) / GROUP_SPAN).exp();
--- a/src/estimators/replication.rs
+++ b/src/estimators/replication.rs
@@ -14,12 +14,12 @@
 }
 
 impl ReplicationEstimate {
-    /// The highest position that is known; positions never go back.
+    /// The highest known position; positions never decrease.
     pub(crate) fn known_position(&self) -> Micros {
         self.position
     }
 
-    /// When something was last learned of the position.
+    /// When evidence of the position was last recorded.
     pub(crate) fn observed_at(&self) -> Micros {
         self.observed_at
     }
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Takes in a position that it has told.
+    /// Records a position that the endpoint has reported.
     pub(crate) fn record(&mut self, position: Micros, now: Micros) {
         self.position = self.position.max(position);
         self.lag = now.saturating_sub(self.position) as f64;
         self.observed_at = now;
     }
 
-    /// Takes in that it did not have a position yet.
+    /// Records that the endpoint had not reached a position yet.
     pub(crate) fn record_missing(&mut self, position: Micros, now: Micros) {
         self.lag = self.lag.max(now.saturating_sub(position) as f64);
         self.observed_at = now;
--- a/src/estimators/traffic.rs
+++ b/src/estimators/traffic.rs
@@ -1,25 +1,25 @@
-//! How much is asked of this router, and how much of it is served.
+//! The rates of offered and of served work at this router.
 
 use super::{DecayingRate, LatencyBaselines};
 use crate::{Class, Micros, Role, Settings};
 
-/// Moving rates of requests, in all and by class and tenant, and the unloaded times of the classes.
+/// Moving rates of requests, in total and by class and tenant, and the unloaded times of the classes.
 #[derive(Default)]
 pub(crate) struct Traffic {
-    /// All requests that came.
+    /// All requests that arrived.
     pub(crate) arrivals: DecayingRate,
-    /// The requests of each class that came.
+    /// The requests of each class that arrived.
     pub(crate) offered: Vec<DecayingRate>,
     /// The requests of each class that endpoints served for this router.
     pub(crate) served: Vec<DecayingRate>,
-    /// The requests of each tenant that came.
+    /// The requests of each tenant that arrived.
     pub(crate) tenants: Vec<DecayingRate>,
     /// The service time of each class without load.
     pub(crate) baselines: LatencyBaselines,
 }
 
 impl Traffic {
-    /// Rates of zero, and first guesses.
+    /// Rates of zero, and initial estimates.
     pub(crate) fn new(settings: &Settings, now: Micros) -> Self {
         let rate = DecayingRate::new(now);
         Traffic {
@@ -31,17 +31,17 @@
         }
     }
 
-    /// The work a second that is asked, in unloaded time.
+    /// The offered work per second, in unloaded time.
     pub(crate) fn offered_work(&self, now: Micros) -> f64 {
         self.work(&self.offered, now, |_| 1.0)
     }
 
-    /// The work a second that is served, in unloaded time.
+    /// The served work per second, in unloaded time.
     pub(crate) fn served_work(&self, now: Micros) -> f64 {
         self.work(&self.served, now, |_| 1.0)
     }
 
-    /// The part of the offered work that only primaries can do.
+    /// The part of the offered work that only primaries can serve.
     pub(crate) fn offered_primary_work(&self, classes: &[Class], now: Micros) -> f64 {
         let needs_primary = |class: usize| if classes[class].role() == Role::Primary { 1.0 } else { 0.0 };
         self.work(&self.offered, now, needs_primary)
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a router knows of one endpoint.
+//! The router's state of one endpoint.
 
 use super::PerRole;
 use crate::estimators::{FailureRate, QueueingDelay, ReplicationEstimate};
@@ -62,11 +62,11 @@
     pub(crate) state: EndpointState,
     /// It was listed as draining since it was last in service.
     pub(crate) has_drained: bool,
-    /// It stood in the first list, or has answered.
+    /// It was in the first list, or has answered.
     pub(crate) confirmed: bool,
-    /// The list takes it for the primary.
+    /// The list names it as the primary.
     pub(crate) primary_hint: bool,
-    /// Its start as the list tells it, 0 for long ago.
+    /// Its start as reported by the list, 0 for long ago.
     pub(crate) started_at: Micros,
 
     pub(crate) outstanding: Vec<OutstandingAttempt>,
@@ -101,12 +101,12 @@
 
     pub(crate) next_probe_at: Micros,
     pub(crate) probe_in_flight: bool,
-    /// It did not answer the last probe.
+    /// It did not answer the last health check.
     pub(crate) probe_unanswered: bool,
 }
 
 impl Endpoint {
-    /// An endpoint of which nothing is known but the list's entry.
+    /// An endpoint of which only the list's entry is known.
     pub(crate) fn new(entry: &EndpointEntry) -> Self {
         Endpoint {
             id: entry.endpoint,
@@ -141,7 +141,7 @@
         Some(self.outstanding.swap_remove(place))
     }
 
-    /// Takes in how an attempt ended, as far as that tells that it runs.
+    /// Records how an attempt ended, as far as that shows that the endpoint is running.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome, now: Micros) {
         match outcome {
             Outcome::Ok | Outcome::NotServable => {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Takes in that it runs: what answers after it was down may have just started.
+    /// Records that it is running: an endpoint that answers after it was down may have just started.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.confirmed = true;
         self.probe_unanswered = false;
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -1,18 +1,18 @@
-//! The table of endpoints, whose slots are used again.
+//! The table of endpoints, whose slots are reused.
 
 use super::Endpoint;
 use crate::{EndpointId, EndpointState, Micros};
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// An endpoint that was removed and silent for this long is forgotten when its slot is wanted.
+/// An endpoint that was removed and silent for this long is dropped when its slot is needed.
 const FORGET_AFTER: Micros = 10_000_000;
 
-/// The place of an endpoint in the table.
+/// The slot of an endpoint in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EndpointIndex(usize);
 
-/// All endpoints, by place and by identity.
+/// All endpoints, by slot and by identity.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     slots: Vec<Endpoint>,
@@ -20,13 +20,13 @@
 }
 
 impl EndpointTable {
-    /// The place of the endpoint with this identity.
+    /// The slot of the endpoint with this identity.
     pub(crate) fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// Gives a new endpoint a place, if possible that of one that is forgotten: endpoints may come and go for
-    /// ever. The caller fills the place, and drops what it holds of an earlier endpoint there.
+    /// Assigns a slot to a new endpoint, if possible that of one that is dropped. Guards against a table that
+    /// grows forever. The caller fills the slot, and drops its state of an earlier endpoint there.
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> EndpointIndex {
         let forgotten = |endpoint: &Endpoint| {
             endpoint.state == EndpointState::Removed
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -1,4 +1,4 @@
-//! What a router knows of one group.
+//! The router's state of one group.
 
 use super::{EndpointIndex, PerRole};
 use crate::Micros;
@@ -12,19 +12,19 @@
     pub(crate) primary: Option<EndpointIndex>,
     /// The time of the newest evidence of the primary.
     pub(crate) primary_seen_at: Micros,
-    /// No request starts a search for the primary before.
+    /// No request starts a search for the primary before this time.
     pub(crate) next_search_at: Micros,
     pub(crate) queueing_delay: PerRole<GroupQueueingDelay>,
 }
 
 impl Group {
-    /// Takes in who is the primary, by evidence of this time.
+    /// Records which member is the primary, by evidence of this time.
     pub(crate) fn set_primary(&mut self, primary: Option<EndpointIndex>, seen_at: Micros) {
         self.primary = primary;
         self.primary_seen_at = seen_at;
     }
 
-    /// Drops the belief that this member is the primary.
+    /// Stops treating this member as the primary.
     pub(crate) fn forget_primary(&mut self, member: EndpointIndex) {
         self.primary = self.primary.filter(|primary| *primary != member);
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a router knows: its endpoints, their groups, the open requests, and the commits of sessions. Tables
+//! The router's state: its endpoints, their groups, the open requests, and the commits of sessions. Tables
 //! and records that the policy reads and updates; they decide nothing.
 
 mod endpoint;
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -1,9 +1,9 @@
-//! What a router knows of a request that is owed an answer.
+//! The router's state of a request without a final answer.
 
 use super::EndpointIndex;
 use crate::{Class, Idempotency, Micros, Request, Requirement};
 
-/// A request that is owed an answer.
+/// A request without a final answer.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
@@ -11,7 +11,7 @@
     pub(crate) deadline: Micros,
     /// An answer until then meets the latency objective.
     pub(crate) objective_at: Micros,
-    /// An answer after this is worth nothing: the deadline, or the objective where late answers do not count.
+    /// An answer after this has no value: the deadline, or the objective where late answers do not count.
     pub(crate) useful_until: Micros,
     /// The position that its arrival requires of an endpoint, 0 for none.
     pub(crate) required_position: Micros,
@@ -31,16 +31,16 @@
     /// The endpoints that it was sent to in this round in search of the primary.
     pub(crate) search_attempts: u32,
 
-    /// Where it is held: it is looked at again then.
+    /// While it is held: it is reconsidered then.
     pub(crate) held_until: Option<Micros>,
-    /// It is not sent to a primary before.
+    /// It is not sent to a primary before this time.
     pub(crate) backoff_until: Micros,
     /// The replica that was probed for it.
     pub(crate) probed: Option<EndpointIndex>,
 }
 
 impl PendingRequest {
-    /// A request that has just come.
+    /// A request that has just arrived.
     pub(crate) fn new(request: Request, class: &Class, now: Micros) -> Self {
         let deadline = now + request.remaining;
         let objective_at = now + class.latency_objective.min(request.remaining);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes in that an attempt sent at this time may have run.
+    /// Records that an attempt sent at this time may have run.
     pub(crate) fn record_run(&mut self, sent_at: Micros) {
         self.first_run_at = Some(self.first_run_at.unwrap_or(sent_at).min(sent_at));
     }
--- a/src/state/session_commits.rs
+++ b/src/state/session_commits.rs
@@ -28,7 +28,7 @@
         self.by_session.get(&session).map_or(0, |commit| commit.position)
     }
 
-    /// The position that an endpoint must have to serve a request, as far as its arrival tells; 0 for none.
+    /// The position that an endpoint must have to serve a request, as known on its arrival; 0 for none.
     pub(crate) fn required_position(&self, request: &Request, settings: &Settings, now: Micros) -> Micros {
         match settings.classes[request.class].requirement {
             Requirement::Latest => now,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Drops, once there are many, the commits that are settled.
+    /// Drops, once there are many, the commits that every replica has.
     pub(crate) fn prune(&mut self, is_settled: impl Fn(GroupId, Micros) -> bool) {
         if self.by_session.len() > CAPACITY {
             self.by_session.retain(|_, commit| !is_settled(commit.group, commit.position));
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -1,4 +1,4 @@
-//! The endpoints and their groups, with what is known of roles, positions and queueing.
+//! The endpoints and their groups, with the known roles, positions and queueing delays.
 
 use super::endpoint_table::EndpointTable;
 use super::{Endpoint, EndpointIndex, Group, PerRole, SlowStartBudget};
@@ -28,7 +28,7 @@
         self.endpoints.indices()
     }
 
-    /// The number of endpoints, those that are removed included.
+    /// The number of endpoints, including removed ones.
     pub(crate) fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
@@ -45,7 +45,7 @@
         self.groups.get_mut(&id)
     }
 
-    /// The members of a group, none of one that is unknown.
+    /// The members of a group; empty for an unknown group.
     pub(crate) fn members(&self, id: GroupId) -> &[EndpointIndex] {
         self.groups.get(&id).map_or(&[], |group| &group.members)
     }
@@ -55,8 +55,8 @@
         self.groups.get(&id).and_then(|group| group.primary)
     }
 
-    /// The primary, or else the endpoint that the list names. Guards against asking others in vain while the
-    /// named one has no slow-start budget.
+    /// The primary, or else the endpoint that the list names. Guards against futile attempts elsewhere when
+    /// the named one has no slow-start budget.
     pub(crate) fn presumed_primary(&self, id: GroupId) -> Option<EndpointIndex> {
         let is_hinted = |member: &EndpointIndex| self[*member].is_hinted_primary();
         self.primary(id).or_else(|| self.members(id).iter().copied().find(is_hinted))
@@ -79,7 +79,7 @@
         EndpointCounts { listed: listed.clone().count(), avoided: listed.filter(is_avoided).count() }
     }
 
-    /// Marks endpoints that are missing from a whole list as removed.
+    /// Marks endpoints that are missing from a complete list as removed.
     pub(crate) fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
         let is_listed = |id: EndpointId| entries.iter().any(|entry| entry.endpoint == id);
         for endpoint in self.endpoints.iter_mut().filter(|endpoint| !is_listed(endpoint.id)) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Makes room for a new endpoint; the caller fills its place.
+    /// Assigns a slot to a new endpoint; the caller fills it.
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> EndpointIndex {
         let index = self.endpoints.allocate(id, now);
         for group in self.groups.values_mut() {
@@ -96,7 +96,7 @@
         index
     }
 
-    /// Takes an entry of the list over; tells whether it newly names the endpoint as the primary.
+    /// Applies an entry of the list; returns whether it newly names the endpoint as the primary.
     pub(crate) fn apply_entry(&mut self, index: EndpointIndex, entry: &EndpointEntry, now: Micros) -> bool {
         let group = self.groups.entry(entry.group).or_default();
         if !group.members.contains(&index) {
@@ -126,8 +126,8 @@
         newly_hinted
     }
 
-    /// Takes in the role that an endpoint had at this time, if that is the newest evidence. Only an endpoint
-    /// that may be used is taken for the primary.
+    /// Records the role that an endpoint had at this time, if that is the newest evidence. Only an endpoint
+    /// that may be used counts as the primary.
     pub(crate) fn record_role(&mut self, index: EndpointIndex, role: Role, seen_at: Micros, is_usable: bool) {
         let endpoint = &mut self.endpoints[index];
         let Some(group) = self.groups.get_mut(&endpoint.group) else { return };
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes in what a response tells of its endpoint.
+    /// Records what a response reports about its endpoint.
     pub(crate) fn record_response(
         &mut self,
         index: EndpointIndex,
@@ -164,7 +164,7 @@
         self.record_report(index, result.report, is_usable, now);
     }
 
-    /// Takes a report in, which is as old as it says: a primary's position is the time of its report.
+    /// Records a load report together with its age: a primary's position is the time of its report.
     pub(crate) fn record_report(
         &mut self,
         index: EndpointIndex,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Takes in that an endpoint rejected a write: it is not the primary.
+    /// Records that an endpoint rejected a write: it is not the primary.
     pub(crate) fn record_write_rejected(&mut self, index: EndpointIndex, now: Micros) {
         let endpoint = &mut self.endpoints[index];
         endpoint.replica_seen_at = now;
@@ -196,7 +196,7 @@
         self.groups[&self[index].group].queueing_delay[role].estimate(self.queueing_delay[role], now)
     }
 
-    /// Takes in how long an attempt queued.
+    /// Records how long an attempt queued.
     pub(crate) fn record_delay(&mut self, index: EndpointIndex, delay: f64, now: Micros) {
         let role = self.role(index);
         if let Some(group) = self.groups.get_mut(&self.endpoints[index].group) {
