--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -1,20 +1,20 @@
-//! Endpoints: the members of replicated groups, as the endpoint list and their own answers describe them.
+//! Endpoints: the members of replicated groups, as described by the endpoint list and their own responses.
 
 use crate::Micros;
 
-/// The number of a group: one primary and its replicas, all holding the same data.
+/// The number of a group: one primary and its replicas, all with the same data.
 pub type GroupId = u32;
 
 /// Identifies an endpoint. The value carries no meaning beyond identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// What the endpoint list says of an endpoint.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// In service.
     Ready,
-    /// Finishing its work; nothing new may be sent.
+    /// Draining: no new work may be sent.
     Draining,
     /// Removed from service.
     #[default]
@@ -32,7 +32,7 @@
     pub zone: u32,
     /// Whether it is in service.
     pub state: EndpointState,
-    /// Whether the list takes it for the primary; late and sometimes wrong.
+    /// Whether the list names it as the primary; the list may be late or wrong.
     pub primary_hint: bool,
     /// Its last start, 0 for long ago.
     pub started_at: Micros,
@@ -41,22 +41,22 @@
 /// The role of an endpoint in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes the writes.
+    /// It accepts writes.
     Primary,
-    /// It follows the primary.
+    /// It replicates from the primary.
     Replica,
 }
 
-/// What a response tells of the endpoint that sent it.
+/// What a response reports about its endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseMetadata {
     /// Its role when it answered.
     pub role: Option<Role>,
-    /// The time up to which it has all commits; for a write that went through, the time of its commit.
+    /// The time up to which it has all commits; for a write that succeeded, the time of its commit.
     pub position: Option<Micros>,
 }
 
-/// What an endpoint reported of itself, as of some time ago.
+/// The load report of an endpoint, as of some time ago.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Its role.
@@ -70,6 +70,6 @@
 pub struct EndpointCounts {
     /// Endpoints in the list.
     pub listed: usize,
-    /// Those of them that are avoided now.
+    /// Those of them that are avoided at present.
     pub avoided: usize,
 }
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -1,60 +1,60 @@
-//! What happens to a [`Router`](crate::Router), and what it asks its host to do.
+//! Events that a [`Router`](crate::Router) handles, and actions that it requests from its host.
 
 use crate::{AttemptResult, EndpointEntry, EndpointId, LoadReport, Micros, Request, RequestId};
 
-/// Something that happened.
+/// An event for the router.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list, or a change of it.
     EndpointUpdate {
-        /// Whether the entries are the whole list: an endpoint that is not among them is removed.
+        /// Whether the entries are the complete list: an endpoint that is missing from it is removed.
         full: bool,
         /// The entries.
         endpoints: Vec<EndpointEntry>,
     },
-    /// A call for the endpoint list failed; the old one stays.
+    /// Polling the endpoint list failed; the previous list stays in use.
     EndpointListFailed,
-    /// A request came in; it is owed one final answer.
+    /// A request arrived; it must get one final answer.
     Request(Request),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// A probe ended.
+    /// A health check ended.
     Probed {
         /// The endpoint.
         endpoint: EndpointId,
         /// Whether it answered.
         answered: bool,
-        /// Its report.
+        /// Its load report.
         report: LoadReport,
     },
-    /// The client disconnected; nothing more is owed.
+    /// The client disconnected; no answer is required any more.
     ClientDisconnected(RequestId),
-    /// A timer came due.
+    /// A timer fired.
     TimerFired(u32),
 }
 
-/// Something the host is to do.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
         /// The timeout of the attempt.
         timeout: Micros,
-        /// It must begin within this, [`Micros::MAX`] for any time: else it is never sent.
+        /// It must start within this time, [`Micros::MAX`] for any time: else it is never sent.
         start_within: Micros,
     },
-    /// Final answer: not served, trying again is harmless.
+    /// Final answer: rejected, a retry is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// When to come back; 0 for no advice.
+        /// The retry delay advised to the client; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed, the request may have been executed.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
@@ -63,16 +63,16 @@
         /// The attempt.
         attempt: u32,
     },
-    /// Ask an endpoint for its report.
+    /// Ask an endpoint for its load report.
     Probe(EndpointId),
     /// Set a timer.
     SetTimer {
-        /// Handed back when it comes due.
+        /// Returned when the timer fires.
         token: u32,
-        /// From now.
+        /// The delay from now.
         after: Micros,
     },
-    /// Subscribe to the endpoint list, where it comes only on request.
+    /// Subscribe to the endpoint list, where it is sent only on request.
     Subscribe,
     /// A line for the operator's log.
     Log(String),
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -2,13 +2,13 @@
 
 use crate::{EndpointId, GroupId, LoadReport, Micros, ResponseMetadata, Role};
 
-/// The number of a client request, never used twice by one host.
+/// The number of a client request, never reused by one host.
 pub type RequestId = u32;
 
 /// What a class of requests requires of the endpoint that serves it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requirement {
-    /// A write: only the primary takes it.
+    /// A write: only the primary accepts it.
     Write,
     /// A read of everything written before it arrived.
     Latest,
@@ -29,7 +29,7 @@
     Keyed {
         /// Whether every endpoint drops repeats, or only those of the group that got the first attempt.
         across_groups: bool,
-        /// For how long after the send of the first attempt that may have run.
+        /// For how long after the first attempt that may have run was sent.
         window: Micros,
     },
     /// It must run at most once.
@@ -37,7 +37,7 @@
 }
 
 impl Idempotency {
-    /// Whether a client may safely repeat the request anywhere, even if it has run.
+    /// Whether a client may safely retry the request anywhere, even if it has run.
     pub fn is_repeatable_anywhere(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::Keyed { across_groups: true, .. })
     }
@@ -52,7 +52,7 @@
     pub idempotency: Idempotency,
     /// An answer within this earns the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits in all.
+    /// How long a client waits in total.
     pub deadline: Micros,
     /// The value of an answer within the latency objective, relative to other classes.
     pub priority_weight: f64,
@@ -79,17 +79,17 @@
     pub id: RequestId,
     /// Its class.
     pub class: usize,
-    /// The group that holds its data.
+    /// The group that stores its data.
     pub group: GroupId,
     /// The session, 0 for none.
     pub session: u64,
     /// The tenant.
     pub tenant: usize,
-    /// How long ago the session's last write was committed, where the client says so.
+    /// How long ago the session's last write was committed, where the client provides it.
     pub time_since_write: Option<Micros>,
     /// How long the client still waits.
     pub remaining: Micros,
-    /// Whether the client has tried before.
+    /// Whether this is a retry by the client.
     pub is_retry: bool,
 }
 
@@ -100,7 +100,7 @@
     Ok,
     /// The endpoint answered with an error; it may have run.
     Error,
-    /// Rejected unseen, as the endpoint's queue was full.
+    /// Rejected without being executed, as the endpoint's queue was full.
     Full,
     /// No answer in time; it may have run.
     TimedOut,
@@ -112,7 +112,7 @@
     Cancelled,
     /// Never sent.
     NeverSent,
-    /// Rejected untouched: not the primary, or too far behind.
+    /// Rejected without being executed: not the primary, or too far behind.
     NotServable,
 }
 
@@ -137,10 +137,10 @@
     pub outcome: Outcome,
     /// The time since its send.
     pub elapsed: Micros,
-    /// What the response tells of the endpoint.
+    /// What the response reports about the endpoint.
     pub metadata: ResponseMetadata,
     /// Whether the request has had its final answer.
     pub finished: bool,
-    /// The report that came with the response, if any.
+    /// The load report that came with the response, if any.
     pub report: LoadReport,
 }
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -3,50 +3,50 @@
 use super::settings_document::SettingsDocument;
 use crate::{Class, Micros};
 
-/// What an endpoint does with a read that it is too far behind for.
+/// How an endpoint handles a read for which it is too far behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleReadBehavior {
-    /// It answers from what it has: the router alone keeps stale answers out.
+    /// It answers from the data that it has: only the router prevents stale answers.
     Serve,
-    /// It rejects the read untouched.
+    /// It rejects the read without executing it.
     Reject,
-    /// It waits for up to this long to catch up, then rejects the read untouched.
+    /// It waits for up to this long to catch up, then rejects the read without executing it.
     WaitThenReject(Micros),
 }
 
-/// What a router is told when it starts. The simulator's adapter and the proxy read the same settings.
+/// The settings of a router at its start. The simulator's adapter and the proxy read the same settings.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(try_from = "SettingsDocument")]
 pub struct Settings {
     /// Routers that share the endpoints, this one included.
     pub instances: u32,
-    /// The zone this router sits in.
+    /// The zone of this router.
     pub zone: u32,
     /// The shortest span between two batches of events.
     pub resolution: Micros,
     /// The classes, by index.
     pub classes: Vec<Class>,
-    /// For each tenant, the requests a second over all routers that count in full.
+    /// For each tenant, the requests per second over all routers that keep their full priority weight.
     pub quotas: Vec<f64>,
     /// The part of its priority weight that a request beyond its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// What endpoints do with reads that they are too far behind for.
+    /// How endpoints handle reads for which they are too far behind.
     pub stale_read_behavior: StaleReadBehavior,
-    /// Session commits are remembered by the router (else the request says when its session last wrote).
+    /// Session commits are remembered by the router (else the request carries its session's last write).
     pub remember_commits: bool,
     /// At most this many attempts for one request.
     pub max_attempts: u32,
-    /// Whether a rejection may say when to come back.
+    /// Whether a rejection may advise a retry delay.
     pub retry_after: bool,
-    /// The longest such wait that a client honours.
+    /// The longest retry delay that a client honours.
     pub max_retry_after: Micros,
-    /// Whether probes may be sent.
+    /// Whether health checks may be sent.
     pub probes: bool,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// Whether an endpoint that is listed as removed may still be used; one listed as draining never may.
     pub removed_endpoints_usable: bool,
-    /// Whether the endpoint list is sent only when asked for.
+    /// Whether the endpoint list is sent only on request.
     pub list_on_request: bool,
     /// The share of its capacity that an endpoint has at least when it starts.
     pub slow_start_capacity: f64,
@@ -68,12 +68,12 @@
     pub connect_timeout: Micros,
     /// An endpoint closes a connection that was idle for this long.
     pub idle_timeout: Micros,
-    /// The most requests that one router may hold open.
+    /// The most open requests of one router.
     pub max_pending: usize,
 }
 
 impl Default for Settings {
-    /// One router alone, endpoints that reject reads when behind, nothing that costs anything.
+    /// A single router, endpoints that reject reads when behind, and no costs.
     fn default() -> Self {
         Settings {
             instances: 1,
@@ -107,7 +107,7 @@
 }
 
 impl Settings {
-    /// Whether endpoints answer also from data that is too old, so that only the router can keep it back.
+    /// Whether endpoints also answer from stale data, so that only the router can prevent stale answers.
     pub fn endpoints_serve_stale(&self) -> bool {
         self.stale_read_behavior == StaleReadBehavior::Serve
     }
--- a/src/model/settings_document.rs
+++ b/src/model/settings_document.rs
@@ -1,4 +1,4 @@
-//! The settings as the simulator and the proxy's configuration spell them. This is their only parser.
+//! The settings in the format of the simulator and of the proxy's configuration. This is their only parser.
 
 use crate::{Class, Idempotency, Micros, Requirement, Settings, StaleReadBehavior};
 use serde::Deserialize;
