--- a/src/server/descriptor_budget.rs
+++ b/src/server/descriptor_budget.rs
@@ -1,4 +1,4 @@
-//! How the descriptors of the process are divided between clients, members and everything else.
+//! The division of the process's descriptors between clients, members and all other uses.
 
 use crate::net::admin;
 
@@ -6,7 +6,7 @@
 const RESERVED_DESCRIPTORS: usize = 40;
 /// The part of the reserve that is kept even where the limit is low.
 const MIN_RESERVED_DESCRIPTORS: usize = 14;
-/// Connections of clients beyond the most served, which have yet to be rejected, or which linger.
+/// Client connections beyond those served, which are still to be rejected or linger.
 const MAX_UNSERVED_CONNECTIONS: usize = 8;
 /// Where two processes of this proxy may overlap, the descriptors divide into this many shares: the clients
 /// hold one, the connections to members one, and the other process one.
@@ -19,9 +19,9 @@
 pub(super) struct DescriptorBudget {
     /// Connections to members.
     pub(super) member_connections: usize,
-    /// Clients that are served.
+    /// Client connections that are served.
     pub(super) clients: usize,
-    /// Connections of clients, with those that have yet to be rejected, or that linger.
+    /// Client connections, including those that are still to be rejected or linger.
     pub(super) client_connections: usize,
 }
 
@@ -30,8 +30,8 @@
     /// may run at the same time.
     pub(super) fn new(max_descriptors: usize, admin_listener: bool, inherited_listener: bool) -> Self {
         let admin_connections = if admin_listener { admin::MAX_CONNECTIONS } else { 0 };
-        // Guards against clients or members' connections that take the last descriptor: endpoint updates
-        // must arrive whatever they do.
+        // Guards against clients or member connections that use the last descriptor: endpoint updates
+        // must arrive in any case.
         let unreserved = max_descriptors.saturating_sub(MIN_RESERVED_DESCRIPTORS + admin_connections);
         let reserve = (RESERVED_DESCRIPTORS - MIN_RESERVED_DESCRIPTORS).min(unreserved / 2);
         let connections = unreserved.saturating_sub(reserve).max(MIN_CONNECTIONS);
--- a/src/server/endpoint_watch.rs
+++ b/src/server/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates, and the change to another discovery address when the configuration is reloaded.
+//! Endpoint updates, and the switch to another discovery address when the configuration is reloaded.
 
 use super::{LOG_TARGET, Message, Messages, Server};
 use crate::Micros;
@@ -12,14 +12,14 @@
 /// The watches on the endpoint list.
 pub(super) struct EndpointWatches {
     current: Watch,
-    /// The one before, until the current one has sent its first event.
+    /// The previous watch, until the current one has received its first event.
     previous_watch: Option<Watch>,
-    /// The revision of the list that the proxy goes by; the highest once discovery has sent one.
+    /// The revision of the list in use; the highest possible once discovery has sent one.
     known_revision: u64,
 }
 
 impl EndpointWatches {
-    /// Starts the first watch, behind this revision.
+    /// Starts the first watch, after this revision.
     pub(super) fn start(
         address: SocketAddr,
         known_revision: u64,
@@ -31,7 +31,7 @@
         Ok(EndpointWatches { current, previous_watch: None, known_revision })
     }
 
-    /// Whether an event of this watch counts. Guards against events that an ended watch had under way.
+    /// Whether an event of this watch counts. Guards against late events of a watch that has ended.
     fn accept_event(&mut self, watch: WatchId) -> bool {
         if watch == self.current.id {
             self.previous_watch = None;
@@ -42,7 +42,7 @@
         true
     }
 
-    /// Whether a list from the store counts: what discovery sends goes before it, and so does a newer list.
+    /// Whether a list from the store counts: a list from discovery or a newer list takes precedence.
     fn accept_stored(&mut self, list: &EndpointList) -> bool {
         let accepted = list.revision > self.known_revision && !list.endpoints.is_empty();
         if accepted {
@@ -58,8 +58,8 @@
         let watch = Watch::start(self.current.id + 1, address, None, seed, events)?;
         tracing::info!(target: LOG_TARGET, discovery = %address, "discovery address changed");
         let replaced = std::mem::replace(&mut self.current, watch);
-        // Guards against missing what the old address sends until the new one has sent something. A watch
-        // that has not received anything itself has nothing that counts.
+        // Guards against missing updates from the old address before the new one has sent any. A watch
+        // that has received no event yet does not replace the one before it.
         self.previous_watch.get_or_insert(replaced);
         Ok(())
     }
@@ -82,14 +82,14 @@
         self.become_ready(now);
     }
 
-    /// Handles the endpoint list as the store had it when this proxy last ran.
+    /// Handles the endpoint list that the store recovered from this proxy's last run.
     pub(super) fn handle_stored_list(&mut self, now: Micros, list: &EndpointList) {
         if self.endpoint_watches.accept_stored(list) {
             self.step_reducer(now, Input::EndpointUpdate { full: true, members: list.members() });
         }
     }
 
-    /// Follows `discovery` to where the file has it now; all else in it counts from the next start.
+    /// Switches to the configured `discovery` address; all other settings apply from the next start.
     pub(super) fn reload(&mut self, config: Result<Config, ConfigError>) {
         let address = match config {
             Ok(config) => config.discovery,
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: it waits for the next message or time, and handles it.
+//! The event loop: it waits for the next message or timer, and handles it.
 
 use super::{Message, Server};
 use crate::Micros;
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Waits for a message; `None` if something else is due first.
+    /// Waits for a message; `None` if a timer is due first.
     fn next_message(&self, inbox: &Receiver<Message>) -> Result<Option<Message>, RecvError> {
         let Some(due_at) = self.next_due_at() else {
             return inbox.recv().map(Some);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// When something is due without a message.
+    /// When the next timer is due.
     fn next_due_at(&self) -> Option<Micros> {
         let idle_close_at = self.next_idle_close().map(|(close_at, _)| close_at);
         let shutdown_check_at = self.shutdown.next_check_at(self.clock.now());
--- a/src/server/fronts.rs
+++ b/src/server/fronts.rs
@@ -16,7 +16,7 @@
     pub(super) longest_idle: Option<(Micros, ClientId)>,
 }
 
-/// The front of the platform and, where there is one, the extended front.
+/// The platform's front and, where configured, the extended front.
 pub(super) struct Fronts {
     platform: ConnectionManager<Platform>,
     postgres: Option<ConnectionManager<Postgres>>,
@@ -24,7 +24,7 @@
 }
 
 impl Fronts {
-    /// Fronts without connections. In each, so many bytes of replies may wait for those of earlier commands.
+    /// Fronts without connections. In each, this many bytes of replies may wait for earlier replies.
     pub(super) fn new(postgres: Option<Postgres>, max_reordered_bytes: usize) -> Self {
         Fronts {
             platform: ConnectionManager::new(Platform, max_reordered_bytes),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Ends a request; the client that sent it, unless it has been ended before.
+    /// Ends a request; returns the client that sent it, unless it had already ended.
     pub(super) fn close_request(&mut self, request: RequestId) -> Option<ClientId> {
         self.requests.close(request)
     }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Sets whether the proxy serves: commands that waited for that go on.
+    /// Sets whether the proxy is in service, and resumes commands that waited for that.
     pub(super) fn set_service_state(&mut self, now: Micros, state: ServiceState) -> Vec<FrontEffect> {
         let mut effects = self.platform.set_service_state(state, &mut self.requests, now);
         if let Some(postgres) = &mut self.postgres {
@@ -103,7 +103,7 @@
         effects
     }
 
-    /// From now on, connections are closed between requests.
+    /// Starts to close connections between requests.
     pub(super) fn close_idle_connections(&mut self) -> Vec<FrontEffect> {
         let mut effects = self.platform.close_between_requests();
         if let Some(postgres) = &mut self.postgres {
@@ -118,7 +118,7 @@
             + self.postgres.as_ref().map_or(0, ConnectionManager::connection_count)
     }
 
-    /// The connection that can best be closed to make room for another.
+    /// The connection to close first to free capacity for another.
     pub(super) fn eviction_candidate(&self, now: Micros) -> Option<ClientId> {
         let of_platform = self.platform.best_eviction_candidate(now);
         let of_postgres = self.postgres.as_ref().and_then(|postgres| postgres.best_eviction_candidate(now));
@@ -137,7 +137,7 @@
         }
     }
 
-    /// A command of this client is on its way: its connection is not idle.
+    /// A command of this client is arriving: its connection is not idle.
     pub(super) fn touch(&mut self, now: Micros, client: ClientId) {
         self.platform.touch(now, client);
         if let Some(postgres) = &mut self.postgres {
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -16,9 +16,9 @@
     Core(Input<MemberRequest, MemberResponse>),
     /// An update of the endpoint list.
     Discovery(WatchEvent),
-    /// SIGHUP: the configuration as the file has it now, or why it can't be used.
+    /// SIGHUP: the configuration as read from the file, or why it can't be used.
     Reload(Box<Result<Config, ConfigError>>),
-    /// The endpoint list as the store had it when this proxy last ran.
+    /// The endpoint list that the store recovered from this proxy's last run.
     Stored(EndpointList),
     /// A new connection of a client.
     Accepted(ClientId, client::ClientHandle),
@@ -30,7 +30,7 @@
     Admin(AdminCall),
     /// SIGTERM or SIGINT.
     Terminate,
-    /// Nothing is read from clients any more, and all that was read before has been sent.
+    /// Reading from clients has stopped, and all that was read before has been sent.
     Stopped,
 }
 
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! The server: one event loop that feeds the reducer and the fronts, and carries out what they ask for. The
-//! loop itself never blocks on a socket; the threads in [`crate::net`] do.
+//! The server: one event loop that feeds the reducer and the fronts, and carries out their effects. The
+//! event loop itself never blocks on a socket; the threads in [`crate::net`] do.
 
 mod clients;
 mod descriptor_budget;
@@ -42,10 +42,10 @@
     fronts: Fronts,
     settings: Arc<Settings>,
     store: Store,
-    /// For those who send messages to this loop.
+    /// The sender for messages to this event loop.
     messages: Messages,
     client_reactor: client::ReactorHandle,
-    /// Disconnected once the last connection of a client has gone.
+    /// Disconnected once the last client connection has closed.
     clients_closed: Receiver<()>,
     workers: WorkerPool,
     member_events: MemberEvents,
@@ -58,7 +58,7 @@
     endpoint_watches: EndpointWatches,
     /// When the proxy is ready without an endpoint update; `None` once it is ready.
     ready_at: Option<Micros>,
-    /// Out of service: connections are closed between requests from then on.
+    /// When the proxy, out of service, starts to close connections between requests.
     drain_at: Option<Micros>,
     shutdown: Shutdown,
 }
--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -1,4 +1,4 @@
-//! Steps of the reducer, and the effects that it asks for.
+//! Steps of the reducer, and the effects that it requests.
 
 use super::{LOG_TARGET, Server};
 use crate::core::{ConnectionId, Effect, FinalAnswer, Input, JobId, JobResult, JobSpec};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Server {
-    /// One step of the reducer, and all that follows from it.
+    /// Runs one step of the reducer, and carries out all resulting effects.
     pub(super) fn step_reducer(&mut self, now: Micros, input: Input<MemberRequest, MemberResponse>) {
         for effect in self.reducer.step(now, input) {
             self.apply_reducer_effect(now, effect);
@@ -40,7 +40,7 @@
         if handle.is_some_and(|handle| handle.start_job(job, spec)) {
             return;
         }
-        // Guards against taking the proxy's own want of threads for the member's fault.
+        // Guards against counting the proxy's own lack of threads as the member's fault.
         tracing::warn!(target: LOG_TARGET, "job not started: no thread available");
         let result = JobResult::from_outcome(Outcome::NeverSent);
         self.member_connections.remove(&connection);
@@ -79,7 +79,7 @@
         if let Some(handle) = self.member_connections.remove(&connection) {
             handle.cut();
         }
-        // No thread is left with it that could report this.
+        // No thread runs this connection that could report it.
         self.step_reducer(now, Input::ConnectionClosed(connection));
     }
 
--- a/src/server/service.rs
+++ b/src/server/service.rs
@@ -7,8 +7,8 @@
 
 /// Without an endpoint update, the proxy is ready this long after its start.
 pub(super) const MAX_STARTUP_WAIT: Micros = 400_000;
-/// Taken out of service, connections are closed between requests after this: the front layer asks ten times a
-/// second, and goes on sending for 0.2 s after a no.
+/// Out of service, connections are closed between requests after this delay: the front layer polls ten times
+/// per second, and keeps sending for 0.2 s after a negative answer.
 const OUT_OF_SERVICE_CLOSE_DELAY: Micros = 1_000_000;
 
 impl Server {
@@ -22,7 +22,7 @@
                 AdminResponse::Answer(true)
             }
         };
-        // The caller may have gone.
+        // The caller may have disconnected.
         let _ = call.respond_to.try_send(response);
     }
 
@@ -34,7 +34,7 @@
         self.set_service_state(now, state);
     }
 
-    /// The proxy can serve, unless it already does or an operator has decided.
+    /// Puts the proxy in service, unless it already is or an operator has decided.
     pub(super) fn become_ready(&mut self, now: Micros) {
         if self.ready_at.take().is_some() {
             self.set_service_state(now, ServiceState::InService);
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -13,22 +13,22 @@
 const CLOSE_IDLE_BEFORE_KILL: Micros = 900_000;
 /// Requests that are still pending fail this long before SIGKILL.
 const FAIL_PENDING_BEFORE_KILL: Micros = 250_000;
-/// Nothing is read from clients any more from this long before SIGKILL on.
+/// Reading from clients stops this long before SIGKILL.
 const STOP_READING_BEFORE_KILL: Micros = FAIL_PENDING_BEFORE_KILL / 2;
-/// Nothing is waited for any more this long before SIGKILL.
+/// Waiting stops this long before SIGKILL.
 const STOP_WAITING_BEFORE_KILL: Micros = FAIL_PENDING_BEFORE_KILL / 4;
-/// The program has ended this long before SIGKILL.
+/// The process has exited this long before SIGKILL.
 const EXIT_BEFORE_KILL: Micros = 30_000;
 /// New connections are answered for this long after SIGTERM at least, even if there are no clients.
 const MIN_SERVING_TIME: Micros = 900_000;
-/// New connections are accepted for this long after SIGTERM where the next process accepts them, too.
+/// New connections are accepted for this long after SIGTERM where the next process accepts them as well.
 const SHARED_ACCEPT_TIME: Micros = 500_000;
-/// The interval between two checks whether everything is done.
+/// The interval between two checks whether all requests are answered.
 const CHECK_INTERVAL: Micros = 20_000;
-/// How long the program waits at its end for clients to take their answers and to close.
+/// How long the process waits before it exits for clients to read their answers and to close.
 const MAX_FLUSH_TIME: Micros = 1_000_000;
 
-/// How far the shutdown is.
+/// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// No shutdown has been requested.
@@ -45,13 +45,13 @@
     },
 }
 
-/// Whether clients are read from.
+/// Whether reading from clients is active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reading {
     Active,
     /// The reading thread has been asked to stop.
     Stopping,
-    /// All that was read has been handled.
+    /// All commands that were read have been handled.
     Stopped,
 }
 
@@ -59,7 +59,7 @@
 pub(super) struct Shutdown {
     phase: Phase,
     reading: Reading,
-    /// Another process may accept connections from the listening socket, which this one still does, too.
+    /// Another process may accept connections from the listening socket, as this one still does.
     accepts_from_shared_listener: bool,
 }
 
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Nothing is read from clients any more, and all that was read before has been handled.
+    /// Reading from clients has stopped, and all that was read before has been handled.
     pub(super) fn reading_stopped(&mut self) {
         self.reading = Reading::Stopped;
     }
 
-    /// When to check next whether everything is done; `None` while no shutdown has been requested.
+    /// When the next completion check is due; `None` while no shutdown has been requested.
     pub(super) fn next_check_at(&self, now: Micros) -> Option<Micros> {
         self.requested_at().map(|_| now + CHECK_INTERVAL)
     }
@@ -91,8 +91,8 @@
     }
 }
 
-/// When SIGKILL may come after SIGTERM. Guards against being down for longer than a restart takes: until
-/// shortly before it, the connections that are open are served.
+/// When SIGKILL may follow SIGTERM. Guards against an outage longer than a restart: open connections are
+/// served until shortly before it.
 fn time_until_kill(settings: &Settings) -> Micros {
     let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
     longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN
@@ -110,7 +110,7 @@
         self.step_reducer(now, Input::ShutdownRequested { deadline });
     }
 
-    /// Moves a requested shutdown on; breaks when the event loop is to end.
+    /// Advances a requested shutdown; breaks when the event loop is to end.
     pub(super) fn advance_shutdown(&mut self, now: Micros) -> ControlFlow<()> {
         let Some(requested_at) = self.shutdown.requested_at() else {
             return ControlFlow::Continue(());
@@ -118,7 +118,7 @@
         let time_until_kill = time_until_kill(&self.settings);
         let kill_at = requested_at + time_until_kill;
         self.leave_shared_listener(now, requested_at);
-        // From then on at each check: a connection that came late and sends nothing is closed, too.
+        // Repeated at each check: connections that were accepted late and send nothing are closed as well.
         let close_idle_after = (time_until_kill - CLOSE_IDLE_BEFORE_KILL).max(MIN_SERVING_TIME);
         if now >= requested_at + close_idle_after {
             self.enter_closing_idle(requested_at);
@@ -131,7 +131,7 @@
             self.shutdown.reading = Reading::Stopping;
             self.client_reactor.stop_reading();
         }
-        // Guards against a request that is read in the last moment and never answered.
+        // Guards against a request that is read at the last moment and never answered.
         let all_answered = self.shutdown.reading == Reading::Stopped && self.reducer.pending_requests() == 0;
         if all_answered || now >= kill_at - STOP_WAITING_BEFORE_KILL {
             self.flush_clients(kill_at - EXIT_BEFORE_KILL);
@@ -140,7 +140,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Leaves new connections to the process that accepts from the same socket, once its time has come.
+    /// Stops accepting once it is time to leave new connections to the process that shares the socket.
     fn leave_shared_listener(&mut self, now: Micros, requested_at: Micros) {
         if self.shutdown.accepts_from_shared_listener && now >= requested_at + SHARED_ACCEPT_TIME {
             self.shutdown.accepts_from_shared_listener = false;
@@ -156,12 +156,12 @@
         }
     }
 
-    /// Lets clients take what is still to be written, until the deadline at most.
+    /// Waits for clients to read the unwritten answers, until the deadline at most.
     fn flush_clients(&mut self, deadline: Micros) {
         self.clients.clear();
         self.client_reactor.shut_down();
         let timeout = deadline.saturating_sub(self.clock.now()).min(MAX_FLUSH_TIME);
-        // Ends at once when the last connection has gone: nothing is ever sent here.
+        // Returns at once when the last connection has closed: no message is ever sent here.
         let _ = self.clients_closed.recv_timeout(Duration::from_micros(timeout));
     }
 }
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! The start: builds the parts of the server, connects them to the event loop, and runs it.
+//! Startup: builds the parts of the server, connects them to the event loop, and runs it.
 
 use super::descriptor_budget::DescriptorBudget;
 use super::endpoint_watch::EndpointWatches;
@@ -20,9 +20,9 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-/// Messages to the event loop that may wait; whoever sends more waits.
+/// Messages to the event loop that may be queued; further senders block.
 const MESSAGE_QUEUE_CAPACITY: usize = 1024;
-/// Each buffer that is shared by all clients may hold this fraction of the memory.
+/// Each buffer that is shared by all clients may use this fraction of the memory.
 const BUFFER_MEMORY_DIVISOR: usize = 8;
 
 /// Serves until a shutdown is requested; on the extended listener too, where there is one.
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// Starts the store, which sends the endpoint list that it has recovered to the event loop.
+/// Starts the store, which sends the recovered endpoint list to the event loop.
 fn start_store(config: &Config, replicas: &StoreConfig, messages: Messages) -> std::io::Result<Store> {
     let recovered = move |state: State| drop(messages.try_send(Message::Stored(state.members)));
     Ok(Store::start(replicas, config.seed, recovered)?)
@@ -77,7 +77,7 @@
     }
 }
 
-/// Passes requests of operators to the event loop.
+/// Passes operators' requests to the event loop.
 fn admin_calls(messages: Messages) -> CallSink {
     Arc::new(move |call, timeout| {
         messages.send_timeout(Message::Admin(call), timeout).map_err(|_| LoopUnavailable)
@@ -89,7 +89,7 @@
     MemberEvents::new(move |event| drop(messages.send(Message::Core(event))))
 }
 
-/// Passes what the client reactor reports to the event loop.
+/// Passes reports of the client reactor to the event loop.
 fn client_events(messages: Messages) -> client::EventSink {
     Box::new(move |event| {
         let _ = messages.send(match event {
@@ -158,7 +158,7 @@
         Ok((server, reactor))
     }
 
-    /// Records the configured settings, and takes over the endpoint list as this proxy last had it.
+    /// Records the configured settings, and recovers the endpoint list of this proxy's last run.
     fn load_configured_state(&mut self, config: &Config) {
         self.store.propose(Change::Set("proxy".into(), config.raw_settings.clone()));
         let members = config.known_endpoints.members();
