--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! What clients send, as the thread that reads from them hands it over: connection events, and commands with
+//! Client input, as passed on by the thread that reads it: connection events, and commands with
 //! the fields that decisions need already parsed.
 
 mod simple_query;
@@ -9,10 +9,10 @@
 use crate::exchange::MemberRequest;
 use crate::pg::{ProtocolError, StartupPacket};
 
-/// The number of a client connection, never used twice.
+/// The id of a client connection; ids are never reused.
 pub type ClientId = u64;
 
-/// What a client's reader found on the wire.
+/// An event that a client's reader reports.
 pub enum ClientEvent<C> {
     /// A new connection, with the secret of its cancel key.
     Connected {
@@ -27,31 +27,31 @@
     Unsupported,
     /// The client is about to close the connection.
     Terminate,
-    /// A message that breaks the protocol.
+    /// A message that violates the protocol.
     Malformed(ProtocolError),
     /// The connection has ended.
     Disconnected,
 }
 
-/// A client's request, with what routing needs already parsed.
+/// A client's request, with its routing properties already parsed.
 pub struct ParsedRequest {
     /// The index of the request class.
     pub class: usize,
     /// Whether it changes data.
     pub writes: bool,
-    /// The group that holds its data.
+    /// The group that stores its data.
     pub group: u32,
     /// The session, 0 for none.
     pub session: u64,
     /// The position that a read must see, as time on the core's clock.
     pub required_position: Option<Micros>,
-    /// Whether the client has tried before.
+    /// Whether this is a retry by the client.
     pub is_retry: bool,
     /// The client's own id of the request, which no other pending request may have; empty for none.
     pub external_id: Vec<u8>,
     /// How long the client waits, counted from when the command was read.
     pub timeout: Micros,
-    /// What a member is asked.
+    /// The request for a member.
     pub member_request: MemberRequest,
 }
 
--- a/src/client/simple_query.rs
+++ b/src/client/simple_query.rs
@@ -54,11 +54,11 @@
     pub fields: Result<ParsedQuery, InvalidQuery>,
 }
 
-/// What routing needs of a query.
+/// The routing properties of a query.
 pub enum ParsedQuery {
     /// Nothing: an empty query.
     Empty,
-    /// A request, and where the digits of its `d` stand.
+    /// A request, and the position of the digits of its `d`.
     Request(Box<ParsedRequest>, Range<usize>),
 }
 
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection, and how its commands advance.
+//! One client connection and the progress of its commands.
 
 use super::pipeline::{Pipeline, Queued, Ready};
 use super::{CommandStep, FrontEffect, Protocol, RequestRegistry, ServiceState};
@@ -8,8 +8,8 @@
 use crate::pg;
 use crate::{Micros, Request, RequestId};
 
-/// With this many bytes of finished replies of one connection waiting for an earlier one, no further command
-/// of it begins behind an unfinished one.
+/// With this many bytes of finished replies of one connection waiting for an earlier one, no command of it
+/// starts after an unfinished one.
 const MAX_REORDERED_BYTES: usize = 160 * 1024;
 
 /// A client connection.
@@ -20,13 +20,13 @@
     pub has_requested: bool,
     /// The commands that are not answered yet.
     pub pipeline: Pipeline<P>,
-    /// When it was opened, or its last reply was given.
+    /// When it was opened, or when its last reply was sent.
     pub idle_since: Micros,
-    /// What the protocol keeps of it.
+    /// The state that the protocol keeps for it.
     pub session: P::Session,
 }
 
-/// The requests that a connection may begin, and whether it has to go on.
+/// The requests that a connection may start, and whether further commands are to be processed.
 #[derive(Default)]
 pub struct BegunRequests {
     /// The requests, in order.
@@ -52,7 +52,7 @@
         self.pipeline.is_empty()
     }
 
-    /// Looks at the commands that have come, in their order, up to one that must wait.
+    /// Processes the commands that have arrived, in order, up to one that must wait.
     pub fn start_queued_commands(
         &mut self,
         protocol: &mut P,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Writes the replies whose turn it is.
+    /// Writes the replies that are next in order.
     pub fn write_replies(&mut self, id: ClientId, now: Micros, effects: &mut Vec<FrontEffect>) {
         while let Some(reply) = self.pipeline.next_reply(now) {
             self.idle_since = now;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Begins the requests whose turn it is. With `only_first`, none begins behind an unfinished command.
+    /// Starts the requests whose order allows it. With `only_first`, none starts after an unfinished one.
     pub fn begin_requests(
         &mut self,
         id: ClientId,
@@ -98,7 +98,7 @@
             first = index + 1;
             let Some(mut ready) = self.pipeline.take_ready(index) else { continue };
             let external_id = std::mem::take(&mut ready.request.external_id);
-            // Guards against an answer that would be taken for another request's.
+            // Guards against a response that would be matched to another request.
             let Some(request_id) = registry.open(id, external_id) else {
                 self.pipeline.reply(index, duplicate_id_reply());
                 begun.answered_locally = true;
@@ -119,7 +119,7 @@
     bytes
 }
 
-/// A request as the core takes it. Its time counts from when its last byte was read, also where it had to
+/// A request in the core's form. Its time counts from when its last byte was read, also if it had to
 /// wait for earlier commands: its client counts from when it was sent.
 fn new_request(id: RequestId, now: Micros, ready: Ready) -> NewRequest<MemberRequest> {
     let Ready { read_at, request: parsed } = ready;
--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -9,14 +9,14 @@
 use crate::{Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// A connection that has made requests may be closed to make room when it has been idle this long.
+/// A connection that has made requests may be closed to free capacity when it has been idle this long.
 const EVICTABLE_AFTER_IDLE: Micros = 2_000_000;
-/// A connection that has made no request may be closed to make room this long after it was opened.
+/// A connection that has made no request may be closed to free capacity this long after it was opened.
 const EVICTABLE_WITHOUT_REQUEST_AFTER: Micros = 200_000;
-/// The reply to a client that asks for an encrypted connection.
+/// The reply to a client that requests an encrypted connection.
 const ENCRYPTION_NOT_SUPPORTED: &[u8] = b"N";
 
-/// A connection that may be closed to make room. The greatest one is best closed first.
+/// A connection that may be closed to free capacity. The greatest one is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionCandidate {
     /// It has made no request.
@@ -41,7 +41,7 @@
 pub struct RetainedConnections {
     /// How many there are.
     pub count: usize,
-    /// The one of them that was idle longest.
+    /// The one of them that has been idle longest.
     pub next_evictable: Option<EvictableConnection>,
 }
 
@@ -50,9 +50,9 @@
     protocol: P,
     connections: BTreeMap<ClientId, Connection<P>>,
     service: ServiceState,
-    /// Connections are closed between requests.
+    /// Whether connections are closed between requests.
     closing: bool,
-    /// Bytes of replies that wait for those of earlier commands, over all connections.
+    /// Bytes of replies that wait for earlier replies, over all connections.
     reordered_bytes: usize,
     max_reordered_bytes: usize,
 }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The proxy can serve, or is taken out of service or back: commands that waited for that go on.
+    /// Sets whether the proxy is in service, and resumes commands that waited for that.
     pub fn set_service_state(
         &mut self,
         service: ServiceState,
@@ -87,7 +87,7 @@
         effects
     }
 
-    /// From now on connections are closed between requests.
+    /// Starts to close connections between requests.
     pub fn close_between_requests(&mut self) -> Vec<FrontEffect> {
         self.closing = true;
         let mut effects = Vec::new();
@@ -106,7 +106,7 @@
         self.connections.len()
     }
 
-    /// The connection that can best be closed to make room: one that has made no request, or the one that was
+    /// The connection to close first to free capacity: one that has made no request, or the one that has been
     /// idle longest, if that is long enough.
     pub fn best_eviction_candidate(&self, now: Micros) -> Option<EvictionCandidate> {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
@@ -122,7 +122,7 @@
         evictable.max()
     }
 
-    /// The connections that have made a request, and may be kept open for good by their clients.
+    /// The connections that have made a request, and may be kept open forever by their clients.
     pub fn retained_connections(&self) -> RetainedConnections {
         let retained = self.connections.iter().filter(|(_, connection)| connection.has_requested);
         let idle = retained.clone().filter(|(_, connection)| connection.is_idle());
@@ -133,7 +133,7 @@
         RetainedConnections { count: retained.count(), next_evictable: evictable.min() }
     }
 
-    /// A command of this connection is on its way: it is not idle.
+    /// A command of this connection is arriving: it is not idle.
     pub fn touch(&mut self, now: Micros, id: ClientId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.idle_since = now;
@@ -145,7 +145,7 @@
         self.connections.remove(&id);
     }
 
-    /// Handles what a client's reader found on the wire.
+    /// Handles an event from the reader of a client.
     pub fn handle_event(
         &mut self,
         registry: &mut RequestRegistry,
@@ -158,7 +158,7 @@
             ClientEvent::Connected { secret } => {
                 self.connections.insert(id, Connection::new(secret, now));
             }
-            // A cancel request counts also where there was no capacity for the connection that brings it.
+            // A cancel request is valid even if its connection was rejected for lack of capacity.
             ClientEvent::Opening(StartupPacket::CancelRequest { process, secret }) => {
                 self.client_disconnected(registry, id, &mut effects);
                 self.cancel(registry, now, process, secret, &mut effects);
@@ -225,7 +225,7 @@
         let mut effects = Vec::new();
         let Some(connection) = self.connections.get_mut(&id) else { return effects };
         let Some(index) = connection.pipeline.index_of(request) else { return effects };
-        // Guards against replies that fill the memory behind one that does not come.
+        // Guards against replies that fill the memory while an earlier one is missing.
         let answer = match answer {
             FinalAnswer::Served(response)
                 if index > 0 && self.reordered_bytes + response.bytes.len() > self.max_reordered_bytes =>
@@ -250,8 +250,8 @@
         effects
     }
 
-    /// Advances a client's commands: looks at those that have come, writes the replies whose turn it is, and
-    /// begins what may begin. On a connection, replies leave in the order of its commands.
+    /// Advances a client's commands: processes new ones, writes the replies that are next in order, and
+    /// starts requests that may start. Replies are sent in the order of the connection's commands.
     fn advance(
         &mut self,
         registry: &mut RequestRegistry,
@@ -265,7 +265,7 @@
         let mut requests = Vec::new();
         loop {
             connection.start_queued_commands(&mut self.protocol, self.service, effects);
-            // Before any request is started: its answer may come at once, and belongs behind these.
+            // Before any request is started: its answer may arrive at once, and must follow these replies.
             connection.write_replies(id, now, effects);
             let begun = connection.begin_requests(id, now, only_first, registry);
             requests.extend(begun.requests);
@@ -299,7 +299,7 @@
         effects.push(FrontEffect::Close(id));
     }
 
-    /// Reports an error after which the connection can't go on.
+    /// Reports an error that ends the connection.
     fn close_with_error(
         &mut self,
         registry: &mut RequestRegistry,
@@ -314,7 +314,7 @@
         self.client_disconnected(registry, id, effects);
     }
 
-    /// Cancels the first command that is not answered: in PostgreSQL, the one that runs.
+    /// Cancels the first unanswered command: in PostgreSQL, the one that is running.
     fn cancel(
         &mut self,
         registry: &mut RequestRegistry,
@@ -335,7 +335,7 @@
     }
 }
 
-/// The process number that a client is told for cancel requests.
+/// The process id that a client is given for cancel requests.
 fn process_id(id: ClientId) -> u32 {
     id as u32
 }
--- a/src/front/connection_manager/tests.rs
+++ b/src/front/connection_manager/tests.rs
@@ -32,7 +32,7 @@
         ids.flat_map(|id| started_requests(self.handle(0, query(id)))).collect()
     }
 
-    /// Answers a request; returns what the client is written.
+    /// Answers a request; returns what is written to the client.
     fn answer(&mut self, now: Micros, request: RequestId, length: usize) -> Vec<Vec<u8>> {
         written(self.manager.answer(&mut self.registry, now, CLIENT, request, served(length)))
     }
--- a/src/front/effect.rs
+++ b/src/front/effect.rs
@@ -1,4 +1,4 @@
-//! What the fronts want the host to do.
+//! Effects that the fronts request from the host.
 
 use crate::RequestId;
 use crate::client::ClientId;
@@ -6,13 +6,13 @@
 use crate::exchange::MemberRequest;
 use crate::store::Change;
 
-/// What a front wants done. The order of effects matters: the host carries them out one after the other.
+/// An effect that a front requests. The order of effects matters: the host carries them out one by one.
 pub enum FrontEffect {
     /// Write to a client.
     Write(ClientId, Vec<u8>),
     /// Close a client's connection once everything has been written.
     Close(ClientId),
-    /// Close it unless part of another command has come; the connection manager is told with
+    /// Close it unless part of another command has arrived; the host notifies the connection manager with
     /// [`ConnectionManager::forget`](super::ConnectionManager::forget) if it was closed.
     CloseIfIdle(ClientId),
     /// A command is answered: the client may send one more.
--- a/src/front/final_answer.rs
+++ b/src/front/final_answer.rs
@@ -1,10 +1,10 @@
-//! How a final answer reads to a client.
+//! The encoding of a final answer for a client.
 
 use crate::core::FinalAnswer;
 use crate::exchange::{MemberResponse, millis_rounded_up};
 use crate::pg::{put_error_response, sqlstate};
 
-/// Appends the member's response, or an ErrorResponse that says why there is none.
+/// Appends the member's response, or an ErrorResponse with the reason why there is none.
 pub fn append_final_answer(out: &mut Vec<u8>, answer: &FinalAnswer<MemberResponse>) {
     match answer {
         FinalAnswer::Served(response) => out.extend_from_slice(&response.bytes),
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,6 +1,6 @@
-//! The fronts: each turns what clients send into requests for the core, and final answers into replies. What
-//! they have in common is the [`ConnectionManager`]: connections, the pipelines of their commands, cancel
-//! requests and closing. What differs is the [`Protocol`].
+//! The fronts: each turns client commands into requests for the core, and final answers into replies. They
+//! share the [`ConnectionManager`]: connections, the pipelines of their commands, cancel requests and
+//! closing. They differ in the [`Protocol`].
 
 mod connection;
 mod connection_manager;
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -1,14 +1,14 @@
-//! The commands of one client connection that have been read and are not answered yet.
+//! The commands of one client connection that have been read but not answered yet.
 //!
-//! Commands run side by side where PostgreSQL's order allows it, and their replies leave in the order of the
-//! commands. `docs/design-pipelining.md` says which pairs may overlap, and why.
+//! Commands run concurrently where PostgreSQL's order allows it, and their replies are sent in the order of
+//! the commands. `docs/design-pipelining.md` describes which pairs may overlap, and why.
 
 use super::Protocol;
 use crate::client::ParsedRequest;
 use crate::{Micros, RequestId};
 use std::collections::VecDeque;
 
-/// What a command does to its group's data, as far as the order of commands goes.
+/// The effect of a command on its group's data, as far as the order of commands depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Access {
     /// It changes data.
@@ -24,7 +24,7 @@
         Access { writes: request.writes, group: request.group, session: request.session }
     }
 
-    /// This command may not begin before an earlier one of its connection has ended. A read sees what an
+    /// Whether this command must wait for an earlier one of its connection to end. A read sees what an
     /// earlier write wrote, writes keep their order, and a read does not see a later write of its own
     /// session.
     fn must_follow(&self, earlier: &Access) -> bool {
@@ -34,11 +34,11 @@
 }
 
 enum Stage<P: Protocol> {
-    /// Read, and not looked at yet.
+    /// Read, but not started yet.
     Queued(P::Command),
     /// It waits for earlier commands.
     Deferred(Box<ParsedRequest>, P::Context),
-    /// The core has it.
+    /// It was forwarded to the core.
     Running(RequestId, P::Context),
     /// Its reply waits for those of earlier commands.
     Finished(Vec<u8>),
@@ -79,28 +79,28 @@
     }
 }
 
-/// Replied writes that a connection remembers: as many as there can be writes beside a read in one pipeline.
+/// Replied writes that a connection remembers: as many writes as can be beside a read in one pipeline.
 const MAX_REPLIED_WRITES: usize = 8;
 
-/// A request that may begin now.
+/// A request that may start now.
 pub struct Ready {
     /// When its last byte was read.
     pub read_at: Micros,
-    /// What it asks of the core.
+    /// The request for the core.
     pub request: ParsedRequest,
 }
 
-/// A command that is to be looked at.
+/// A command that is ready to be processed.
 pub struct Queued<'a, P: Protocol> {
-    /// Which entry it is.
+    /// The index of its entry.
     pub index: usize,
     /// The command.
     pub command: P::Command,
-    /// What is kept of the unfinished requests before it.
+    /// The contexts of the unfinished requests before it.
     pub unfinished: Vec<&'a P::Context>,
 }
 
-/// The commands of a connection, the first one read at the front.
+/// The commands of a connection, in the order in which they were read.
 pub struct Pipeline<P: Protocol> {
     entries: VecDeque<Entry<P>>,
     replied_writes: VecDeque<RepliedWrite>,
@@ -113,7 +113,7 @@
 }
 
 impl<P: Protocol> Pipeline<P> {
-    /// No command is owed a reply.
+    /// Whether no command waits for its reply.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -129,7 +129,7 @@
         });
     }
 
-    /// Takes the first command that is not looked at yet, with the contexts of the unfinished ones before it.
+    /// Takes the first unprocessed command, with the contexts of the unfinished ones before it.
     pub fn next_queued(&mut self) -> Option<Queued<'_, P>> {
         let index = self.entries.iter().position(|entry| matches!(entry.stage, Stage::Queued(_)))?;
         let stage = std::mem::replace(&mut self.entries[index].stage, Stage::Finished(Vec::new()));
@@ -141,24 +141,24 @@
         Some(Queued { index, command, unfinished: earlier.collect() })
     }
 
-    /// Puts a command back that can't be looked at yet.
+    /// Puts back a command that can't be processed yet.
     pub fn put_back(&mut self, index: usize, command: P::Command) {
         self.entries[index].stage = Stage::Queued(command);
     }
 
-    /// A command is answered without the core.
+    /// Records a command that is answered without the core.
     pub fn reply(&mut self, index: usize, reply: Vec<u8>) {
         self.entries[index].stage = Stage::Finished(reply);
     }
 
-    /// A command is a request; it begins once the order of commands allows it.
+    /// Records a command that is a request; it starts once the order of commands allows it.
     pub fn defer(&mut self, index: usize, request: ParsedRequest, context: P::Context) {
         self.entries[index].access = Some(Access::of(&request));
         self.entries[index].stage = Stage::Deferred(Box::new(request), context);
     }
 
-    /// The first command from `from` on that may begin. With `only_first`, none begins behind an unfinished
-    /// one.
+    /// The first command at or after `from` that may start. With `only_first`, none starts after an earlier
+    /// unfinished one.
     pub fn next_ready(&self, from: usize, only_first: bool) -> Option<usize> {
         (from..self.entries.len()).find(|index| {
             let entry = &self.entries[*index];
@@ -172,7 +172,7 @@
         })
     }
 
-    /// Takes what the command asks; the command itself stays where it is until [`Pipeline::mark_running`] or
+    /// Takes the request of a command; the command itself stays in place until [`Pipeline::mark_running`] or
     /// [`Pipeline::reply`].
     pub fn take_ready(&mut self, index: usize) -> Option<Ready> {
         let commit_position = self.required_commit_position(index);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The latest commit before a read that its client may not have been told of when it sent the read, or
+    /// The latest commit before a read that its client may not have been notified of when it sent it, or
     /// that is of the read's own session.
     fn required_commit_position(&self, index: usize) -> Option<Micros> {
         let entry = &self.entries[index];
@@ -208,20 +208,20 @@
         replied_commits.chain(unreplied_commits).max()
     }
 
-    /// The core has the command as this request.
+    /// Records that the command was forwarded to the core as this request.
     pub fn mark_running(&mut self, index: usize, request: RequestId) {
         if let Stage::Running(number, _) = &mut self.entries[index].stage {
             *number = request;
         }
     }
 
-    /// Which entry a request is.
+    /// The index of a request's entry.
     pub fn index_of(&self, request: RequestId) -> Option<usize> {
         self.entries.iter().position(|entry| entry.request() == Some(request))
     }
 
-    /// A request has its final answer, of which `reply` makes the client's; `commit_position` that of a
-    /// served write.
+    /// Records a request's final answer, from which `reply` builds the client's reply; `commit_position` is
+    /// that of a served write.
     pub fn finish(
         &mut self,
         index: usize,
@@ -248,17 +248,17 @@
         }
     }
 
-    /// Bytes of replies that wait for those of earlier commands.
+    /// Bytes of replies that wait for earlier replies.
     pub fn buffered_bytes(&self) -> usize {
         self.entries.iter().map(Entry::buffered_bytes).sum()
     }
 
-    /// Requests that the core has, the first command's at the front.
+    /// Requests that are running in the core, in the order of their commands.
     pub fn running(&self) -> impl Iterator<Item = RequestId> {
         self.entries.iter().filter_map(Entry::request)
     }
 
-    /// The request of the first command that the core has and is not answered.
+    /// The request of the first command that is running in the core and not answered.
     pub fn first_running(&self) -> Option<RequestId> {
         self.running().next()
     }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -24,7 +24,7 @@
 
     fn start(&mut self, (): &mut (), query: SimpleQuery, service: ServiceState) -> CommandStep<Self> {
         match query.fields {
-            // The front layer's question, whether it may send clients.
+            // The front layer's readiness query: whether it may send clients.
             Ok(ParsedQuery::Empty) => match service {
                 ServiceState::Starting => CommandStep::Defer(query),
                 ServiceState::InService => CommandStep::Reply(empty_query_reply()),
--- a/src/front/postgres/analysis.rs
+++ b/src/front/postgres/analysis.rs
@@ -1,4 +1,4 @@
-//! What a statement's text says about how to route it.
+//! The routing properties of a statement, read from its text.
 
 use super::config::{ExtendedListenerConfig, UnknownClassError};
 use super::error::BatchError;
@@ -10,29 +10,29 @@
 use crate::{Idempotency, Micros, Requirement, Settings};
 use std::sync::Arc;
 
-/// The longest timeout that a request gets, which keeps sums of times from overflowing.
+/// The longest timeout of a request, which keeps sums of times from overflowing.
 const MAX_TIMEOUT: Micros = 1 << 40;
 
-/// A statement, and what its text says about how to route it.
+/// A statement and its routing properties, read from its text.
 #[derive(Clone)]
 pub struct StatementDescription {
     /// The statement.
     pub prepared: Arc<PreparedStatement>,
     /// The index of the request class.
     pub class: usize,
-    /// The group that holds its data.
+    /// The group that stores its data.
     pub group: u32,
     /// How long the client waits.
     pub timeout: Micros,
     /// The position that a read must see.
     pub required_position: Option<Micros>,
-    /// Whether the client has tried before.
+    /// Whether this is a retry by the client.
     pub is_retry: bool,
     /// The session that its key names, 0 for none.
     pub session_key: u64,
 }
 
-/// The statements of a batch, to be made one request.
+/// The statements of a batch, to be combined into one request.
 pub struct BatchStatements<'a> {
     /// The statements that the batch prepares, binds or describes.
     pub statements: &'a [StatementDescription],
@@ -42,7 +42,7 @@
     pub last_commit: Option<Micros>,
 }
 
-/// Describes statements, with the listener's defaults for what they don't say.
+/// Analyzes statements, with the listener's defaults for properties that their text lacks.
 pub struct StatementAnalyzer {
     /// The listener's configuration.
     pub config: ExtendedListenerConfig,
@@ -56,7 +56,7 @@
         Ok(StatementAnalyzer { config, settings })
     }
 
-    /// Describes a statement. Anything that lives longer than a unit, or is more than one statement, is
+    /// Analyzes a statement. A statement whose effect outlives a unit, or more than one statement, is
     /// rejected: the next request may go to another member.
     pub fn describe_statement(
         &self,
@@ -74,7 +74,7 @@
         }
         let fields = statement::parse_fields(sql);
         let class = self.class_of(&fields, writes).ok_or(BatchError::UnknownClass)?;
-        // Guards against a change that is declared as a read, and would then be repeated.
+        // Guards against a change that is declared as a read, and would then be retried.
         if writes && keyword != "with" && !self.is_write_class(class) {
             return Err(BatchError::WriteInReadClass { keyword });
         }
@@ -111,7 +111,7 @@
         self.settings.classes[class].idempotency == Idempotency::Idempotent
     }
 
-    /// Makes one request of the statements of a batch, of the strictest class among them.
+    /// Combines the statements of a batch into one request, of the strictest class among them.
     pub fn combine(
         &self,
         batch: &BatchStatements<'_>,
@@ -132,7 +132,7 @@
             session: batch.session_key,
             required_position: required_position.max(batch.last_commit),
             is_retry: statements.iter().any(|statement| statement.is_retry),
-            // A statement is prepared once and its id comes with every execution.
+            // A statement is prepared once, and its id is repeated with every execution.
             external_id: Vec::new(),
             timeout: timeout.unwrap_or(first.timeout),
             member_request,
--- a/src/front/postgres/batch_planner.rs
+++ b/src/front/postgres/batch_planner.rs
@@ -1,4 +1,4 @@
-//! Turns the messages of a batch into what a member is asked.
+//! Turns the messages of a batch into the messages for a member.
 
 use super::analysis::{StatementAnalyzer, StatementDescription};
 use super::bind::parse_parameters;
@@ -46,9 +46,9 @@
 
 /// Plans a batch, message by message.
 pub struct BatchPlanner<'a> {
-    /// Describes statements.
+    /// Analyzes statements.
     pub analyzer: &'a StatementAnalyzer,
-    /// Is told of statements that are prepared.
+    /// Records statements that are prepared.
     pub recorder: &'a mut StatementRecorder,
     /// The connection's statements and portals.
     pub session: &'a mut Session,
@@ -166,7 +166,7 @@
             }
             Target::Portal(name) => match self.session.portals.remove(name) {
                 Some(portal) if !portal.flushed => ExtendedMessage::ClosePortal(name.to_vec()),
-                // The member does not have it: the client gets its CloseComplete all the same.
+                // The member does not have it: the client still gets its CloseComplete.
                 _ => ExtendedMessage::CloseStatement,
             },
         };
@@ -197,7 +197,7 @@
     }
 }
 
-/// What a Describe or a Close is about.
+/// The target of a Describe or a Close.
 enum Target<'a> {
     Statement(&'a [u8]),
     Portal(&'a [u8]),
@@ -213,7 +213,7 @@
     }
 }
 
-/// Whether these bytes are a count and so many type numbers.
+/// Whether these bytes are a count and as many type numbers.
 fn are_parameter_types(bytes: &[u8]) -> bool {
     bytes
         .split_first_chunk()
--- a/src/front/postgres/config.rs
+++ b/src/front/postgres/config.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The file under `deploy/` that says where this front listens, and its defaults.
+/// The file under `deploy/` with this front's listen address and its defaults.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExtendedListenerConfig {
@@ -16,7 +16,7 @@
     pub write_class: String,
     /// The group of statements that name none.
     pub group: u32,
-    /// How long a client waits whose statement does not say, in milliseconds.
+    /// How long a client waits whose statement gives no timeout, in milliseconds.
     pub wait_ms: u64,
     /// The parameter that names the session, counted from 1; 0 for none.
     pub session_parameter: usize,
@@ -33,7 +33,7 @@
 }
 
 impl ExtendedListenerConfig {
-    /// Checks that the classes that it names exist.
+    /// Checks that the configured classes exist.
     pub fn check(&self, settings: &Settings) -> Result<(), UnknownClassError> {
         for name in [&self.read_class, &self.write_class] {
             if settings.class(name.as_bytes()).is_none() {
--- a/src/front/postgres/error.rs
+++ b/src/front/postgres/error.rs
@@ -5,7 +5,7 @@
 /// Why a batch is rejected. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BatchError {
-    /// A message is not what the protocol allows.
+    /// A message violates the protocol.
     #[error("malformed message")]
     MalformedMessage,
     /// The comment names a class that does not exist.
@@ -17,7 +17,7 @@
         /// The keyword, in lower case.
         keyword: String,
     },
-    /// A query holds more than one statement.
+    /// A query contains more than one statement.
     #[error("one statement a query, please")]
     SeveralStatements,
     /// A statement that writes names a class of reads.
@@ -35,7 +35,7 @@
     /// The name of a statement is in use.
     #[error("a statement of that name exists")]
     DuplicateStatement,
-    /// The client has prepared as much as it may.
+    /// The client has reached its limits on prepared statements.
     #[error("too many prepared statements")]
     TooManyStatements,
     /// The text of a statement is too long.
--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -1,8 +1,8 @@
 //! The extended front: prepared statements, portals and pipelines. Messages up to a Sync are one request,
 //! with the effect of its strictest class and one final answer.
 //!
-//! A Flush before the Sync makes a request of what came so far. Portals bound there are bound again,
-//! unseen by the client, where the rest of the unit uses them; after an Execute, such a unit takes no
+//! A Flush before the Sync turns the messages so far into a request. Portals bound there are bound again,
+//! invisibly to the client, where the rest of the unit uses them; after an Execute, such a unit accepts no
 //! further one, as the implicit transaction has ended at the member.
 
 mod analysis;
@@ -42,7 +42,7 @@
 /// The length of a Query message whose text is empty.
 const EMPTY_QUERY_BYTES: usize = 6;
 
-/// What is needed of a request to make its reply.
+/// The context of a request that its reply depends on.
 pub struct UnitContext {
     parsed: Vec<ParsedStatement>,
     session_key: u64,
@@ -75,7 +75,7 @@
     ) -> Result<CommandStep<Self>, BatchError> {
         match batch.messages.first() {
             Some(message) if batch.end == frontend::QUERY => {
-                // The front layer's question, whether it may send clients.
+                // The front layer's readiness query: whether it may send clients.
                 if service == ServiceState::OutOfService && message.len() == EMPTY_QUERY_BYTES {
                     return Err(BatchError::OutOfService);
                 }
@@ -122,7 +122,7 @@
     ) -> Result<CommandStep<Self>, BatchError> {
         let plan = self.plan_batch(session, batch)?;
         if plan.statements.is_empty() {
-            // Only Close messages, which don't concern a member.
+            // Only Close messages, which don't involve a member.
             let mut reply = Vec::new();
             plan.messages.iter().for_each(|_| pg::put_message(&mut reply, backend::CLOSE_COMPLETE, &[]));
             session.end_batch(batch.end, &mut reply);
@@ -179,7 +179,7 @@
         batch.at
     }
 
-    /// A unit that rests on what an unfinished one prepares keeps its order, and so does all behind a Flush.
+    /// A unit that depends on statements of an unfinished one waits for it, as do all units after a Flush.
     fn must_wait(batch: &ClientBatch, unfinished: &[&UnitContext]) -> bool {
         let names = statement_names(batch);
         let prepares_a_dependency = |context: &UnitContext| {
@@ -233,7 +233,7 @@
         if context.end == frontend::FLUSH {
             session.end_batch(context.end, &mut reply);
         } else {
-            // A unit behind it may be under way: what this one's Sync ends was ended when it began.
+            // A later unit may be running already: what this unit's Sync ends was ended when that one began.
             pg::put_ready_for_query(&mut reply);
         }
         reply
--- a/src/front/postgres/reply_summary.rs
+++ b/src/front/postgres/reply_summary.rs
@@ -1,11 +1,11 @@
-//! What a member's response says about a batch.
+//! What a member's response shows about a batch.
 
 use crate::pg::message_tags::backend;
 
 /// The length of a message's type and length field.
 const HEADER_BYTES: usize = 5;
 
-/// What the messages of a response say.
+/// A summary of the messages of a response.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplySummary {
     /// How many statements were prepared.
--- a/src/front/postgres/session.rs
+++ b/src/front/postgres/session.rs
@@ -1,4 +1,4 @@
-//! What a connection keeps from batch to batch: its prepared statements and portals.
+//! The state of a connection across batches: its prepared statements and portals.
 
 use super::analysis::StatementDescription;
 use crate::extended::PreparedStatement;
@@ -16,7 +16,7 @@
     pub session_key: u64,
     /// The rest of its Bind after the names.
     pub arguments: Vec<u8>,
-    /// It was bound before the last Flush: the member does not have it any more.
+    /// It was bound before the last Flush: the member no longer has it.
     pub flushed: bool,
 }
 
@@ -26,7 +26,7 @@
     pub name: Vec<u8>,
     /// The statement.
     pub prepared: Arc<PreparedStatement>,
-    /// What stood under this name before.
+    /// The statement that it replaces under this name.
     pub previous: Option<StatementDescription>,
 }
 
@@ -56,7 +56,7 @@
         ParsedStatement { name: name.to_vec(), prepared, previous }
     }
 
-    /// What a Sync ends. The unit behind it may be looked at before this one is answered.
+    /// Clears what a Sync ends. The next unit may be started before this one is answered.
     pub fn end_unit(&mut self) {
         self.portals.clear();
         self.skipping = false;
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Takes back what a batch prepared beyond its first `confirmed` statements, except under names that a
-    /// later batch has prepared anew.
+    /// Undoes what a batch prepared beyond its first `confirmed` statements, except under names that a
+    /// later batch has prepared again.
     pub fn undo_parses(&mut self, parsed: Vec<ParsedStatement>, confirmed: usize) {
         for ParsedStatement { name, prepared, previous } in parsed.into_iter().skip(confirmed).rev() {
             let current = self.statements.get(&name);
--- a/src/front/postgres/session_commits.rs
+++ b/src/front/postgres/session_commits.rs
@@ -1,9 +1,9 @@
-//! The last commit of each session, so that its reads see it on whichever connection they come.
+//! The last commit of each session, so that the session's reads see it on any connection.
 
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Sessions whose last commit is remembered, over all clients; the oldest make room.
+/// Sessions whose last commit is remembered, over all clients; the oldest are evicted.
 const MAX_SESSIONS: usize = 16 * 1024;
 
 /// The last commit of each session.
@@ -20,7 +20,7 @@
         self.positions.get(&session_key).copied()
     }
 
-    /// A session has committed.
+    /// Records a commit of a session.
     pub fn record(&mut self, session_key: u64, position: Micros) {
         if self.positions.insert(session_key, position).is_none() {
             self.insertion_order.push_back(session_key);
--- a/src/front/postgres/statement_recorder.rs
+++ b/src/front/postgres/statement_recorder.rs
@@ -1,13 +1,13 @@
-//! Which prepared statements the store's catalogue has been told of.
+//! Which prepared statements have been recorded in the store's catalogue.
 
 use crate::extended::PreparedStatement;
 use crate::store::{Change, Statement};
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// The longest statement that the store's catalogue takes.
+/// The longest statement that the store's catalogue accepts.
 const MAX_RECORDED_BYTES: usize = 8 * 1024;
-/// Statements remembered as recorded before they are recorded anew.
+/// Statements remembered as recorded before they are recorded again.
 const MAX_REMEMBERED: usize = 1024;
 
 /// Collects the statements that the store's catalogue is to record, each once.
@@ -18,7 +18,7 @@
 }
 
 impl StatementRecorder {
-    /// A client prepares a statement.
+    /// Records a statement that a client prepares.
     pub fn record(&mut self, prepared: &Arc<PreparedStatement>) {
         if self.recorded.len() >= MAX_REMEMBERED {
             self.recorded.clear();
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes the changes that have been collected.
+    /// Removes and returns the changes that have been collected.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.pending)
     }
--- a/src/front/protocol.rs
+++ b/src/front/protocol.rs
@@ -1,4 +1,4 @@
-//! What distinguishes one front from another.
+//! The differences between the fronts.
 
 use crate::Micros;
 use crate::client::ParsedRequest;
@@ -6,7 +6,7 @@
 use crate::exchange::MemberResponse;
 use crate::store::Change;
 
-/// What the host says of the proxy's readiness for clients.
+/// The proxy's readiness for clients, as set by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
     /// Not known yet: empty queries wait.
@@ -17,7 +17,7 @@
     OutOfService,
 }
 
-/// What follows from a command.
+/// The next step of a command.
 pub enum CommandStep<P: Protocol + ?Sized> {
     /// The command waits until the service state changes.
     Defer(P::Command),
@@ -29,17 +29,17 @@
 
 /// The protocol that a front speaks with its clients.
 pub trait Protocol {
-    /// A command, as the reader hands it over.
+    /// A command, as passed on by the reader.
     type Command;
     /// The state of a connection that outlives a command.
     type Session: Default;
-    /// What is needed of a request to make its reply.
+    /// The context of a request that its reply depends on.
     type Context;
 
     /// When the command's last byte was read.
     fn read_at(command: &Self::Command) -> Micros;
 
-    /// Whether the command can be looked at only once these earlier ones of its connection have been
+    /// Whether the command can be processed only once these earlier ones of its connection have been
     /// answered.
     fn must_wait(_command: &Self::Command, _unfinished: &[&Self::Context]) -> bool {
         false
--- a/src/front/request_registry.rs
+++ b/src/front/request_registry.rs
@@ -9,12 +9,12 @@
     external_id: Vec<u8>,
 }
 
-/// Assigns request numbers for all fronts, and knows which client each open request belongs to.
+/// Assigns request numbers for all fronts, and maps each open request to its client.
 #[derive(Default)]
 pub struct RequestRegistry {
     last_id: RequestId,
     owners: BTreeMap<RequestId, Owner>,
-    /// The clients' own ids of open requests.
+    /// The external ids of open requests, as chosen by the clients.
     external_ids: HashSet<Vec<u8>>,
 }
 
