--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -58,10 +58,10 @@
     /// It is not HTTP.
     #[error("the call can't be read")]
     Malformed,
-    /// Nothing is served at its path.
+    /// There is no resource at its path.
     #[error("unknown path")]
     UnknownPath,
-    /// Its path wants another method.
+    /// Its path requires another method.
     #[error("wrong method")]
     WrongMethod,
     /// Its head did not arrive completely in time.
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,6 +1,6 @@
-//! The admin listener: HTTP/1.1, one request a connection.
+//! The admin listener: HTTP/1.1, one request per connection.
 //!
-//! Each connection has a thread, few at a time; the event loop answers.
+//! Each connection has a thread, with a small limit on their number; the event loop answers.
 
 mod http;
 
@@ -16,20 +16,20 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Connections at a time; what is beyond is rejected.
+/// The most concurrent connections; further ones are rejected.
 pub const MAX_CONNECTIONS: usize = 16;
 /// A request must have arrived within this time. A write may take as long.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The event loop has this long to answer: a caller waits for a second.
+/// The time limit of the event loop's answer: a caller waits for a second.
 const LOOP_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a connection stays open for its caller to read the response.
 const LINGER: Duration = Duration::from_millis(200);
 /// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// What is asked of a socket at once.
+/// The most bytes in one read from a socket.
 const READ_BYTES: usize = 1024;
 
-/// What operators ask of the event loop.
+/// A request of an operator to the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     /// Whether this process can serve.
@@ -50,16 +50,16 @@
 
 /// A request on its way to the event loop.
 pub struct AdminCall {
-    /// What is asked.
+    /// The request.
     pub request: AdminRequest,
-    /// Where the answer goes.
+    /// The sender for the answer.
     pub respond_to: Sender<AdminResponse>,
 }
 
-/// The event loop has not taken a call in time, or has ended.
+/// The event loop has not accepted a call in time, or has ended.
 pub struct LoopUnavailable;
 
-/// Hands calls to the event loop; waits for room for this long at most.
+/// Passes calls to the event loop; waits for capacity for this long at most.
 pub type CallSink = Arc<dyn Fn(AdminCall, Duration) -> Result<(), LoopUnavailable> + Send + Sync>;
 
 /// Starts listening; returns the address that is bound.
@@ -109,7 +109,7 @@
         Err(error) => HttpResponse::from(error),
     };
     let _ = write_response(stream, &response);
-    // Guards against a reset that overtakes the response, where bytes of the request are still unread.
+    // Guards against a reset that overtakes the response while bytes of the request are still unread.
     let _ = stream.shutdown(Shutdown::Write);
     let _ = stream.set_read_timeout(Some(LINGER));
     let deadline = Instant::now() + LINGER;
@@ -154,7 +154,7 @@
     }
 }
 
-/// The counters, one a line.
+/// The counters, one per line.
 fn counters_text(tally: &Counters, settings: &Settings) -> String {
     let mut text = String::new();
     for (class, answers) in settings.class_names.iter().zip(&tally.answers) {
--- a/src/net/client/accept_gate.rs
+++ b/src/net/client/accept_gate.rs
@@ -1,4 +1,4 @@
-//! The listeners, and whether connections are accepted on them at present.
+//! The listeners, and whether they accept connections at present.
 
 use super::shared::ReactorShared;
 use rustix::event::epoll::{self, EventData, EventFlags};
@@ -9,7 +9,7 @@
 
 /// The epoll token of the first listener; those of the others follow it.
 const FIRST_LISTENER_TOKEN: u64 = 1;
-/// Without a free descriptor, the next attempt to accept comes after this.
+/// The delay before the next attempt to accept when there is no free descriptor.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A socket that clients connect to.
@@ -25,13 +25,13 @@
 enum AcceptState {
     /// The listeners are watched.
     Accepting,
-    /// As many connections are open as may be.
+    /// The limit on open connections is reached.
     PausedAtConnectionLimit,
-    /// The process had no free descriptor; the next attempt comes then.
+    /// The process had no free descriptor; the next attempt is at this time.
     PausedUntil(Instant),
 }
 
-/// What an attempt to accept led to.
+/// The result of an attempt to accept.
 pub(super) enum AcceptResult {
     /// A new connection.
     Accepted {
@@ -40,7 +40,7 @@
         /// It speaks the extended query protocol.
         extended: bool,
     },
-    /// No connection waits.
+    /// No connection is waiting.
     NoneWaiting,
     /// The attempt failed for a reason that does not concern the next one.
     Retry,
@@ -73,7 +73,7 @@
         !matches!(self.state, AcceptState::Accepting)
     }
 
-    /// When a pause for want of descriptors ends.
+    /// When a pause for lack of descriptors ends.
     pub(super) fn paused_until(&self) -> Option<Instant> {
         match self.state {
             AcceptState::PausedUntil(until) => Some(until),
@@ -81,20 +81,20 @@
         }
     }
 
-    /// Stops accepting for good, and closes the listeners.
+    /// Stops accepting permanently, and closes the listeners.
     pub(super) fn close(&mut self, epoll: &OwnedFd) {
         for ClientListener { listener, .. } in std::mem::take(&mut self.listeners) {
             let _ = epoll::delete(epoll, &listener);
         }
     }
 
-    /// Accepts nothing until a connection has gone. Guards against a crowd that takes every descriptor: it
-    /// waits in the backlog.
+    /// Accepts nothing until a connection has closed. Guards against a burst of connections that uses all
+    /// descriptors: they wait in the backlog.
     pub(super) fn pause_at_connection_limit(&mut self, shared: &ReactorShared) {
         self.pause(AcceptState::PausedAtConnectionLimit, &shared.epoll);
     }
 
-    /// Accepts nothing for a short while. Guards against a full table of descriptors: the connection waits in
+    /// Accepts nothing for a short while. Guards against a full descriptor table: the connection waits in
     /// the backlog.
     pub(super) fn pause_for_descriptors(&mut self, shared: &ReactorShared) {
         self.pause(AcceptState::PausedUntil(Instant::now() + DESCRIPTOR_RETRY_DELAY), &shared.epoll);
--- a/src/net/client/commands.rs
+++ b/src/net/client/commands.rs
@@ -1,4 +1,4 @@
-//! From a client's messages to its commands.
+//! Turns a client's messages into commands.
 
 use super::EventSink;
 use super::ReactorEvent;
@@ -9,7 +9,7 @@
 use crate::pg::{self, ProtocolError, StartupPacket};
 use std::ops::ControlFlow;
 
-/// Messages and bytes that may come before a Sync.
+/// Messages and bytes that may precede a Sync.
 const MAX_BATCH_MESSAGES: usize = 1024;
 const MAX_BATCH_BYTES: usize = 256 * 1024;
 /// The length of a message's type and length field.
@@ -17,11 +17,11 @@
 /// The length of a Query message without its text: the header and the closing zero.
 const QUERY_OVERHEAD_BYTES: usize = HEADER_BYTES + 1;
 
-/// Goes on with the next message, or pauses.
+/// Whether to continue with the next message or to pause.
 type ParseStep = Result<ControlFlow<ParseProgress>, ProtocolError>;
 
 impl ClientConnection {
-    /// Takes a startup packet.
+    /// Handles a startup packet.
     pub(super) fn parse_startup(&mut self, events: &EventSink) -> ParseStep {
         let Some(packet) = self.frames.next_startup_packet()? else {
             return Ok(ControlFlow::Break(ParseProgress::NeedsBytes));
@@ -38,7 +38,7 @@
         Ok(if is_cancel { ControlFlow::Break(ParseProgress::Finished) } else { ControlFlow::Continue(()) })
     }
 
-    /// Takes a message of the simple query protocol.
+    /// Handles a message of the simple query protocol.
     pub(super) fn parse_simple_query(&mut self, settings: &Settings, events: &EventSink) -> ParseStep {
         if self.must_wait_for_capacity() {
             return Ok(ControlFlow::Break(ParseProgress::AtCapacity));
@@ -68,7 +68,7 @@
         Ok(step)
     }
 
-    /// Takes a message of the extended query protocol.
+    /// Handles a message of the extended query protocol.
     pub(super) fn parse_extended_message(&mut self, events: &EventSink) -> ParseStep {
         if self.must_wait_for_capacity() {
             return Ok(ControlFlow::Break(ParseProgress::AtCapacity));
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Bytes have come, but the limits on unanswered commands leave no room for another one.
+    /// Bytes have arrived, but the limits on unanswered commands do not allow another one.
     fn must_wait_for_capacity(&self) -> bool {
         !self.frames.buffered().is_empty() && !self.shared.has_capacity()
     }
 
-    /// Counts the batch that has become complete, and reports it.
+    /// Counts the completed batch, and reports it.
     fn report_batch(&mut self, end: u8, events: &EventSink) {
         let ParseState::Extended(batch) = &mut self.parse_state else { return };
         let PartialBatch { messages, bytes } = std::mem::take(batch);
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    /// Takes the message that ends the batch: a Sync, a Flush, or a simple query by itself.
+    /// Handles the message that ends the batch: a Sync, a Flush, or a simple query by itself.
     pub(super) fn end_with(&mut self, end: u8, message: &[u8]) -> Result<(), ProtocolError> {
         if end != frontend::QUERY {
             return if message.len() == HEADER_BYTES { Ok(()) } else { Err(ProtocolError::UnexpectedBody) };
@@ -148,7 +148,7 @@
     Ok(text)
 }
 
-/// A message that clients may send, but that the simple query protocol here does not serve.
+/// A message that clients may send, but that the simple query protocol here does not support.
 fn is_known_but_unsupported(tag: u8) -> bool {
     matches!(
         tag,
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,4 +1,4 @@
-//! The reactor's side of one client connection: reading, parsing, and what is counted for its limits.
+//! The reactor's side of one client connection: reading, parsing, and accounting for its limits.
 
 use super::shared::{CLOSED, ConnectionShared};
 use super::{EventSink, ReactorEvent};
@@ -13,16 +13,16 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// A client has this long for each message that it has begun.
+/// The time limit for each message that a client has begun.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A connection that is closed is read from for so many bytes at most.
+/// The most bytes that are read from a connection that is being closed.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// From this size on, part of a message counts in the limit on all of them.
+/// From this size on, part of a message counts towards the limit on all of them.
 const MIN_COUNTED_INCOMPLETE_BYTES: usize = 4096;
 
-/// Where the parsing of a client's bytes stands.
+/// The parser's state for a client's bytes.
 pub(super) enum ParseState {
-    /// The startup message has not come.
+    /// The startup message has not arrived.
     Startup,
     /// Simple queries.
     Simple,
@@ -30,7 +30,7 @@
     Extended(PartialBatch),
 }
 
-/// The messages that have come of a batch that is not complete.
+/// The messages received so far of a batch that is not complete.
 #[derive(Default)]
 pub(super) struct PartialBatch {
     pub(super) messages: Vec<Vec<u8>>,
@@ -38,7 +38,7 @@
 }
 
 impl ParseState {
-    /// Bytes that have come of a command, in complete messages.
+    /// Bytes received of a command, in complete messages.
     fn buffered_bytes(&self) -> usize {
         match self {
             ParseState::Extended(batch) => batch.bytes,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Nothing of a command has come.
+    /// Whether nothing of a command has been received.
     fn is_between_commands(&self) -> bool {
         match self {
             ParseState::Extended(batch) => batch.messages.is_empty(),
@@ -60,9 +60,9 @@
 pub(super) enum ParseProgress {
     /// More bytes are needed.
     NeedsBytes,
-    /// As many commands are unanswered as may be.
+    /// The limit on unanswered commands is reached.
     AtCapacity,
-    /// Nothing more is read from the connection.
+    /// Reading from the connection has ended.
     Finished,
 }
 
@@ -90,23 +90,23 @@
     pub(super) extended: bool,
     pub(super) frames: FrameReader,
     pub(super) parse_state: ParseState,
-    /// When its last bytes came.
+    /// When its last bytes arrived.
     pub(super) last_read_at: Micros,
-    /// It counts in `ConnectionShared::unfinished_commands` for bytes that are no complete command yet.
+    /// It counts in `ConnectionShared::unfinished_commands` for bytes of an incomplete command.
     command_begun: bool,
     /// It has sent a complete command.
     any_command_received: bool,
-    /// It has sent one since its deadline was last looked at.
+    /// It has sent one since its deadline was last checked.
     command_received_since_deadline: bool,
-    /// By when what it has begun must be complete; once it is closing, when it is removed.
+    /// When its incomplete message must be complete; once it is closing, when it is removed.
     pub(super) deadline: Option<Instant>,
-    /// What it counts for in the limit on incomplete messages.
+    /// Its part of the total of incomplete messages.
     incomplete_message_bytes: usize,
-    /// Nothing that comes is taken any more.
+    /// Incoming bytes are discarded.
     pub(super) closing: bool,
-    /// Bytes that came since it has been closing.
+    /// Bytes received since it has been closing.
     discarded_bytes: usize,
-    /// What was unwritten when its deadline last passed.
+    /// The unwritten bytes when its deadline last passed.
     pub(super) unwritten_bytes_at_deadline: usize,
 }
 
@@ -138,7 +138,7 @@
         });
     }
 
-    /// Nothing that comes is taken any more: the reactor or the event loop has closed the connection.
+    /// Whether incoming bytes are discarded: the reactor or the event loop has closed the connection.
     pub(super) fn is_closing(&self) -> bool {
         self.closing || self.shared.unfinished_commands.load(Ordering::SeqCst) & CLOSED != 0
     }
@@ -162,7 +162,7 @@
         self.shared.command_received(size);
     }
 
-    /// Ends the count of a command that was begun if no bytes of one are left.
+    /// Ends the count of an incomplete command if no bytes of one are left.
     pub(super) fn end_command_if_complete(&mut self) {
         if self.frames.buffered().is_empty() && self.parse_state.is_between_commands() {
             self.frames = FrameReader::default();
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Reads what the socket has, up to the size of the read buffer; `false` if the client has gone.
+    /// Reads from the socket, up to the size of the read buffer; `false` if the client has disconnected.
     pub(super) fn read(&mut self, read_buffer: &mut [u8], clock: &Clock) -> bool {
         match (&self.shared.stream).read(read_buffer) {
             Ok(0) => false,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Takes all that has come completely.
+    /// Parses everything that has arrived completely.
     pub(super) fn parse(&mut self, settings: &Settings, events: &EventSink) -> ParseProgress {
         loop {
             let step = match self.parse_state {
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Reports that the client has gone. Whoever cancels may close at once: that is no reason to miss the
-    /// cancel request.
+    /// Reports that the client has disconnected. A client that cancels may close at once: its cancel request
+    /// must be handled all the same.
     pub(super) fn report_disconnect(&mut self, read_buffer: &mut [u8], events: &EventSink) {
         if let Ok(length) = (&self.shared.stream).read(read_buffer) {
             self.report_cancel_request(&read_buffer[..length], events);
@@ -212,7 +212,7 @@
         self.report(ConnectionEvent::Disconnected, events);
     }
 
-    /// Reads and drops what came since the connection was closed; `false` if it need not be waited for.
+    /// Reads and discards bytes received since the connection was closed; `false` if waiting can end.
     pub(super) fn discard_input(&mut self, read_buffer: &mut [u8], events: &EventSink) -> bool {
         match (&self.shared.stream).read(read_buffer) {
             Ok(length) => {
@@ -225,7 +225,7 @@
     }
 
     /// Guards against a cancel request that is missed because there is no capacity for its connection, or
-    /// because that is closed already: the first bytes of a connection that is not served may still be one.
+    /// because that is closed already: the first bytes of a rejected connection may still be one.
     fn report_cancel_request(&mut self, bytes: &[u8], events: &EventSink) {
         if !matches!(self.parse_state, ParseState::Startup) || self.discarded_bytes > bytes.len() {
             return;
@@ -237,9 +237,9 @@
         self.frames = FrameReader::default();
     }
 
-    /// Updates what incomplete messages count for, here and in the total over all connections. `false` if the
-    /// total is too high and this connection has a part in it. Guards against many clients that each send a
-    /// part of something long.
+    /// Updates the bytes of incomplete messages, here and in the total over all connections. `false` if the
+    /// total is too high and this connection contributes to it. Guards against many clients that each send a
+    /// part of a long message.
     pub(super) fn update_incomplete_message_bytes(&mut self, total: &mut usize, max_total: usize) -> bool {
         let buffered = self.frames.buffered().len() + self.parse_state.buffered_bytes();
         let counted = if buffered >= MIN_COUNTED_INCOMPLETE_BYTES { buffered } else { 0 };
@@ -248,15 +248,15 @@
         *total <= max_total || counted == 0
     }
 
-    /// Drops the bytes of an incomplete message, and what they count for.
+    /// Discards the bytes of an incomplete message, and their part of the total.
     pub(super) fn drop_incomplete_message(&mut self, total: &mut usize) {
         *total -= self.incomplete_message_bytes;
         self.incomplete_message_bytes = 0;
         self.frames = FrameReader::default();
     }
 
-    /// The deadline after what was read last: a message that has begun must be complete in time, unless the
-    /// client waits for answers itself.
+    /// The deadline after the latest read: an incomplete message must be completed in time, unless the
+    /// client itself waits for answers.
     pub(super) fn next_deadline(&mut self, progress: ParseProgress) -> Option<Instant> {
         let command_received = std::mem::take(&mut self.command_received_since_deadline);
         if progress == ParseProgress::AtCapacity {
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Writes what the socket takes and renews the events that are wanted.
+    /// Writes as much as the socket accepts and updates the requested events.
     pub(super) fn flush(&mut self, flags: EventFlags) -> Flushed {
         let mut state = self.shared.state();
         let open = self.shared.flush(&mut state);
@@ -282,13 +282,13 @@
 
 /// The state of a connection after a flush.
 pub(super) struct Flushed {
-    /// The socket still takes bytes.
+    /// The socket still accepts bytes.
     pub(super) open: bool,
-    /// It is not read from until another command may be sent.
+    /// Reading is paused until another command may be sent.
     pub(super) reading_paused: bool,
 }
 
-/// The socket is still usable after this error.
+/// Whether the socket is still usable after this error.
 fn is_transient(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/src/net/client/deadlines.rs
+++ b/src/net/client/deadlines.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes out the connection whose deadline has passed first.
+    /// Removes and returns the connection whose deadline has passed first.
     pub(super) fn pop_expired(&mut self) -> Option<ClientId> {
         let &(deadline, id) = self.0.first()?;
         if deadline > Instant::now() {
--- a/src/net/client/handle.rs
+++ b/src/net/client/handle.rs
@@ -1,4 +1,4 @@
-//! What the event loop holds: a handle for each client's connection, and one for the reactor.
+//! The event loop's handles: one for each client connection, and one for the reactor.
 
 use super::shared::{CLOSED, ConnectionShared, ReactorShared};
 use super::write_buffer::Added;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The event loop's end of a client's connection. Dropping it closes the connection once all is written.
+/// The event loop's handle of a client connection. Dropping it closes the connection after all writes.
 pub struct ClientHandle {
     pub(super) shared: Arc<ConnectionShared>,
     /// The connection was accepted on the listener for extended queries.
@@ -14,7 +14,7 @@
 }
 
 impl ClientHandle {
-    /// Hands bytes to the socket; `false` if the client does not read.
+    /// Writes bytes to the socket; `false` if the client does not read.
     pub fn write(&self, bytes: Vec<u8>) -> bool {
         let shared = &self.shared;
         let reactor = &shared.reactor;
@@ -33,7 +33,7 @@
         open
     }
 
-    /// Lets the client send one more command.
+    /// Allows the client another command.
     pub fn command_answered(&self) {
         self.shared.command_answered();
     }
@@ -45,7 +45,7 @@
         unfinished.compare_exchange(0, CLOSED, Ordering::SeqCst, Ordering::SeqCst).is_ok()
     }
 
-    /// Cuts the connection at once, whatever is unwritten.
+    /// Closes the connection at once, discarding unwritten bytes.
     pub fn cut(&self) {
         let _ = self.shared.stream.shutdown(Shutdown::Both);
     }
@@ -72,19 +72,19 @@
 pub struct ReactorHandle(pub(super) Arc<ReactorShared>);
 
 impl ReactorHandle {
-    /// Stops accepting connections; those that wait are left to the process that listens there, too.
+    /// Stops accepting connections; waiting ones are left to the other process that listens there.
     pub fn stop_accepting(&self) {
         self.0.stop_accepting_requested.store(true, Ordering::SeqCst);
         self.0.wake();
     }
 
-    /// Stops reading and accepting. The event loop is notified behind all that was read before.
+    /// Stops reading and accepting. The event loop is notified after all that was read before.
     pub fn stop_reading(&self) {
         self.0.stop_reading_requested.store(true, Ordering::SeqCst);
         self.0.wake();
     }
 
-    /// Lets the connections linger shortly; the thread ends when the last has gone.
+    /// Lets connections linger only briefly; the thread ends when the last has closed.
     pub fn shut_down(&self) {
         self.0.shutdown_requested.store(true, Ordering::SeqCst);
         self.0.wake();
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,9 +1,9 @@
-//! The clients' connections: one reactor thread accepts and reads for all of them, and the event loop writes
-//! through a handle for each. Neither decides anything.
+//! Client connections: one reactor thread accepts and reads for all of them, and the event loop writes
+//! through a handle for each. Neither makes decisions.
 //!
-//! A thread or two for each client would be the plain way with blocking sockets. Measured with 170 of them,
-//! two thirds of a proxy's part of a core went into threads that were woken only to be stopped and continued
-//! with the process; so the sockets are non-blocking here, and `epoll` says which of them are ready.
+//! A thread or two for each client would be the simple way with blocking sockets. Measured with 170 of them,
+//! two thirds of a proxy's share of a core went into threads that were woken only to be stopped and continued
+//! with the process; so the sockets are non-blocking here, and `epoll` reports which of them are ready.
 
 mod accept_gate;
 mod commands;
@@ -21,7 +21,7 @@
 
 use crate::client::{ClientBatch, ClientEvent, ClientId, SimpleQuery};
 
-/// What the reactor reports.
+/// An event that the reactor reports.
 pub enum ReactorEvent {
     /// A new connection, and the handle to write to it.
     Accepted(ClientId, ClientHandle),
@@ -29,14 +29,14 @@
     Simple(ClientId, ClientEvent<SimpleQuery>),
     /// From a connection that speaks the extended query protocol.
     Extended(ClientId, ClientEvent<ClientBatch>),
-    /// Nothing is read from clients any more, and all that was read before has been reported.
+    /// Reading from clients has stopped, and all that was read before has been reported.
     ReadingStopped,
 }
 
-/// Where the reactor sends its events; may block until there is room.
+/// The sink of the reactor's events; may block until there is capacity.
 pub type EventSink = Box<dyn Fn(ReactorEvent) + Send>;
 
-/// Limits on what is held for all clients together.
+/// Limits over all clients.
 #[derive(Clone, Copy)]
 pub struct ReactorLimits {
     /// Connections, including those that the event loop may still have to reject, and those that linger.
--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -23,24 +23,24 @@
 /// The target of the reactor's log lines. Its last part is the message id in syslog, which collectors filter
 /// by: it stays as it is wherever the code moves.
 const LOG_TARGET: &str = "liftrelay::net::client";
-/// A client has this long for its first complete command.
+/// The time limit for a client's first complete command.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A connection that is closed is read from until its client closes it, too, for so long at most; at the end
-/// of the process, for less.
+/// A connection that is closed is read from until its client closes it as well, for this long at most; at the
+/// exit of the process, for less.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
 const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Bytes that are read at once.
+/// The most bytes in one read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Connections that are accepted at once.
+/// The most connections accepted in one round.
 const MAX_ACCEPTS_PER_EVENT: usize = 16;
-/// Events that are taken at once.
+/// The most events in one poll.
 const EVENT_CAPACITY: usize = 64;
 /// Added to each wait. Guards against waking just before a deadline.
 const WAIT_MARGIN: Duration = Duration::from_millis(1);
 
 /// The epoll token of the waker. Those of the listeners follow it.
 const WAKER_TOKEN: u64 = 0;
-/// Clients are numbered from here on, and their epoll tokens are their numbers.
+/// The first client id; a client's epoll token is its id.
 const FIRST_CLIENT: ClientId = 16;
 
 /// The thread that accepts and reads.
@@ -52,11 +52,11 @@
     pub(super) deadlines: Deadlines,
     last_id: ClientId,
     pub(super) read_buffer: Vec<u8>,
-    /// What incomplete messages count for together.
+    /// The total of all incomplete messages.
     pub(super) incomplete_message_bytes: usize,
-    /// Connections that the event loop has closed, the first at the front, and that may linger.
+    /// Connections that the event loop has closed and that may linger, the oldest first.
     lingering: VecDeque<ClientId>,
-    /// The event loop has been notified that nothing is read any more.
+    /// Whether the event loop has been notified that reading has stopped.
     pub(super) reading_stopped: bool,
     pub(super) clock: Clock,
     pub(super) settings: Arc<Settings>,
@@ -66,7 +66,7 @@
 }
 
 impl ClientReactor {
-    /// Prepares the thread. `alive` is dropped when the last connection has gone after a shutdown.
+    /// Prepares the thread. `alive` is dropped when the last connection has closed after a shutdown.
     pub fn new(
         listeners: Vec<ClientListener>,
         limits: ReactorLimits,
@@ -102,7 +102,7 @@
         Ok((reactor, handle))
     }
 
-    /// Runs until it is shut down and the last connection has gone.
+    /// Runs until it is shut down and the last connection has closed.
     pub fn run(mut self) {
         let mut ready = Vec::with_capacity(EVENT_CAPACITY);
         loop {
@@ -146,8 +146,8 @@
         Some(Timespec { tv_sec: wait.as_secs() as i64, tv_nsec: wait.subsec_nanos().into() })
     }
 
-    /// Takes up the connections that the event loop has closed: from then on only the client's own close is
-    /// waited for. At the end of the process, that holds for all.
+    /// Processes the connections that the event loop has closed: from then on only the client's own close is
+    /// awaited. At the exit of the process, this applies to all connections.
     fn start_lingering(&mut self, shutting_down: bool) {
         let closed = self.shared.take_closed();
         while self.lingering.front().is_some_and(|id| !self.connections.contains_key(id)) {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Stops reading or accepting if the event loop has asked for it.
+    /// Stops reading or accepting if the event loop has requested it.
     fn apply_stop_requests(&mut self) {
         if self.shared.stop_reading_requested.load(Ordering::SeqCst) && !self.reading_stopped {
             self.stop_reading();
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Reads nothing any more, and notifies the event loop: what was reported before is all that there is.
+    /// Stops reading, and notifies the event loop: no further commands will be reported.
     fn stop_reading(&mut self) {
         self.reading_stopped = true;
         for connection in self.connections.values().filter(|connection| !connection.closing) {
@@ -186,7 +186,7 @@
         (self.events)(ReactorEvent::ReadingStopped);
     }
 
-    /// Accepts connections that wait at a listener.
+    /// Accepts waiting connections of a listener.
     fn accept_waiting(&mut self, listener_index: usize) {
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
             if self.accept_gate.is_paused() || !self.ensure_capacity() {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Makes room for another connection, or pauses accepting; `false` if there is none.
+    /// Frees capacity for another connection, or pauses accepting; `false` if there is none.
     fn ensure_capacity(&mut self) -> bool {
         if !self.shared.is_full() {
             return true;
@@ -219,8 +219,8 @@
         false
     }
 
-    /// Closes the connection that has lingered longest, for the sake of its descriptor; `false` if there is
-    /// none. Those that have not received all of their answer come last.
+    /// Closes the connection that has lingered longest, to free its descriptor; `false` if there is
+    /// none. Those that have not received their complete answer come last.
     fn close_oldest_lingering(&mut self) -> bool {
         self.lingering.retain(|id| self.connections.contains_key(id));
         let is_written =
@@ -231,12 +231,12 @@
         true
     }
 
-    /// Starts to read from a new connection, and reports it.
+    /// Starts reading from a new connection, and reports it.
     fn register_connection(&mut self, stream: TcpStream, extended: bool) {
         let _ = stream.set_nodelay(true);
         self.last_id += 1;
         let id = self.last_id;
-        // Guards against a crowd that has gone before it was accepted: it would keep others out.
+        // Guards against a burst of clients that have already disconnected: they would keep others out.
         let usable = stream.set_nonblocking(true).is_ok() && !matches!(stream.peek(&mut [0]), Ok(0));
         if !usable {
             return;
--- a/src/net/client/readiness.rs
+++ b/src/net/client/readiness.rs
@@ -1,4 +1,4 @@
-//! What the reactor does with a connection that is ready, whose deadline has passed, or that is to be closed.
+//! The reactor's handling of connections that are ready, past their deadline, or to be closed.
 
 use super::connection::{ConnectionEvent, MESSAGE_TIMEOUT, ParseProgress};
 use super::reactor::{ClientReactor, LINGER_TIMEOUT};
@@ -12,11 +12,11 @@
     pub(super) fn handle_readiness(&mut self, id: ClientId, flags: EventFlags) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let flushed = connection.flush(flags);
-        // Guards against a client that closes behind bytes that are not read yet: it has gone all the same.
+        // Guards against missing a client that closes after bytes that are not read yet: it has disconnected.
         let hung_up = flags.intersects(EventFlags::ERR | EventFlags::HUP | EventFlags::RDHUP);
         let mut open = flushed.open && !hung_up;
         if connection.is_closing() {
-            // What has come since it was closed is not taken: only the client's own close is waited for.
+            // Bytes received after the close are discarded: only the client's own close is awaited.
             if open && flags.contains(EventFlags::IN) {
                 open = connection.discard_input(&mut self.read_buffer, &self.events);
             }
@@ -60,7 +60,7 @@
         connection.deadline = deadline;
     }
 
-    /// Guards against clients that open and say nothing, or begin something and never end it.
+    /// Guards against clients that connect and send nothing, or begin a message and never complete it.
     pub(super) fn expire_deadlines(&mut self) {
         while let Some(id) = self.deadlines.pop_expired() {
             let Some(connection) = self.connections.get_mut(&id) else { continue };
@@ -68,7 +68,7 @@
             if connection.closing {
                 let unwritten = connection.shared.state().write_buffer.unwritten_bytes();
                 let progresses = unwritten > 0 && unwritten != connection.unwritten_bytes_at_deadline;
-                // Guards against cutting off a client that takes its answer slowly.
+                // Guards against disconnecting a client that reads its answer slowly.
                 if progresses && !self.reading_stopped {
                     connection.unwritten_bytes_at_deadline = unwritten;
                     self.start_closing(id, LINGER_TIMEOUT);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes nothing more that comes on this connection, and removes it after this time at most.
+    /// Discards all further input of this connection, and removes it after this time at most.
     pub(super) fn start_closing(&mut self, id: ClientId, timeout: Duration) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let mut deadline = Instant::now() + timeout;
@@ -96,7 +96,7 @@
         connection.shared.set_reading_paused(false);
     }
 
-    /// Reads no more from a client. The connection is closed when the event loop drops its handle, too.
+    /// Stops reading from a client. The connection is closed when the event loop drops its handle as well.
     pub(super) fn remove_connection(&mut self, id: ClientId) {
         let Some(mut connection) = self.connections.remove(&id) else { return };
         let _ = epoll::delete(&self.shared.epoll, &connection.shared.stream);
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -14,11 +14,11 @@
 
 /// Set in `ConnectionShared::unfinished_commands` once the event loop has closed the connection.
 pub(super) const CLOSED: usize = 1 << 32;
-/// Commands that one client may have unanswered before it is not read from, and their bytes.
+/// The most unanswered commands of one client before reading is paused, and their bytes.
 const MAX_PIPELINED_COMMANDS: usize = 8;
 const MAX_PIPELINED_BYTES: usize = 160 * 1024;
 
-/// What is shared for all clients together.
+/// The state shared for all clients.
 pub(super) struct ReactorShared {
     pub(super) epoll: OwnedFd,
     pub(super) waker: UnixStream,
@@ -26,14 +26,14 @@
     pub(super) unwritten_bytes: AtomicUsize,
     pub(super) unanswered_command_bytes: AtomicUsize,
     pub(super) open_connections: AtomicUsize,
-    /// No connection is accepted until one has gone: the reactor is woken then.
+    /// No connection is accepted until one has closed: the reactor is woken then.
     pub(super) at_connection_limit: AtomicBool,
     pub(super) shutdown_requested: AtomicBool,
-    /// Nothing is accepted any more: another process does.
+    /// Accepting has stopped: another process does it.
     pub(super) stop_accepting_requested: AtomicBool,
-    /// Nothing is read any more.
+    /// Reading has stopped.
     pub(super) stop_reading_requested: AtomicBool,
-    /// Connections that the event loop has closed since the reactor last looked.
+    /// Connections that the event loop has closed since the reactor last checked.
     closed: Mutex<Vec<ClientId>>,
 }
 
@@ -59,29 +59,29 @@
         let _ = (&self.waker).write(&[0]);
     }
 
-    /// As many connections are open as may be.
+    /// Whether the limit on open connections is reached.
     pub(super) fn is_full(&self) -> bool {
         self.open_connections.load(Ordering::SeqCst) >= self.limits.max_connections
     }
 
-    /// Notes a connection that the event loop has closed.
+    /// Records a connection that the event loop has closed.
     pub(super) fn push_closed(&self, id: ClientId) {
         self.closed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(id);
     }
 
-    /// Takes the connections that the event loop has closed.
+    /// Removes and returns the connections that the event loop has closed.
     pub(super) fn take_closed(&self) -> Vec<ClientId> {
         std::mem::take(&mut *self.closed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
     }
 }
 
-/// What is shared for one client.
+/// The state shared for one client.
 pub(super) struct ConnectionShared {
     pub(super) id: ClientId,
     pub(super) stream: TcpStream,
     pub(super) reactor: Arc<ReactorShared>,
-    /// Commands not answered, and one more while a command is being read. At zero, the event loop may close
-    /// the connection without a request crossing the close unseen.
+    /// Unanswered commands, and one more while a command is being read. At zero, the event loop may close
+    /// the connection without missing a request that arrives at the same time.
     pub(super) unfinished_commands: AtomicUsize,
     state: Mutex<ConnectionState>,
 }
@@ -90,13 +90,13 @@
 #[derive(Default)]
 pub(super) struct ConnectionState {
     pub(super) write_buffer: WriteBuffer,
-    /// The sizes of the commands not answered.
+    /// The sizes of the unanswered commands.
     unanswered_command_sizes: VecDeque<usize>,
-    /// The connection is not read from until another command may be sent.
+    /// Reading is paused until another command may be sent.
     pub(super) reading_paused: bool,
     /// The reactor has removed the connection.
     pub(super) removed: bool,
-    /// The connection is closed once all is written.
+    /// The connection is closed once everything is written.
     pub(super) closing: bool,
 }
 
@@ -115,8 +115,8 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Requests the events that this state calls for; with `writable_now`, an event is due at once. That the
-    /// client has closed its side is always reported, also behind bytes that are not read yet.
+    /// Requests the events that this state needs; with `writable_now`, an event is due at once. That the
+    /// client has closed its side is always reported, even after bytes that are not read yet.
     pub(super) fn update_interest(&self, state: &ConnectionState, writable_now: bool) {
         let mut flags = EventFlags::RDHUP;
         flags.set(EventFlags::IN, !state.reading_paused);
@@ -133,7 +133,7 @@
         self.update_interest(&state, false);
     }
 
-    /// Writes what the socket takes; `false` if it takes nothing any more.
+    /// Writes as much as the socket accepts; `false` once it accepts no more.
     pub(super) fn flush(&self, state: &mut ConnectionState) -> bool {
         if !state.write_buffer.flush(&self.stream, &self.reactor.unwritten_bytes) {
             return false;
@@ -144,13 +144,13 @@
         true
     }
 
-    /// Closes our side. Guards against a close over bytes that were not read: it resets the connection, and
-    /// discards what the client has not received yet of its answer.
+    /// Closes our side. Guards against a close with unread bytes: it resets the connection, and
+    /// discards the part of its answer that the client has not received yet.
     pub(super) fn half_close(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Whether one more command may be read; if not, reading is paused until it may.
+    /// Whether another command may be read; if not, reading is paused until it may.
     pub(super) fn has_capacity(&self) -> bool {
         let mut state = self.state();
         let own_bytes: usize = state.unanswered_command_sizes.iter().sum();
--- a/src/net/client/write_buffer.rs
+++ b/src/net/client/write_buffer.rs
@@ -5,17 +5,17 @@
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Answers that may wait for one client's socket; with more, a client that does not read is cut off.
+/// The most bytes of answers waiting for one client's socket; a client that does not read is disconnected.
 const MAX_WAITING_ANSWERS: usize = 16;
 
-/// What became of an answer that was added to a [`WriteBuffer`].
+/// The result of adding an answer to a [`WriteBuffer`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Added {
-    /// It is the only one: the socket may take it at once.
+    /// It is the only one: it can be written at once.
     First,
-    /// It waits behind others.
+    /// It is queued after others.
     Queued,
-    /// The limits leave no room for it.
+    /// It exceeds the limits.
     Rejected,
 }
 
@@ -33,17 +33,17 @@
         self.answers.is_empty()
     }
 
-    /// Bytes that the socket has not taken yet.
+    /// Bytes that are not written yet.
     pub(super) fn unwritten_bytes(&self) -> usize {
         self.counted_bytes() - self.written_of_first
     }
 
-    /// Bytes that count in the total over all clients.
+    /// Bytes that count towards the total over all clients.
     pub(super) fn counted_bytes(&self) -> usize {
         self.answers.iter().map(Vec::len).sum()
     }
 
-    /// Adds an answer. One that need not wait behind others is always taken.
+    /// Adds an answer. One that need not wait for others is always accepted.
     pub(super) fn push(
         &mut self,
         answer: Vec<u8>,
@@ -62,7 +62,7 @@
         if must_wait { Added::Queued } else { Added::First }
     }
 
-    /// Writes what the socket takes; `false` if it takes nothing any more.
+    /// Writes as much as the socket accepts; `false` once it accepts no more.
     pub(super) fn flush(&mut self, mut socket: &TcpStream, total_bytes: &AtomicUsize) -> bool {
         while let Some(first) = self.answers.front() {
             match socket.write(&first[self.written_of_first..]) {
--- a/src/net/client_listener.rs
+++ b/src/net/client_listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket.
+//! The listening socket for clients.
 
 use crate::config::{Config, LISTEN_FD_VARIABLE};
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// How long the clients' address may still be held by the previous process.
+/// How long the previous process may keep the clients' address bound.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The delay between two attempts to bind it.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -22,7 +22,7 @@
         /// Why not.
         source: std::io::Error,
     },
-    /// The descriptor that the platform names can't be duplicated.
+    /// The configured descriptor can't be duplicated.
     #[error("{LISTEN_FD_VARIABLE} {descriptor}: {source}")]
     Duplicate {
         /// The descriptor.
@@ -30,7 +30,7 @@
         /// Why not.
         source: rustix::io::Errno,
     },
-    /// The descriptor that the platform names is something else.
+    /// The configured descriptor is not a listening socket.
     #[error("{LISTEN_FD_VARIABLE} {descriptor} is no listening socket")]
     NotListening {
         /// The descriptor.
@@ -38,7 +38,7 @@
     },
 }
 
-/// The clients' listening socket: inherited where the platform holds it, or else bound here.
+/// The listening socket for clients: inherited where the platform provides one, or else bound here.
 pub fn client_listener(config: &Config) -> Result<TcpListener, ListenError> {
     match config.listen_fd {
         Some(descriptor) => inherit(descriptor),
@@ -60,7 +60,7 @@
     }
 }
 
-/// Duplicates a descriptor of this process: the inherited one stays as it is.
+/// Duplicates a descriptor of this process, and leaves the inherited one unchanged.
 fn inherit(descriptor: i32) -> Result<TcpListener, ListenError> {
     let socket = pidfd_open(getpid(), PidfdFlags::empty())
         .and_then(|process| pidfd_getfd(&process, descriptor, PidfdGetfdFlags::empty()))
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -1,4 +1,4 @@
-//! The delay between two attempts to open a watch: it doubles while discovery stays silent.
+//! The delay between two attempts to open a watch: it doubles while discovery is silent.
 
 use crate::random::RandomSource;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 /// Exponential backoff with jitter.
 ///
-/// Guards against hundreds of proxies that reconnect in step, and go on doing so, where discovery is
+/// Guards against hundreds of proxies that reconnect in step, again and again, while discovery is
 /// overloaded.
 pub struct Backoff {
     delay: Duration,
@@ -25,7 +25,7 @@
         Backoff { delay: INITIAL_DELAY, random: RandomSource::new(seed) }
     }
 
-    /// The next delay; `received` says whether discovery has sent anything since the delay before.
+    /// The next delay; `received` tells whether discovery has sent anything since the previous delay.
     pub fn next_delay(&mut self, received: bool) -> Duration {
         self.delay = if received { INITIAL_DELAY } else { (self.delay * 2).min(MAX_DELAY) };
         let step = self.random.below(u64::from(JITTER_STEPS)) as u32;
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,4 +1,4 @@
-//! What can end a call to discovery.
+//! The errors that can end a call to discovery.
 
 use std::io::ErrorKind;
 
@@ -8,7 +8,7 @@
     /// The connection failed, or a read or write on it timed out.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The response has not advanced for too long.
+    /// The response has made no progress for too long.
     #[error("timed out")]
     TimedOut,
     /// The stream ended within the response.
@@ -17,25 +17,25 @@
     /// The head of the response is not HTTP.
     #[error(transparent)]
     Head(#[from] httparse::Error),
-    /// The head of the response goes on and on.
+    /// The head of the response is too long.
     #[error("headers too long")]
     HeadTooLong,
     /// The response has a status other than 200.
     #[error("discovery answered {0:?}")]
     Status(Option<u16>),
-    /// The stated length of the response is no number.
+    /// The length given by the response is not a number.
     #[error("bad length")]
     ContentLength,
-    /// The size of a chunk can't be read.
+    /// The size of a chunk can't be parsed.
     #[error("bad chunk")]
     ChunkSize,
-    /// Something other than a JSON object stands in the response.
+    /// The response contains something other than a JSON object.
     #[error("no JSON object")]
     NotAnObject,
-    /// An object is longer than any list that is read.
+    /// An object is longer than the longest accepted list.
     #[error("list too long")]
     ListTooLong,
-    /// An object is no endpoint list.
+    /// An object is not an endpoint list.
     #[error(transparent)]
     List(#[from] serde_json::Error),
 }
--- a/src/net/discovery/http_response.rs
+++ b/src/net/discovery/http_response.rs
@@ -1,4 +1,4 @@
-//! Reads the body of an HTTP/1.1 response as it arrives: in chunks, of stated length, or to the end of the
+//! Reads the body of an HTTP/1.1 response as it arrives: in chunks, of a given length, or to the end of the
 //! stream.
 
 use super::error::DiscoveryError;
@@ -10,7 +10,7 @@
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most headers that are read.
 const MAX_HEADERS: usize = 32;
-/// What is asked of the socket at once.
+/// The most bytes in one read from the socket.
 const READ_BYTES: usize = 4096;
 /// The shortest time limit of a read.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
@@ -18,9 +18,9 @@
 
 /// How the end of a body is found.
 enum Framing {
-    /// In chunks; so many bytes are left of the present one.
+    /// In chunks; this many bytes are left of the current one.
     Chunked { remaining: usize },
-    /// Of stated length; so many bytes are left.
+    /// Of a given length; this many bytes are left.
     Sized { remaining: usize },
     /// By the end of the stream.
     UntilClose,
@@ -46,7 +46,7 @@
 /// The body of a response, read from a stream.
 pub struct ResponseBody<'a> {
     stream: &'a TcpStream,
-    /// Bytes that were read and not returned yet.
+    /// Bytes that were read but not returned yet.
     buffer: Vec<u8>,
     framing: Framing,
 }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes the head off the buffer; `false` if it has not arrived completely.
+    /// Removes the head from the buffer; `false` if it has not arrived completely.
     fn parse_head(&mut self) -> Result<bool, DiscoveryError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -111,7 +111,7 @@
 
     /// Reads the size of the next chunk, if it has arrived, and returns what [`Self::available`] does.
     fn next_chunk(&mut self) -> Result<Option<usize>, DiscoveryError> {
-        // The line break that ends the chunk before stands in front of the next size.
+        // The line break that ends the previous chunk precedes the next size.
         while self.buffer.first().is_some_and(|byte| b"\r\n".contains(byte)) {
             self.buffer.remove(0);
         }
@@ -136,7 +136,7 @@
             let left = deadline.saturating_duration_since(Instant::now()).max(MIN_READ_TIMEOUT);
             stream.set_read_timeout(Some(left))?;
             match stream.read(&mut chunk) {
-                // Guards against taking a pause of the whole process (SIGSTOP, SIGCONT) for the end of the
+                // Guards against treating a pause of the process (SIGSTOP, SIGCONT) as the end of the
                 // watch: the system does not resume a read with a time limit.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 other => break other?,
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! The discovery watch: keeps a connection to discovery open, and passes each update of the endpoint list on.
 //!
-//! A watch starts behind the revision that is known, and reconnects for as long as the proxy runs.
+//! A watch starts after the known revision, and reconnects for as long as the proxy runs.
 
 mod backoff;
 mod error;
@@ -21,14 +21,14 @@
 use std::time::{Duration, Instant};
 
 // An update counts as delivered in time 6 s after discovery had it and was reachable, and 6 s after a watch
-// fell silent. The longest way there is a silent watch, a delay, a connection that never comes up, a delay, a
+// fell silent. The worst case is a silent watch, a delay, a connection that is never established, a delay, a
 // call that hangs, and one more delay: 2.4 + 0.25 + 0.4 + 0.5 + 1 + 1 s.
 
-/// Discovery sends an empty line every 2 s: a watch on which no line has ended for longer is dead.
+/// Discovery sends an empty line every 2 s as a heartbeat: a watch without a line for longer is dead.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2400);
-/// The agent runs on this machine: a connection that is not up by then never comes up.
+/// The agent runs on this machine: a connection that is not established by then never will be.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a call may take until the first complete list has arrived; the next call after one that hung may
+/// The time limit of a call until the first complete list has arrived; the next call after one that hung may
 /// take twice as long. Guards against giving up on an overloaded discovery each time just before it answers.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
@@ -50,24 +50,24 @@
     pub endpoints: EndpointList,
 }
 
-/// Nobody takes watch events any more.
+/// The receiver of watch events has been dropped.
 pub struct ReceiverClosed;
 
-/// Where a watch sends its events; may block until there is room.
+/// The sink of a watch's events; may block until there is capacity.
 pub type EventSink = Box<dyn Fn(WatchEvent) -> Result<(), ReceiverClosed> + Send>;
 
-/// A running watch. Dropping it ends the watch, whatever it waits for.
+/// A running watch. Dropping it ends the watch, whatever its state.
 pub struct Watch {
     /// Its number.
     pub id: WatchId,
-    /// Where discovery is.
+    /// The address of discovery.
     pub address: SocketAddr,
     connection: Arc<WatchConnection>,
 }
 
 impl Watch {
-    /// Starts a watch behind this revision, or, without one, with the complete list: revisions of another
-    /// discovery address mean nothing.
+    /// Starts a watch after this revision, or, without one, with the complete list: revisions of another
+    /// discovery address are unrelated.
     pub fn start(
         id: WatchId,
         address: SocketAddr,
@@ -96,7 +96,7 @@
     }
 }
 
-/// The present connection of a watch, shared by the watch's thread and its owner.
+/// The current connection of a watch, shared by the watch's thread and its owner.
 #[derive(Default)]
 struct WatchConnection {
     stream: Mutex<Option<TcpStream>>,
@@ -121,12 +121,12 @@
     }
 }
 
-/// What a call asks for.
+/// The kind of a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Call {
     /// The complete list, once.
     List,
-    /// All updates behind this revision, for as long as the connection lasts.
+    /// All updates after this revision, for as long as the connection lasts.
     Watch { revision: u64 },
 }
 
@@ -151,7 +151,7 @@
     revision: Option<u64>,
     /// Discovery has sent something since the last delay.
     received: bool,
-    /// How long a call may take until its first complete list has arrived.
+    /// The time limit of a call until its first complete list has arrived.
     call_timeout: Duration,
     events: EventSink,
     connection: Arc<WatchConnection>,
@@ -178,12 +178,12 @@
         self.call(Call::Watch { revision })
     }
 
-    /// Makes a call, and passes on what it returns.
+    /// Makes a call, and passes on the updates that it returns.
     fn call(&mut self, call: Call) -> Result<(), DiscoveryError> {
         let stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
         self.connection.attach(stream.try_clone()?);
-        // Guards against a watch that is canceled while the connection comes up: nobody would shut this
-        // connection down.
+        // Guards against a watch that is canceled while its connection is being established: this connection
+        // would never be shut down.
         if self.connection.is_canceled() {
             return Ok(());
         }
@@ -207,12 +207,12 @@
     ) -> Result<(), DiscoveryError> {
         let mut body = ResponseBody::open(stream, deadline)?;
         if call.is_watch() {
-            // Where nothing has changed, the first line may be the next empty one.
+            // If nothing has changed, the first line may be the next empty one.
             deadline = Instant::now() + SILENCE_TIMEOUT;
         }
         let mut objects = ObjectStream::default();
         while let Some(bytes) = body.next(deadline)? {
-            // Guards against bytes that keep coming and never end a line.
+            // Guards against a stream of bytes that never ends a line.
             let late = Instant::now() > deadline;
             let mut advanced = false;
             for byte in bytes {
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Passes an update on; breaks if nobody takes it any more.
+    /// Passes an update on; breaks if the receiver has been dropped.
     fn deliver(&mut self, item: StreamItem) -> Result<ControlFlow<()>, DiscoveryError> {
         if self.connection.is_canceled() {
             return Ok(ControlFlow::Break(()));
--- a/src/net/discovery/object_stream.rs
+++ b/src/net/discovery/object_stream.rs
@@ -2,24 +2,24 @@
 
 use super::error::DiscoveryError;
 
-/// The longest endpoint list that is read, in bytes.
+/// The longest accepted endpoint list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// What a byte of the stream completes.
+/// An item that a byte of the stream completes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// An empty line: the sender is alive and has nothing to say.
+    /// An empty line: a heartbeat of the sender.
     KeepAlive,
     /// The text of an object.
     Object(Vec<u8>),
 }
 
-/// Splits a stream of JSON objects, however they are broken into lines.
+/// Splits a stream of JSON objects, regardless of line breaks.
 #[derive(Default)]
 pub struct ObjectStream {
-    /// The object that has begun.
+    /// The incomplete object.
     object: Vec<u8>,
-    /// How many braces of it are open.
+    /// The number of its open braces.
     depth: usize,
     in_string: bool,
     after_backslash: bool,
@@ -31,7 +31,7 @@
         !self.object.is_empty()
     }
 
-    /// Takes the next byte, and returns what it completes.
+    /// Handles the next byte, and returns the item that it completes.
     pub fn push(&mut self, byte: u8) -> Result<Option<StreamItem>, DiscoveryError> {
         if self.depth == 0 && byte != b'{' {
             return match byte {
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -23,7 +23,7 @@
     assert!(matches!(items("x"), Err(DiscoveryError::NotAnObject)));
 }
 
-/// The whole body of this response.
+/// The complete body of this response.
 fn body_of(response: &'static str) -> Result<String, DiscoveryError> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/src/net/member/connect.rs
+++ b/src/net/member/connect.rs
@@ -13,11 +13,11 @@
 const USER: &str = "web";
 const DATABASE: &str = "orders";
 
-/// A connection that has reached the member, and what was read off it.
+/// A connection that has reached the member, with the bytes read from it.
 pub(super) struct OpenConnection {
-    /// The socket, shared with whoever cuts the connection.
+    /// The socket, shared with the owner that may cut the connection.
     pub(super) stream: Arc<TcpStream>,
-    /// Bytes that have come and were not taken yet.
+    /// Bytes that have arrived but are not parsed yet.
     pub(super) frames: FrameReader,
 }
 
@@ -32,14 +32,14 @@
 pub(super) enum ConnectError {
     /// The socket could not be opened or connected.
     Socket(std::io::Error),
-    /// The connection broke, was silent for too long or did not keep to the protocol before ReadyForQuery.
+    /// The connection broke, was silent for too long or violated the protocol before ReadyForQuery.
     Handshake,
-    /// The member turned the connection away with this SQLSTATE, where it is a well formed one.
+    /// The member rejected the connection with this SQLSTATE, if it is a well formed one.
     Rejected(Option<Vec<u8>>),
 }
 
 impl ConnectError {
-    /// What this counts as for the attempt.
+    /// The outcome of an attempt that fails with this error.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             ConnectError::Socket(error) if out_of_descriptors(error) => Outcome::NeverSent,
@@ -86,11 +86,11 @@
             }
         }
     }
-    // Bytes after ReadyForQuery are nobody's reply.
+    // Bytes after ReadyForQuery belong to no reply.
     if frames.buffered().is_empty() { Ok(()) } else { Err(ConnectError::Handshake) }
 }
 
-/// Reads once; `false` if nothing comes before the deadline or the connection ends. Leaves the read timeout
+/// Reads once; `false` if nothing arrives before the deadline or the connection ends. Leaves the read timeout
 /// set.
 pub(super) fn fill_before(deadline: Instant, stream: &TcpStream, frames: &mut FrameReader) -> bool {
     let left = deadline.saturating_duration_since(Instant::now());
--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -1,5 +1,5 @@
-//! A connection to a member: it is opened for its first job, checked before it is used again, and opened anew
-//! where it turns out to be dead.
+//! A connection to a member: it is opened for its first job, checked before it is reused, and reopened
+//! if it turns out to be dead.
 
 use super::connect::{OpenConnection, connect};
 use super::events::{MemberEvent, MemberEvents};
@@ -20,13 +20,13 @@
     /// For opening the connection, and for a liveness check.
     connect_timeout: Duration,
     events: MemberEvents,
-    /// The present socket, for whoever cuts the connection.
+    /// The current socket, for cutting the connection.
     cut_target: Mutex<Option<Arc<TcpStream>>>,
-    /// The state of the connection while no job is under way; a job takes it. `None` also once it has ended.
+    /// The state of the connection while no job is running; a job takes it. `None` also once it has ended.
     idle_state: Mutex<Option<ConnectionState>>,
 }
 
-/// What belongs to the present connection; the default has yet to be opened.
+/// The state of the current connection; the default is not opened yet.
 #[derive(Default)]
 struct ConnectionState {
     open: Option<OpenConnection>,
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a liveness check before a job found.
+/// The result of a liveness check before a job.
 enum Liveness {
     Alive,
     Dead,
@@ -50,7 +50,7 @@
 }
 
 impl MemberConnection {
-    /// A connection to the member at this address that has yet to be opened.
+    /// A connection to the member at this address that is not opened yet.
     pub(super) fn new(
         link: ConnectionId,
         address: SocketAddr,
@@ -67,14 +67,14 @@
         }
     }
 
-    /// Ends the connection, whatever it is doing.
+    /// Ends the connection, whatever its state.
     pub(super) fn cut(&self) {
         if let Some(stream) = self.cut_target().as_ref() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Runs a job; what the event loop is to be told.
+    /// Runs a job; returns the event for the event loop.
     pub(super) fn run_job(&self, job: Job) -> Vec<MemberEvent> {
         let state = self.idle_state().take();
         let mut events = Vec::new();
@@ -87,7 +87,7 @@
         events
     }
 
-    /// Tells the event loop.
+    /// Notifies the event loop.
     pub(super) fn notify(&self, event: MemberEvent) {
         self.events.send(event);
     }
@@ -100,7 +100,7 @@
         self.idle_state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Runs a job on the connection; the state with which the connection goes on, `None` if it has ended.
+    /// Runs a job on the connection; returns the state to keep for the next job, `None` if it has ended.
     fn run_job_with(
         &self,
         mut state: ConnectionState,
@@ -111,8 +111,8 @@
             events.push(Input::ConnectionIdle(self.link));
             return Some(state);
         }
-        // Guards against a connection that the member closed while it was idle: writing to it would count as
-        // sent. It is opened anew, and the job has not begun.
+        // Guards against a connection that the member closed while it was idle: a write to it would count as
+        // sent. It is reopened, and the job has not started.
         if state.is_unusable() {
             state = ConnectionState::default();
         }
@@ -152,7 +152,7 @@
         if alive { Liveness::Alive } else { Liveness::Dead }
     }
 
-    /// Opens the connection where it is not open, and executes the job on it; `None` if the job was withdrawn
+    /// Opens the connection if it is not open, and executes the job on it; `None` if the job was withdrawn
     /// before anything was written.
     fn execute(&self, state: &mut ConnectionState, job: &Job) -> Option<JobReply> {
         let mut open = match state.open.take() {
--- a/src/net/member/events.rs
+++ b/src/net/member/events.rs
@@ -1,4 +1,4 @@
-//! What connections to members report to their owner.
+//! Events that member connections report to their owner.
 
 use crate::core::Input;
 use crate::exchange::{MemberRequest, MemberResponse};
@@ -7,7 +7,7 @@
 /// Something that happened to a connection or to its job.
 pub type MemberEvent = Input<MemberRequest, MemberResponse>;
 
-/// Where all connections send their events; a send may block until there is room.
+/// The sink of the events of all connections; a send may block until there is capacity.
 #[derive(Clone)]
 pub struct MemberEvents(Arc<dyn Fn(MemberEvent) + Send + Sync>);
 
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -9,13 +9,13 @@
 use crate::{Outcome, pg};
 use std::time::Duration;
 
-/// How long a member may take for the messages before the first Execute. One that takes longer is not waited
-/// for: it has executed nothing.
+/// The time limit of a member for the messages before the first Execute. After it, waiting ends:
+/// the member has executed nothing.
 const PRE_EXECUTE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A response that is longer than this is not read on.
+/// Reading stops if a response is longer than this.
 const MAX_RESPONSE_BYTES: usize = 4 * pg::MAX_MESSAGE_BYTES;
 
-/// The replies to a batch, and what they tell.
+/// The replies to a batch, and what they report about the member.
 struct BatchReplies<'a> {
     execution: BatchExecution,
     statements: &'a mut PreparedStatementCache,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads until all messages before the first Execute are answered; `false` if that does not come.
+    /// Reads until all messages before the first Execute are answered; `false` if that does not happen.
     fn read_pre_execute(&mut self, connection: &mut OpenConnection) -> bool {
         while !self.execution.pre_execute_answered() {
             if self.read(connection) != Some(Progress::AwaitingReplies) {
@@ -45,7 +45,7 @@
         true
     }
 
-    /// Reads up to ReadyForQuery; `false` if that does not come.
+    /// Reads up to ReadyForQuery; `false` if it does not arrive.
     fn read_to_end(&mut self, connection: &mut OpenConnection) -> bool {
         loop {
             match self.read(connection) {
@@ -82,7 +82,7 @@
         if self.start_deadline_passed() {
             return Some(JobReply::not_begun());
         }
-        // Before the execution is made, after which the statements of the batch count as prepared.
+        // Checked before the execution is created, as its statements count as prepared from then on.
         let started = if confirm_first { self.state.start_preparing() } else { self.state.begin() };
         if !started {
             return None;
@@ -103,7 +103,7 @@
     }
 
     /// Sends the messages before the first Execute and waits until they are answered. On success, the job has
-    /// begun, or there is nothing to execute: the batch executes nothing or has met an error.
+    /// started, or there is nothing to execute: the batch executes nothing or has met an error.
     fn confirm_pre_execute(
         &mut self,
         mut messages: Vec<u8>,
@@ -118,7 +118,7 @@
             return Err(Outcome::ConnectFailed);
         }
         if self.start_deadline_passed() {
-            // The batch is left open at the member: the connection is of no further use.
+            // The batch is incomplete at the member: the connection can't be reused.
             return Err(Outcome::NeverSent);
         }
         let will_execute = executes && replies.execution.error.is_none();
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    /// Sends the rest of the batch behind these messages, and reads the replies.
+    /// Sends the rest of the batch after these messages, and reads the replies.
     fn finish_batch(
         &mut self,
         mut messages: Vec<u8>,
@@ -150,7 +150,7 @@
         let BatchReplies { execution, status, .. } = replies;
         let error = execution.error.as_deref();
         if error == Some(INVALID_SQL_STATEMENT_NAME) {
-            // Guards against a member that lost its prepared statements: nothing of the batch stands, and the
+            // Guards against a member that lost its prepared statements: the batch has no effect, and the
             // next connection starts with an empty cache.
             return JobReply::failed(Outcome::Full);
         }
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -1,4 +1,4 @@
-//! A job on a member connection: what is written for it, and what it ends with.
+//! A job on a member connection: the messages written for it, and its result.
 
 use super::connect::OpenConnection;
 use super::job_state::JobState;
@@ -12,23 +12,23 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The simple query that asks a member for its load report.
+/// The simple query that requests a member's load report.
 const HEALTH_CHECK: &[u8] = b"SHOW health";
 
 /// A job for a connection.
 pub(super) struct Job {
     /// The number of the job.
     pub(super) id: JobId,
-    /// What is to be done.
+    /// The work of the job.
     pub(super) what: JobSpec<MemberRequest>,
-    /// The job must not begin later than this.
+    /// The job must not start later than this.
     pub(super) start_deadline: Option<Instant>,
-    /// How far the job has come.
+    /// The progress of the job.
     pub(super) state: Arc<JobState>,
 }
 
 impl Job {
-    /// Whether an open connection is to be checked before the job begins.
+    /// Whether an open connection is checked before the job starts.
     pub(super) fn wants_liveness_check(&self) -> bool {
         matches!(self.what, JobSpec::Attempt { verify_connection: true, .. })
     }
@@ -36,14 +36,14 @@
 
 /// How a job ended on its connection.
 pub(super) struct JobReply {
-    /// What the event loop is told.
+    /// The result for the event loop.
     pub(super) ending: JobResult<MemberResponse>,
-    /// The connection may take another job.
+    /// The connection can be given another job.
     pub(super) reusable: bool,
 }
 
 impl JobReply {
-    /// The job ended with this outcome, without a response, and the connection is of no further use.
+    /// The job ended with this outcome, without a response, and the connection can't be reused.
     pub(super) fn failed(outcome: Outcome) -> JobReply {
         JobReply { ending: JobResult::from_outcome(outcome), reusable: false }
     }
@@ -53,26 +53,26 @@
         JobReply { ending: JobResult::from_outcome(Outcome::NeverSent), reusable: true }
     }
 
-    /// The member answered to the end.
+    /// The member's response is complete.
     pub(super) fn answered(
         outcome: Outcome,
         status: MemberStatus,
         bytes: Vec<u8>,
         connection: &OpenConnection,
     ) -> JobReply {
-        // Guards against bytes after a complete reply: they would be taken for the next job's.
+        // Guards against bytes after a complete reply: they would count as part of the next job's reply.
         let reusable = connection.frames.buffered().is_empty();
         JobReply { ending: status.into_ending(outcome, bytes), reusable }
     }
 }
 
-/// The execution of one job on an open connection, classified exactly as the protocol's table has it.
+/// The execution of one job on an open connection, classified exactly by the protocol's table.
 pub(super) struct JobExecution<'a> {
     /// The connection.
     pub(super) connection: &'a mut OpenConnection,
-    /// How far the job has come.
+    /// The progress of the job.
     pub(super) state: &'a JobState,
-    /// The job must not begin later than this.
+    /// The job must not start later than this.
     pub(super) start_deadline: Option<Instant>,
     /// Called when the last byte of an attempt has been written.
     pub(super) on_written: &'a dyn Fn(),
@@ -105,7 +105,7 @@
             return None;
         }
         if self.write(message).is_err() {
-            // The connection broke before the last byte was handed over: the query was never executed.
+            // The connection broke before the last byte was written: the query was never executed.
             return Some(JobReply::failed(Outcome::ConnectFailed));
         }
         if !health_check {
@@ -114,13 +114,13 @@
         Some(self.read_simple_query_reply(health_check))
     }
 
-    /// Whether it is too late to begin: what was true when the job was decided on may not be so any more.
+    /// Whether it is too late to start: the conditions for the decision may have changed since.
     /// Guards against a connection that takes long to open.
     pub(super) fn start_deadline_passed(&self) -> bool {
         self.start_deadline.is_some_and(|deadline| Instant::now() > deadline)
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), WriteError> {
         let mut written = 0;
         while written < bytes.len() {
@@ -136,11 +136,11 @@
 
 /// The connection broke while a request was written.
 pub(super) struct WriteError {
-    /// How many bytes had been handed over.
+    /// The number of bytes that had been written.
     pub(super) written: usize,
 }
 
-/// The query message of a statement, with the time that this proxy still waits put in for `wait_digits`.
+/// The query message of a statement, with the remaining time of this proxy's wait in place of `wait_digits`.
 fn simple_query(text: &[u8], wait_digits: Option<&Range<usize>>, allowed: Micros) -> Vec<u8> {
     match wait_digits {
         None => pg::query_message(&[text]),
--- a/src/net/member/job_state.rs
+++ b/src/net/member/job_state.rs
@@ -1,26 +1,26 @@
-//! How far a job has come, shared by the thread that runs it and the event loop, which may withdraw it.
+//! The progress of a job, shared by the thread that runs it and the event loop, which may withdraw it.
 
 #[cfg(test)]
 mod tests;
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// How far a job has come.
+/// The progress of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 enum Phase {
     /// Nothing has been written for it.
     Queued,
-    /// It has been withdrawn before it began: nothing has been or will be executed.
+    /// It was withdrawn before it started: nothing has been or will be executed.
     Withdrawn,
     /// The connection is in use for a liveness check or for the messages before the first Execute: the member
     /// has executed nothing.
     Preparing,
-    /// It has begun: the member may execute it.
+    /// It has started: the member may execute it.
     Begun,
 }
 
-/// The phase of a job. Each transition is taken by one side only, and all are sequentially consistent.
+/// The phase of a job. Each transition is made by one side only, and all are sequentially consistent.
 pub(super) struct JobState(AtomicU8);
 
 impl JobState {
@@ -49,27 +49,27 @@
         self.transition(Phase::Preparing, Phase::Withdrawn)
     }
 
-    /// The worker puts the connection to use for what comes before the job itself.
+    /// The worker starts to use the connection for the steps before the job itself.
     pub(super) fn start_preparing(&self) -> bool {
         self.transition(Phase::Queued, Phase::Preparing)
     }
 
-    /// The worker is done with a liveness check: the job itself has yet to begin.
+    /// The worker has finished a liveness check: the job itself has not started yet.
     pub(super) fn return_to_queued(&self) -> bool {
         self.transition(Phase::Preparing, Phase::Queued)
     }
 
-    /// The worker begins the job.
+    /// The worker starts the job.
     pub(super) fn begin(&self) -> bool {
         self.transition(Phase::Queued, Phase::Begun)
     }
 
-    /// The worker begins the job after what came before its Execute.
+    /// The worker starts the job after the steps before its Execute.
     pub(super) fn begin_prepared(&self) -> bool {
         self.transition(Phase::Preparing, Phase::Begun)
     }
 
-    /// Takes a transition; `false` if the job is not in the phase `from`.
+    /// Makes a transition; `false` if the job is not in the phase `from`.
     fn transition(&self, from: Phase, to: Phase) -> bool {
         self.0.compare_exchange(from as u8, to as u8, Ordering::SeqCst, Ordering::SeqCst).is_ok()
     }
--- a/src/net/member/liveness.rs
+++ b/src/net/member/liveness.rs
@@ -1,4 +1,4 @@
-//! Whether an idle connection still leads to the other side.
+//! Checks whether an idle connection is still alive.
 
 use super::connect::{OpenConnection, fill_before};
 use crate::pg;
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::time::Instant;
 
-/// Whether a connection still leads to the member: an empty query, which has no effect, is answered before
+/// Whether a connection to a member is alive: an empty query, which has no effect, is answered before
 /// the deadline. Leaves the read timeout set.
 pub(super) fn answers_empty_query(connection: &mut OpenConnection, deadline: Instant) -> bool {
     let OpenConnection { stream, frames } = connection;
@@ -24,7 +24,7 @@
             Some(backend::PARAMETER_STATUS | backend::NOTICE_RESPONSE) => {}
             Some(backend::READY_FOR_QUERY) => return empty_query_answered && frames.buffered().is_empty(),
             Some(_) => return false,
-            // One deadline for the whole reply. Guards against a member that sends a little at a time.
+            // One deadline for the complete reply. Guards against a member that sends a little at a time.
             None => {
                 if !fill_before(deadline, stream, frames) {
                     return false;
--- a/src/net/member/load_report.rs
+++ b/src/net/member/load_report.rs
@@ -1,4 +1,4 @@
-//! What a member's replies tell of the member: its role, its position and its load report.
+//! What a member's replies report about it: its role, its position and its load report.
 
 #[cfg(test)]
 mod tests;
@@ -10,22 +10,22 @@
 use crate::pg::{self, statement};
 use crate::{LoadReport, Micros, Outcome, ResponseMetadata, Role};
 
-/// The ParameterStatus that tells the member's role.
+/// The ParameterStatus with the member's role.
 const ROLE_PARAMETER: &[u8] = b"recovery";
-/// The ParameterStatus that tells the member's position, as Unix time in milliseconds.
+/// The ParameterStatus with the member's position, as Unix time in milliseconds.
 const POSITION_PARAMETER: &[u8] = b"lsn_ms";
-/// The ParameterStatus that carries a load report.
+/// The ParameterStatus with a load report.
 const LOAD_REPORT_PARAMETER: &[u8] = b"health";
 
-/// The field of a load report that tells the member's position, as Unix time in seconds.
+/// The field of a load report with the member's position, as Unix time in seconds.
 const POSITION_FIELD: &str = "x0";
-/// The field of a load report that tells the member's role.
+/// The field of a load report with the member's role.
 const ROLE_FIELD: &str = "x1";
 const ROLE_PRIMARY: f64 = 1.0;
 const ROLE_REPLICA: f64 = 0.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What the replies to a job told of the member.
+/// What the replies to a job reported about the member.
 #[derive(Default)]
 pub(super) struct MemberStatus {
     metadata: ResponseMetadata,
@@ -33,7 +33,7 @@
 }
 
 impl MemberStatus {
-    /// Takes the body of a ParameterStatus. One that is malformed or has another name tells nothing.
+    /// Handles the body of a ParameterStatus. One that is malformed or has another name is ignored.
     pub(super) fn on_parameter(&mut self, body: &[u8]) {
         let Some((name, value)) = parameter(body) else { return };
         match name {
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Takes a load report. One that can't be read completely tells nothing.
+    /// Handles a load report. One that can't be parsed completely is ignored.
     pub(super) fn on_load_report(&mut self, text: &[u8]) {
         self.report = parse_load_report(text).unwrap_or_default();
     }
 
-    /// How a job ended whose response these bytes are.
+    /// The result of a job with these bytes as its response.
     pub(super) fn into_ending(self, outcome: Outcome, bytes: Vec<u8>) -> JobResult<MemberResponse> {
         let response = MemberResponse { bytes, commit_position: self.metadata.position };
         JobResult { outcome, metadata: self.metadata, report: self.report, answer: Some(response) }
@@ -75,8 +75,8 @@
     Some((name, value))
 }
 
-/// Reads a load report: fields as `name=number`, separated by commas. Unknown fields are passed over; `None`
-/// if anything else can't be read.
+/// Parses a load report: fields as `name=number`, separated by commas. Unknown fields are ignored; `None`
+/// if anything else can't be parsed.
 fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for field in std::str::from_utf8(text).ok()?.split(',') {
@@ -95,10 +95,10 @@
     Some(report)
 }
 
-/// A position of a load report; 0 tells none.
+/// A position of a load report; 0 means none.
 ///
-/// Guards against taking seconds for milliseconds, the unit of positions beside replies: the member passed
-/// for years behind, reads that need anything were refused there, and the role that it reported counted as
+/// Guards against reading seconds as milliseconds, the unit of positions beside replies: the member counted
+/// as years behind, reads with any freshness requirement were refused there, and its reported role counted as
 /// outdated.
 fn position_of(seconds: f64) -> Option<Micros> {
     let position = (seconds * MICROS_PER_SECOND) as Micros;
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -1,5 +1,5 @@
-//! Connections to members. A job on one has a thread to itself, so that a member that hangs stalls nothing
-//! but that thread. A connection without a job has none.
+//! Connections to members. Each running job has its own thread, so that a member that hangs blocks only
+//! that thread. A connection without a job has no thread.
 
 mod connect;
 mod connection;
@@ -26,21 +26,21 @@
 use std::time::{Duration, Instant};
 use worker_pool::AssignedJob;
 
-/// What became of the withdrawal of a job.
+/// The result of withdrawing a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Withdrawal {
     /// The last byte of the request may have been sent, so that the member may execute it.
     pub maybe_sent: bool,
-    /// The connection may take another job. If not, it has been cut.
+    /// The connection can be given another job. If not, it has been cut.
     pub reusable: bool,
 }
 
 impl Withdrawal {
-    /// The job had begun, and the connection was cut.
+    /// The job had started, and the connection was cut.
     pub const CUT: Withdrawal = Withdrawal { maybe_sent: true, reusable: false };
 }
 
-/// The event loop's end of a connection to a member.
+/// The event loop's handle of a member connection.
 pub struct MemberHandle {
     connection: Arc<MemberConnection>,
     workers: WorkerPool,
@@ -81,8 +81,8 @@
         self.workers.dispatch(AssignedJob { connection: self.connection.clone(), job })
     }
 
-    /// Withdraws a job that has not begun; `None` if it has begun. A connection in use for a liveness check,
-    /// or for what comes before an Execute, is cut.
+    /// Withdraws a job that has not started; `None` if it has. A connection in use for a liveness check,
+    /// or for the messages before an Execute, is cut.
     pub fn withdraw_unsent(&self, job: JobId) -> Option<Withdrawal> {
         if self.job != job {
             return None;
@@ -97,7 +97,7 @@
         None
     }
 
-    /// Withdraws a job, whether it has begun or not. If it has begun, the connection is cut.
+    /// Withdraws a job, whether it has started or not. If it has started, the connection is cut.
     pub fn abandon(&self, job: JobId) -> Withdrawal {
         self.withdraw_unsent(job).unwrap_or_else(|| {
             self.cut();
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Ends the connection, whatever it is doing.
+    /// Ends the connection, whatever its state.
     pub fn cut(&self) {
         self.connection.cut();
     }
--- a/src/net/member/outcome.rs
+++ b/src/net/member/outcome.rs
@@ -1,4 +1,4 @@
-//! How the SQLSTATE of an error that a member replies with is classified.
+//! The classification of errors from a member by their SQLSTATE.
 
 use crate::{Outcome, pg};
 
@@ -9,7 +9,7 @@
 /// SQLSTATE: invalid_sql_statement_name, from a member that does not have a prepared statement.
 pub(super) const INVALID_SQL_STATEMENT_NAME: &[u8] = b"26000";
 
-/// The SQLSTATE classes of errors that are due to the statement.
+/// The SQLSTATE classes of errors that are caused by the statement.
 const STATEMENT_ERROR_CLASSES: [&[u8]; 10] = [
     b"0A", // feature not supported
     b"21", // cardinality violation
@@ -23,8 +23,8 @@
     b"P0", // PL/pgSQL error
 ];
 
-/// The outcome of an attempt that the member answered to the end: with an error of this SQLSTATE, or without
-/// one. An error that is due to the statement counts neither for nor against the member.
+/// The outcome of an attempt that the member answered completely: with an error of this SQLSTATE, or without
+/// one. An error that is caused by the statement counts neither for nor against the member.
 pub(super) fn outcome_of_reply(error: Option<&[u8]>) -> Outcome {
     match error {
         None => Outcome::Ok,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Whether an error is due to the statement and not to the member: protocol, syntax, names, data,
+/// Whether an error is caused by the statement and not by the member: protocol, syntax, names, data,
 /// constraints, rights. Every member would reply with it, so it is the response.
 fn is_due_to_statement(code: &[u8]) -> bool {
     let class = code.get(..2).unwrap_or_default();
--- a/src/net/member/simple_query.rs
+++ b/src/net/member/simple_query.rs
@@ -6,10 +6,10 @@
 use crate::pg::message_tags::backend;
 use crate::{Outcome, pg};
 
-/// The column count with which the body of a RowDescription of one column begins.
+/// The column count at the start of the body of a RowDescription of one column.
 const ONE_COLUMN: [u8; 2] = [0, 1];
 
-/// The last message of the reply, as far as its order is concerned.
+/// The last message of the reply, for checking the order of messages.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Start,
@@ -19,13 +19,13 @@
     Error,
 }
 
-/// What follows from a message of the reply.
+/// The effect of a message on the reply.
 enum Progress {
-    /// More messages are due.
+    /// More messages are expected.
     AwaitingMessages,
     /// ReadyForQuery: the reply has ended.
     Complete,
-    /// The message is malformed, or not allowed at this place.
+    /// The message is malformed, or not allowed in this position.
     ProtocolViolation,
 }
 
@@ -33,7 +33,7 @@
 ///
 /// Only the complete sequence counts, each message well formed: RowDescription of one column, one DataRow,
 /// CommandComplete, ReadyForQuery; or an error before the DataRow and ReadyForQuery. Guards against corrupted
-/// replies: in any other case, what was made for this request can't be told from noise, and the request may
+/// replies: otherwise the reply to this request can't be told apart from noise, and the request may
 /// have been executed.
 struct SimpleQueryReply {
     stage: Stage,
@@ -59,11 +59,11 @@
         }
     }
 
-    /// Takes the next message: its type byte and all of it.
+    /// Handles the next message: its type byte and the complete message.
     fn on_message(&mut self, tag: u8, message: &[u8]) -> Progress {
         let body = pg::message_body(message);
         if tag == backend::PARAMETER_STATUS {
-            // A load report that can't be read spoils nothing but itself.
+            // A load report that can't be read affects nothing else.
             self.status.on_parameter(body);
             return Progress::AwaitingMessages;
         }
@@ -126,7 +126,7 @@
     }
 }
 
-/// The connection has ended before the reply was complete. An error that was received completely stands.
+/// The connection ended before the reply was complete. An error that was received completely counts.
 fn disconnected(reply: SimpleQueryReply) -> JobReply {
     let outcome = reply.error.map_or(Outcome::Reset, |code| outcome_of_error(&code));
     JobReply { ending: reply.status.into_ending(outcome, Vec::new()), reusable: false }
--- a/src/net/member/worker_pool.rs
+++ b/src/net/member/worker_pool.rs
@@ -12,11 +12,11 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Threads that run jobs. Guards against a thread for each idle connection: hundreds of proxies on a machine,
-/// each with connections to most members, exhausted its thread numbers.
+/// each with connections to most members, exhausted the machine's thread ids.
 #[derive(Clone, Default)]
 pub struct WorkerPool {
-    /// The workers without a job, the one that had a job last at the end: it gets the next job, and the
-    /// others run into their idle timeout.
+    /// The workers without a job, the most recently used one last: it gets the next job, and the
+    /// others reach their idle timeout.
     idle: Arc<Mutex<Vec<IdleWorker>>>,
     next_worker: Arc<AtomicU64>,
 }
@@ -36,7 +36,7 @@
 }
 
 impl WorkerPool {
-    /// Hands a job to an idle worker or to a new one; `false` if there is no thread for it.
+    /// Gives a job to an idle worker or to a new one; `false` if there is no thread for it.
     pub(super) fn dispatch(&self, job: AssignedJob) -> bool {
         let idle_worker = self.idle().pop();
         if let Some(worker) = idle_worker {
@@ -51,14 +51,14 @@
         self.idle.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// The life of a worker: it runs jobs until none has come for a while.
+    /// The main function of a worker: it runs jobs until none has arrived for a while.
     fn run_worker(self, number: u64, first: AssignedJob) {
         let (jobs, inbox) = bounded(1);
         let mut next_job = Some(first);
         while let Some(AssignedJob { connection, job }) = next_job {
             let events = connection.run_job(job);
-            // The worker is idle before the event loop hears that the job has ended: what the loop dispatches
-            // in response then finds this worker.
+            // The worker is idle before the event loop is notified that the job has ended: a job that the
+            // event loop dispatches in response then finds this worker.
             self.idle().push(IdleWorker { number, jobs: jobs.clone() });
             for event in events {
                 connection.notify(event);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The next job of an idle worker; `None` if none has come in time.
+    /// The next job of an idle worker; `None` if none has arrived in time.
     fn await_job(&self, number: u64, inbox: &Receiver<AssignedJob>) -> Option<AssignedJob> {
         if let Ok(job) = inbox.recv_timeout(IDLE_TIMEOUT) {
             return Some(job);
@@ -76,11 +76,11 @@
         if self.remove_idle(number) {
             return None;
         }
-        // The worker has been picked meanwhile: its job is on the way.
+        // The worker has been selected meanwhile: its job will arrive.
         inbox.recv().ok()
     }
 
-    /// Takes a worker out of the idle ones; `false` if it is not one of them.
+    /// Removes a worker from the idle ones; `false` if it is not one of them.
     fn remove_idle(&self, number: u64) -> bool {
         let mut idle = self.idle();
         let position = idle.iter().position(|worker| worker.number == number);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The sockets: threads that read and write. They know bytes and connections, and pass what happens on as
-//! events; none of them decides anything.
+//! The sockets: threads that read and write. They handle bytes and connections, and report events;
+//! they make no decisions.
 
 pub mod admin;
 pub mod client;
