--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The command line's side: asks the replicas over their sockets.
+//! The command line's side: sends requests to the replicas over their sockets.
 
 use super::config::{Replica, StoreConfig};
 use super::error::StoreError;
@@ -9,7 +9,7 @@
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
 
-/// What a replica answered.
+/// The answer of a replica.
 #[derive(Debug)]
 pub struct ReplicaStatus {
     /// The replica.
@@ -27,7 +27,7 @@
     config.replicas.iter().map(ask).collect()
 }
 
-/// Sets a setting, and returns once a quorum has it.
+/// Changes a setting, and returns once a quorum has persisted the change.
 pub fn put(config: &StoreConfig, name: &str, value: serde_json::Value) -> Result<(), StoreError> {
     let leader = config.replicas.iter().find(|replica| is_leader(replica)).ok_or(StoreError::NoLeader)?;
     let change = Change::Set(name.to_string(), value);
--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -15,7 +15,7 @@
     /// The directory of its log; without one, the log is in memory only.
     #[serde(rename = "data")]
     pub data_directory: Option<PathBuf>,
-    /// All replicas, this one included; without any, this one is the only one and nobody connects to it.
+    /// All replicas, including this one; if empty, this is the only replica and accepts no connections.
     #[serde(default, rename = "replica")]
     pub replicas: Vec<Replica>,
 }
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replica {
-    /// Its number.
+    /// Its id.
     pub id: ReplicaId,
-    /// Where the other replicas and the command line connect to it.
+    /// The address for connections from the other replicas and the command line.
     pub address: SocketAddr,
 }
 
@@ -37,7 +37,7 @@
         if listed { Ok(()) } else { Err(StoreError::ReplicaNotListed(self.id)) }
     }
 
-    /// A single replica that keeps nothing over a restart.
+    /// A single replica that persists nothing across a restart.
     pub fn single_in_memory() -> Self {
         StoreConfig { id: 1, data_directory: None, replicas: Vec::new() }
     }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in the store.
+//! The errors of the store.
 
 use super::raft::ReplicaId;
 use std::io;
@@ -12,7 +12,7 @@
     /// A record that is not the last one of the log file is damaged.
     #[error("damaged at byte {offset}")]
     DamagedRecord {
-        /// Where the record starts in the file.
+        /// The offset of the record in the file.
         offset: usize,
     },
     /// A record or a message is not the JSON that was expected.
--- a/src/store/log_file.rs
+++ b/src/store/log_file.rs
@@ -1,5 +1,5 @@
 //! A replica's log file. Each record is on the disk before it counts. A record that is cut off at the end of
-//! the file, since the machine stopped while it was written, is dropped; damage anywhere else is an error.
+//! the file, because the machine stopped while it was written, is dropped; damage elsewhere is an error.
 
 use super::LOG_TARGET;
 use super::error::StoreError;
@@ -20,12 +20,12 @@
 pub struct LogFile {
     path: PathBuf,
     file: File,
-    /// The term and vote that the file holds.
+    /// The term and vote in the file.
     hard_state: HardState,
 }
 
 impl LogFile {
-    /// Opens or creates the file in a data directory, and returns what it holds.
+    /// Opens or creates the file in a data directory, and returns its contents.
     pub fn open<C: DeserializeOwned, S: DeserializeOwned + Default>(
         directory: &Path,
     ) -> Result<(LogFile, PersistedState<C, S>), StoreError> {
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Replaces all entries by a snapshot and the entries after it. On an error, the file stays as it was.
+    /// Replaces all entries by a snapshot and the entries after it. On an error, the file is unchanged.
     pub fn compact<C: Serialize, S: Serialize>(
         &mut self,
         snapshot: Snapshot<S>,
@@ -79,7 +79,7 @@
         self.replace(&bytes)
     }
 
-    /// Replaces the file in one step: after a crash, the old or the new one is there.
+    /// Replaces the file atomically: after a crash, either the old or the new one exists.
     fn replace(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
         let replacement_path = self.path.with_extension(REPLACEMENT_EXTENSION);
         let mut replacement = File::create(&replacement_path)?;
@@ -94,7 +94,7 @@
     }
 }
 
-/// The state that the records lead to.
+/// The state that results from the records.
 fn replay<C: DeserializeOwned, S: DeserializeOwned + Default>(
     payloads: &[&[u8]],
 ) -> Result<PersistedState<C, S>, StoreError> {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated store of the daemon's own configuration and state: settings, the last endpoint list and the
 //! catalogue of prepared statements.
 //!
-//! Each change is an entry of a Raft log. A thread of its own runs the replica; no request and no routing
+//! Each change is an entry of a Raft log. A separate thread runs the replica; no request and no routing
 //! decision waits for it.
 
 mod client;
@@ -15,8 +15,8 @@
 mod state;
 mod transport;
 
-/// The target of all log events of the store: the log's MSGID is its last part, which would follow a move of
-/// code between modules otherwise.
+/// The target of all log events of the store. Its last part is the MSGID in syslog, which must not change if
+/// code moves between modules.
 const LOG_TARGET: &str = "liftrelay::store";
 
 pub use client::{ReplicaStatus, put, status};
--- a/src/store/protocol.rs
+++ b/src/store/protocol.rs
@@ -1,4 +1,4 @@
-//! What is exchanged with a replica: frames on its socket, and requests to its service thread.
+//! The messages to a replica: frames on its socket, and requests to its service thread.
 //!
 //! A frame is one line of JSON. Its serde names are sent between replicas and printed by the command line;
 //! they must not change.
@@ -47,7 +47,7 @@
 pub enum ServiceRequest {
     /// A raft message from another replica.
     PeerMessage(PeerMessage),
-    /// A change that the own proxy proposes; kept until there is a leader.
+    /// A change that the local proxy proposes; kept until there is a leader.
     Propose(Change),
     /// A change that another replica's proxy proposes; dropped where this replica is not the leader.
     ProposeForwarded(Change),
@@ -55,12 +55,12 @@
     Put {
         /// The change.
         change: Change,
-        /// Where the answer goes once the change is committed.
+        /// The sender for the answer once the change is committed.
         reply: Sender<Status>,
     },
     /// A query from the command line.
     Status {
-        /// Where the answer goes.
+        /// The sender for the answer.
         reply: Sender<Status>,
     },
 }
--- a/src/store/raft/election.rs
+++ b/src/store/raft/election.rs
@@ -33,9 +33,9 @@
         self.reset_election_timer(now);
     }
 
-    /// Whether another replica than `candidate` is known to lead. A replica that was cut off starts one
-    /// election after the other: while there is a leader, nobody else gets a vote, so that it does not
-    /// disturb the group when it comes back.
+    /// Whether a replica other than `candidate` is known to lead. A replica that was cut off starts one
+    /// election after another: while there is a leader, no other candidate gets a vote, so that it does not
+    /// disturb the group when it reconnects.
     pub(super) fn follows_other_leader(&self, now: Micros, candidate: ReplicaId) -> bool {
         let heard_lately = now < self.leader_heard_at + ELECTION_TIMEOUT;
         self.leader.is_some_and(|leader| leader != candidate) && heard_lately
@@ -78,7 +78,7 @@
         self.send(candidate, MessageBody::RequestVoteReply(RequestVoteReply { vote_granted }));
     }
 
-    /// Whether a candidate's log is at least as up to date as the own one.
+    /// Whether a candidate's log is at least as up to date as this replica's.
     fn is_up_to_date(&self, request: RequestVote) -> bool {
         let own = (self.log.last_term(), self.log.last_index());
         (request.last_log_term, request.last_log_index) >= own
@@ -94,7 +94,7 @@
         self.count_votes(now);
     }
 
-    /// Becomes the leader with the votes of a quorum, the own one included.
+    /// Becomes the leader with the votes of a quorum, including its own.
     fn count_votes(&mut self, now: Micros) {
         let votes = 1 + self.peers.values().filter(|peer| peer.vote_granted).count();
         if self.role == Role::Candidate && votes >= self.quorum() {
--- a/src/store/raft/log.rs
+++ b/src/store/raft/log.rs
@@ -51,7 +51,7 @@
         index
     }
 
-    /// Puts an entry in its place and removes all that follow it. Its index must be after the snapshot and
+    /// Stores an entry at its index and removes all that follow it. Its index must be after the snapshot and
     /// at most one after the last entry.
     pub fn replace_from(&mut self, entry: Entry<C>) {
         let offset = (entry.index - self.first_index()) as usize;
@@ -59,13 +59,13 @@
         self.entries.push(entry);
     }
 
-    /// Starts the log from a later snapshot of its own; the entries after it stay.
+    /// Starts the log from a later snapshot of its own; the entries after it are kept.
     pub fn compact(&mut self, snapshot: Snapshot<S>) {
         self.entries = self.entries_from(snapshot.last_included_index + 1).to_vec();
         self.snapshot = snapshot;
     }
 
-    /// Replaces the whole log by a leader's snapshot.
+    /// Replaces the complete log by a leader's snapshot.
     pub fn install(&mut self, snapshot: Snapshot<S>) {
         self.entries.clear();
         self.snapshot = snapshot;
--- a/src/store/raft/messages.rs
+++ b/src/store/raft/messages.rs
@@ -1,17 +1,17 @@
-//! What replicas exchange and persist: entries, snapshots, hard state and the messages of the Raft paper.
+//! The data that replicas exchange and persist: entries, snapshots, hard state and the Raft paper's messages.
 //!
 //! The serde names are stored on disk and sent between replicas; they must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a replica.
+/// The id of a replica.
 pub type ReplicaId = u32;
 /// The position of an entry in the log, from 1.
 pub type Index = u64;
 /// The number of a term, from 1; 0 before the first election.
 pub type Term = u64;
 
-/// An entry of the log. The entry that a new leader begins its term with holds no command.
+/// An entry of the log. The first entry of a new leader's term has no command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry<C> {
     /// Its position in the log.
@@ -35,7 +35,7 @@
     pub state: S,
 }
 
-/// What must survive a restart beside the log.
+/// The hard state: what must survive a restart besides the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term seen.
@@ -45,7 +45,7 @@
     pub voted_for: Option<ReplicaId>,
 }
 
-/// What a replica finds on its disk when it starts.
+/// The state that a replica recovers from its disk at the start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState<C, S> {
     /// Term and vote.
@@ -71,7 +71,7 @@
 /// The requests and replies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageBody<C, S> {
-    /// A candidate asks for a vote.
+    /// A candidate requests a vote.
     #[serde(rename = "Vote")]
     RequestVote(RequestVote),
     /// Answers [`RequestVote`].
@@ -107,7 +107,7 @@
     pub vote_granted: bool,
 }
 
-/// Entries that follow one which both logs should have; a heartbeat where there are none.
+/// Entries that follow one which both logs should have; a heartbeat if there are none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AppendEntries<C> {
     /// The entry before the new ones.
@@ -126,7 +126,7 @@
 /// The answer to [`AppendEntries`] and [`InstallSnapshot`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendEntriesReply {
-    /// Whether the entries were taken.
+    /// Whether the entries were accepted.
     #[serde(rename = "ok")]
     pub success: bool,
     /// On success, the last entry up to which the logs agree; otherwise the last one up to which they may.
@@ -134,7 +134,7 @@
     pub last_agreed_index: Index,
 }
 
-/// A leader's snapshot, for a follower that lacks what the leader's log starts with.
+/// A leader's snapshot, for a follower that lacks entries compacted from the leader's log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstallSnapshot<S> {
     /// The snapshot.
--- a/src/store/raft/mod.rs
+++ b/src/store/raft/mod.rs
@@ -1,8 +1,8 @@
 //! Raft consensus: leader election, log replication, and commit by a quorum.
 //!
 //! [`RaftNode::step`] is a pure function of the node's state, the time and an input. The caller carries the
-//! outputs out in order, and has what [`Output::Persist`] and [`Output::Compact`] name on the disk before it
-//! goes on with the next.
+//! outputs out in order, and persists what [`Output::Persist`] and [`Output::Compact`] name before it
+//! continues with the next.
 
 mod election;
 mod log;
@@ -17,13 +17,13 @@
 use messages::MessageBody;
 use std::collections::BTreeMap;
 
-/// A follower that hears of no leader for this long, and up to twice that, starts an election.
+/// The election timeout: a follower without a heartbeat for this long, up to twice that, starts an election.
 const ELECTION_TIMEOUT: Micros = 300_000;
-/// A leader sends heartbeats this often.
+/// The heartbeat interval of a leader.
 const HEARTBEAT_INTERVAL: Micros = 75_000;
 /// The most entries in one message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 128;
-/// The log is compacted once it holds more applied entries than this.
+/// The log is compacted once it has more applied entries than this.
 const COMPACT_AFTER_ENTRIES: u64 = 512;
 
 /// An input of [`RaftNode::step`].
@@ -36,7 +36,7 @@
     Propose(C),
 }
 
-/// What the caller has to do.
+/// An output that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<C, S> {
     /// Persist term and vote, and entries that replace all from the first one's index on.
@@ -51,13 +51,13 @@
 
 /// A deterministic state machine.
 pub trait StateMachine: Clone + Default {
-    /// What changes the state.
+    /// A command that changes the state.
     type Command: Clone;
     /// Applies a command, with the same result at every replica.
     fn apply(&mut self, command: Self::Command);
 }
 
-/// What a replica knows of its group.
+/// A replica's view of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RaftStatus {
     /// The current term.
@@ -75,7 +75,7 @@
     Leader,
 }
 
-/// What this replica knows of another one.
+/// This replica's view of another one.
 struct Peer {
     /// Leader: the next entry to send.
     next_index: Index,
@@ -107,7 +107,7 @@
 }
 
 impl<M: StateMachine> RaftNode<M> {
-    /// A replica that goes on from what it had persisted. `replicas` may include its own id.
+    /// A replica that resumes from its persisted state. `replicas` may include its own id.
     pub fn new(
         id: ReplicaId,
         replicas: &[ReplicaId],
@@ -129,7 +129,7 @@
             last_applied: snapshot.last_included_index,
             log: Log::new(snapshot, entries),
             next_deadline: now,
-            // Replicas with the same seed must not start their elections at the same times for ever.
+            // Replicas with the same seed must not start their elections at the same time forever.
             random: RandomSource::new(seed ^ u64::from(id) << u32::BITS),
             outputs: Vec::new(),
             unpersisted_from: None,
--- a/src/store/raft/replication.rs
+++ b/src/store/raft/replication.rs
@@ -1,4 +1,4 @@
-//! Log replication: what a leader sends, what a follower takes, and what is committed.
+//! Log replication: sending and accepting entries, and committing them.
 
 use super::messages::{
     AppendEntries, AppendEntriesReply, Entry, Index, InstallSnapshot, MessageBody, ReplicaId,
@@ -13,7 +13,7 @@
         self.mark_unpersisted(index);
     }
 
-    /// Sends every follower what it lacks, or a heartbeat.
+    /// Sends every follower its missing entries, or a heartbeat.
     pub(super) fn broadcast_append_entries(&mut self, now: Micros) {
         self.next_deadline = now + HEARTBEAT_INTERVAL;
         for peer in self.peer_ids() {
@@ -63,7 +63,7 @@
         self.reply_to_leader(leader, true, last_agreed);
     }
 
-    /// Takes over a leader's entries where they differ from the own ones.
+    /// Replaces entries that conflict with the leader's by the leader's.
     fn take_entries(&mut self, entries: Vec<Entry<M::Command>>) {
         for entry in entries {
             if entry.index <= self.commit_index || self.log.term_at(entry.index) == Some(entry.term) {
@@ -110,7 +110,7 @@
             peer.match_index = peer.match_index.max(reply.last_agreed_index);
             peer.next_index = peer.next_index.max(peer.match_index + 1);
         } else {
-            // Try further back, but not before what is known to be replicated there.
+            // Retry from an earlier entry, but not before what is known to be replicated there.
             let earlier = peer.next_index.saturating_sub(1);
             peer.next_index = (reply.last_agreed_index + 1).min(earlier).max(peer.match_index + 1);
         }
--- a/src/store/raft/tests.rs
+++ b/src/store/raft/tests.rs
@@ -27,7 +27,7 @@
         Group { nodes: (0..3).map(node).collect(), persisted, partitioned: vec![false; 3], now: 0 }
     }
 
-    /// Gives a replica an input, and delivers all messages that follow from it.
+    /// Passes an input to a replica, and delivers all messages that follow from it.
     fn input(&mut self, to: usize, input: Input<u64, CommandHistory>) {
         let mut pending = vec![(to, input)];
         while let Some((to, input)) = pending.pop() {
@@ -93,7 +93,7 @@
     group.input(old_leader, Input::Propose(1));
     group.advance_time(200_000);
     group.partitioned[old_leader] = true;
-    // Not committed: the old leader alone has it.
+    // Not committed: only the old leader has it.
     group.input(old_leader, Input::Propose(99));
     group.advance_time(2_000_000);
     let new_leader = group.leader();
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -5,9 +5,9 @@
 use super::raft::{Entry, HardState, Snapshot};
 use serde::{Deserialize, Serialize};
 
-/// The length and the checksum ahead of each payload.
+/// The size of the length and the checksum before each payload.
 pub const HEADER_BYTES: usize = 8;
-/// The longest payload: a snapshot of the whole state.
+/// The longest payload: a snapshot of the complete state.
 const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 
 /// The payload of a record. The serde names are stored; they must not change.
@@ -30,14 +30,14 @@
     pub end: usize,
 }
 
-/// A record as it stands in the file, with a payload that may be damaged.
+/// A record as stored in the file, with a payload that may be damaged.
 struct RawRecord<'a> {
     checksum: u32,
     payload: &'a [u8],
 }
 
 impl<'a> RawRecord<'a> {
-    /// The record that `bytes` starts with; `None` where it is not complete.
+    /// The record at the start of `bytes`; `None` if it is not complete.
     fn read(bytes: &'a [u8]) -> Option<Self> {
         let (length, rest) = bytes.split_first_chunk()?;
         let (checksum, rest) = rest.split_first_chunk()?;
--- a/src/store/service.rs
+++ b/src/store/service.rs
@@ -1,4 +1,4 @@
-//! The service thread: it owns the raft node and the log file, and carries out what the node asks for.
+//! The service thread: it owns the raft node and the log file, and carries out the node's outputs.
 
 use super::LOG_TARGET;
 use super::config::StoreConfig;
@@ -16,8 +16,8 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::TcpListener;
 
-/// The most requests, frames to a peer and proposals that wait, each. Further proposals and frames are
-/// dropped; the raft sends its messages again.
+/// The most queued requests, frames to a peer and proposals, each. Further proposals and frames are
+/// dropped; Raft sends its messages again.
 const QUEUE_CAPACITY: usize = 256;
 
 /// The proxy's handle to its replica.
@@ -27,7 +27,7 @@
 }
 
 impl Store {
-    /// Starts a replica. `on_recovered` is called with the state once the log that it had persisted is
+    /// Starts a replica. `on_recovered` is called with the state once the persisted log is
     /// committed, if there was any.
     pub fn start(
         config: &StoreConfig,
@@ -52,14 +52,14 @@
         };
         spawn("store", move || {
             if let Err(error) = service.run(&inbox) {
-                // What is not on the disk must not be promised to anyone: this replica sends nothing more.
+                // Nothing may be promised to others before it is on the disk: this replica stops sending.
                 tracing::error!(target: LOG_TARGET, %error, "store service stopped");
             }
         })?;
         Ok(Store { requests })
     }
 
-    /// Proposes a change. Never waits; the change is committed once there is a leader.
+    /// Proposes a change. Never blocks; the change is committed once there is a leader.
     pub fn propose(&self, change: Change) {
         let _ = self.requests.try_send(ServiceRequest::Propose(change));
     }
@@ -97,7 +97,7 @@
     Ok(peers)
 }
 
-/// Who is told of the recovered state, and when.
+/// The callback for the recovered state, and the condition for calling it.
 struct Recovery {
     /// The last entry that was in the log at the start.
     last_log_index: Index,
@@ -127,7 +127,7 @@
     log_file: Option<LogFile>,
     peers: HashMap<ReplicaId, Sender<Frame>>,
     clock: Clock,
-    /// The own proxy's changes that wait for a leader.
+    /// The local proxy's changes that wait for a leader.
     proposals: VecDeque<Change>,
     pending_puts: Vec<PendingPut>,
     /// `None` once the state is recovered.
@@ -135,7 +135,7 @@
 }
 
 impl Service {
-    /// Serves requests until all their senders are gone.
+    /// Serves requests until all their senders are dropped.
     fn run(&mut self, inbox: &Receiver<ServiceRequest>) -> Result<(), StoreError> {
         loop {
             match inbox.recv_deadline(self.clock.instant(self.raft.next_deadline())) {
@@ -173,7 +173,7 @@
         self.step(Input::Propose(change))
     }
 
-    /// Commits the own proxy's changes, or forwards them to the leader.
+    /// Commits the local proxy's changes, or forwards them to the leader.
     fn propose_waiting(&mut self) -> Result<(), StoreError> {
         while self.raft.is_leader()
             && let Some(change) = self.proposals.pop_front()
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    /// Gives the raft node an input, and carries out all that follows.
+    /// Passes an input to the raft node, and carries out all outputs.
     fn step(&mut self, input: Input<Change, State>) -> Result<(), StoreError> {
         let was_leader = self.raft.is_leader();
         for output in self.raft.step(self.clock.now(), input) {
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Answers the puts whose place in the log is committed now.
+    /// Answers the puts whose log index is committed now.
     fn resolve_puts(&mut self, index: Index, term: Term) {
         let resolved: Vec<_> = self.pending_puts.extract_if(.., |put| put.index == index).collect();
         for put in resolved {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Answers the command line, which may have gone.
+    /// Answers the command line, which may have disconnected.
     fn reply(&self, reply: &Sender<Status>, put_committed: bool) {
         let RaftStatus { term, leader, commit_index } = self.raft.status();
         let state = self.raft.state_machine().clone();
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most statements in the catalogue; the oldest make room.
+/// The most statements in the catalogue; the oldest are evicted.
 const MAX_STATEMENTS: usize = 512;
-/// The most settings; further names are not taken.
+/// The most settings; further names are rejected.
 const MAX_SETTINGS: usize = 256;
 
 /// A statement that a client prepared.
@@ -35,7 +35,7 @@
 /// The replicated state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
-    /// Settings by name; `proxy` holds the proxy's own configuration.
+    /// Settings by name; `proxy` is the proxy's own configuration.
     pub settings: BTreeMap<String, serde_json::Value>,
     /// The endpoint list.
     pub members: EndpointList,
--- a/src/store/transport.rs
+++ b/src/store/transport.rs
@@ -1,4 +1,4 @@
-//! The sockets between replicas, and those of the command line: frames out, frames in, answers.
+//! The sockets between replicas and to the command line: frames out, frames in, answers.
 
 use super::protocol::{Frame, ServiceRequest, Status};
 use crate::sockets::closed_by_peer;
@@ -10,11 +10,11 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How long a connection to a replica may take to come up.
+/// The connect timeout for a replica.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long the command line waits for a commit.
 pub const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a write to a replica may take, and how long a connection may be silent.
+/// The timeout of a write to a replica, and how long a connection may be silent.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The pause after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -23,8 +23,8 @@
 /// The longest frame between replicas.
 const MAX_FRAME_BYTES: u64 = 64 << 20;
 
-/// Sends frames to a replica, over one connection at a time, until the channel's senders are gone. Frames
-/// that can't be sent are dropped: the raft sends again.
+/// Sends frames to a replica, over one connection at a time, until the channel's senders are dropped. Frames
+/// that can't be sent are dropped: Raft sends them again.
 pub fn send_frames(address: SocketAddr, frames: &Receiver<Frame>) {
     while let Ok(first) = frames.recv() {
         if let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
@@ -38,7 +38,7 @@
     let _ = stream.set_write_timeout(Some(IDLE_TIMEOUT));
     let mut next = Some(first);
     while let Some(frame) = next {
-        // What is written to a connection that the peer has closed would be lost without an error.
+        // A write to a connection that the peer has closed would be lost without an error.
         if closed_by_peer(stream) || write_line(stream, &frame).is_err() {
             return;
         }
@@ -53,7 +53,7 @@
     stream.write_all(&line)
 }
 
-/// Starts to accept connections; what comes on them goes to the service thread.
+/// Starts to accept connections and passes what they receive to the service thread.
 pub fn listen(listener: TcpListener, requests: Sender<ServiceRequest>) -> io::Result<()> {
     let connections = ConnectionCount::default();
     spawn("store-accept", move || {
@@ -64,7 +64,7 @@
             };
             let requests = requests.clone();
             let slot = connections.enter();
-            // Where no thread can be started, the closure is dropped, and the slot and the stream with it.
+            // If no thread can be started, the closure is dropped, and the slot and the stream with it.
             let _ = spawn("store-caller", move || {
                 if slot.is_within_limit() {
                     serve_connection(&stream, &requests);
@@ -90,14 +90,14 @@
     }
 }
 
-/// A connection in the count, which it leaves when it is dropped.
+/// A counted connection; dropping it decreases the count.
 struct ConnectionSlot {
     count: ConnectionCount,
     within_limit: bool,
 }
 
 impl ConnectionSlot {
-    /// A method, so that a closure which asks it captures the slot and not only a copy of the field: the slot
+    /// A method, so that a closure that calls it captures the slot, not only a copy of the field: the slot
     /// must live as long as the connection.
     fn is_within_limit(&self) -> bool {
         self.within_limit
@@ -110,7 +110,7 @@
     }
 }
 
-/// Hands the frames of a connection to the service thread, and its answers back, until either side ends.
+/// Passes the frames of a connection to the service thread, and its answers back, until either side ends.
 fn serve_connection(stream: &TcpStream, requests: &Sender<ServiceRequest>) {
     let _ = stream.set_read_timeout(Some(IDLE_TIMEOUT));
     let mut reader = BufReader::new(stream);
@@ -128,7 +128,7 @@
     }
 }
 
-/// Reads the next frame; `None` at the end, and for what is no frame.
+/// Reads the next frame; `None` at the end of the stream or for a malformed frame.
 fn read_frame(reader: &mut impl BufRead, line: &mut Vec<u8>) -> Option<Frame> {
     line.clear();
     let length = reader.take(MAX_FRAME_BYTES).read_until(b'\n', line).ok()?;
@@ -138,7 +138,7 @@
     serde_json::from_slice(line).ok()
 }
 
-/// Gives the service thread a request and writes its answer; `false` where there is none.
+/// Passes a request to the service thread and writes its answer; `false` if there is none.
 fn answer(
     stream: &TcpStream,
     requests: &Sender<ServiceRequest>,
--- a/src/store/transport/tests.rs
+++ b/src/store/transport/tests.rs
@@ -31,7 +31,7 @@
     last.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     assert!(!is_closed(&last), "the last one within the limit");
     drop(last);
-    // The listener learns of the end on a thread of its own.
+    // The listener detects the end on another thread.
     let start = std::time::Instant::now();
     loop {
         let stream = connect(address);
