--- a/src/bin/liftrelay-sim-adapter.rs
+++ b/src/bin/liftrelay-sim-adapter.rs
@@ -1,4 +1,4 @@
-//! Speaks the simulator's wire on standard input and output for any number of routers.
+//! Serves the simulator's protocol on standard input and output for any number of routers.
 
 use liftrelay::sim_adapter::{RouterHost, WireError, read_batch, write_reply};
 use std::process::ExitCode;
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,13 +1,13 @@
 //! The one clock, and the one place where times on sockets are converted.
 //!
 //! On sockets, every position, start and deadline is a Unix time in milliseconds. In the core all times are
-//! microseconds on a clock that starts at Unix time and then only advances. Positions come rounded down and
-//! commits rounded up, so a whole millisecond keeps its meaning here.
+//! microseconds on a clock that starts at Unix time and then only advances. Positions are rounded down and
+//! commits rounded up, so a complete millisecond keeps its meaning here.
 
 use crate::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that reads Unix time once and never goes back after.
+/// A clock that reads Unix time once and never goes back afterwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
     base: Micros,
@@ -15,18 +15,18 @@
 }
 
 impl Clock {
-    /// Starts it.
+    /// Starts the clock.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { base: unix.as_micros() as Micros, from: Instant::now() }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.base + self.from.elapsed().as_micros() as Micros
     }
 
-    /// When a time on it comes, as the system counts.
+    /// The system time of a time on this clock.
     pub fn instant(&self, at: Micros) -> Instant {
         self.from + Duration::from_micros(at.saturating_sub(self.base))
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: the file that `GW_CONFIG` names, what the other variables set in its place, and the
+//! The configuration: the file that `GW_CONFIG` names, the other variables that override it, and the
 //! TOML files under `deploy/`.
 
 use crate::Settings;
@@ -10,11 +10,11 @@
 
 /// Names the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
-/// Sets where discovery is.
+/// Sets the address of discovery.
 const DISCOVERY_VARIABLE: &str = "GW_DISCOVERY";
-/// Sets where clients connect.
+/// Sets the address for clients.
 const LISTEN_VARIABLE: &str = "GW_LISTEN";
-/// Sets where the admin listener is.
+/// Sets the address of the admin listener.
 const ADMIN_VARIABLE: &str = "GW_OPS";
 /// Names the descriptor of the clients' listening socket.
 pub const LISTEN_FD_VARIABLE: &str = "GW_LISTEN_FD";
@@ -35,22 +35,22 @@
     /// A variable that must be set is not.
     #[error("{0} is not set")]
     VariableNotSet(&'static str),
-    /// A variable holds no address.
+    /// The value of a variable is not an address.
     #[error("{variable} is no address: {value}")]
     Address {
         /// The variable.
         variable: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
-        /// Why that is no address.
+        /// Why it is not an address.
         source: AddrParseError,
     },
-    /// A variable holds no descriptor.
+    /// The value of a variable is not a descriptor.
     #[error("{variable} is no descriptor: {value}")]
     Descriptor {
         /// The variable.
         variable: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
     /// A file can't be read.
@@ -61,7 +61,7 @@
         /// Why not.
         source: std::io::Error,
     },
-    /// A file is no JSON of the right form.
+    /// A file is not JSON of the right form.
     #[error("{}: {source}", path.display())]
     Json {
         /// The file.
@@ -69,7 +69,7 @@
         /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// A file is no TOML of the right form.
+    /// A file is not TOML of the right form.
     #[error("{}: {}", path.display(), source.message())]
     Toml {
         /// The file.
@@ -95,33 +95,33 @@
     /// Its name, the same after a restart.
     #[serde(default)]
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where the admin listener is, if anywhere.
+    /// The address of the admin listener, if there is one.
     #[serde(default, rename = "ops")]
     pub admin_listen: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform holds it.
+    /// The descriptor of the clients' listening socket, if the platform provides it.
     #[serde(skip)]
     pub listen_fd: Option<i32>,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// The seed of the random numbers.
     #[serde(default, deserialize_with = "hexadecimal")]
     pub seed: u64,
     #[serde(default)]
     limits: Limits,
-    /// Descriptors that the process may hold.
+    /// The most descriptors that the process may use.
     #[serde(skip)]
     pub max_descriptors: usize,
     /// Bytes of memory that the process may use.
     #[serde(skip)]
     pub memory_bytes: usize,
-    /// The endpoint list as this proxy last had it.
+    /// The endpoint list of this proxy's last run.
     #[serde(default, rename = "known")]
     pub known_endpoints: EndpointList,
     /// The settings of the policy.
     pub settings: Settings,
-    /// The settings as they were written, for the store.
+    /// The settings as written, for the store.
     #[serde(skip)]
     pub raw_settings: serde_json::Value,
 }
@@ -145,7 +145,7 @@
 }
 
 impl Config {
-    /// Reads the file that `GW_CONFIG` names; the other variables take precedence over what it says.
+    /// Reads the file that `GW_CONFIG` names; the other variables take precedence over it.
     pub fn from_env() -> Result<Config, ConfigError> {
         let mut config = Config::from_file()?;
         if let Some(address) = address_variable(DISCOVERY_VARIABLE)? {
@@ -154,7 +154,7 @@
         Ok(config)
     }
 
-    /// The same when the file has been replaced: only the file can say where discovery is now.
+    /// Reads the configuration again after the file was replaced: discovery is taken from the file alone.
     pub fn from_file() -> Result<Config, ConfigError> {
         let path = std::env::var(CONFIG_VARIABLE)
             .map(PathBuf::from)
@@ -184,8 +184,8 @@
         Ok(())
     }
 
-    /// The system's limit of descriptors counts where it is lower: the shares of clients and members must
-    /// leave the proxy what it needs itself, above all the connection to discovery.
+    /// The system's limit of descriptors applies if it is lower: the shares of clients and members must
+    /// leave enough for the proxy itself, above all for the connection to discovery.
     fn apply_limits(&mut self) {
         let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let allowed = allowed.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(MAX_DESCRIPTORS);
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it, the configuration states it and the store keeps it.
+//! The endpoint list as sent by discovery, given in the configuration and kept in the store.
 
 use crate::clock::from_unix_ms;
 use crate::stable_hash::stable_hash;
@@ -8,15 +8,15 @@
 
 /// State of an entry in a partial list that removes the endpoint.
 const STATE_DELETED: &str = "DELETED";
-/// State of an endpoint that takes requests.
+/// State of an endpoint that accepts requests.
 const STATE_SERVING: &str = "SERVING";
-/// State of an endpoint that finishes what it has and takes nothing new.
+/// State of an endpoint that is draining: it completes its requests and accepts no new ones.
 const STATE_DRAINING: &str = "DRAINING";
-/// Value of `recovery` that a primary shows.
+/// Value of `recovery` for a primary.
 const RECOVERY_OFF: &str = "off";
 /// Endpoint ids have 48 bits.
 const ENDPOINT_ID_MASK: u64 = 0xffff_ffff_ffff;
-/// Stands in where the address of an endpoint that is gone can't be read; nothing connects to it.
+/// A placeholder for the unreadable address of an endpoint that was removed; never connected to.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// A list of endpoints: complete, or only the entries that have changed.
@@ -25,7 +25,7 @@
     /// The revision; discovery raises it with every change.
     #[serde(default, rename = "rev")]
     pub revision: u64,
-    /// Whether the list is complete; otherwise it holds changes.
+    /// Whether the list is complete; otherwise it contains changes.
     #[serde(default, rename = "all")]
     pub complete: bool,
     /// The entries.
@@ -48,11 +48,11 @@
     recovery: String,
 }
 
-/// A member as the core takes it.
+/// A member in the core's form.
 pub struct ListedMember {
     /// Its entry.
     pub entry: EndpointEntry,
-    /// Where it accepts connections.
+    /// The address on which it accepts connections.
     pub address: SocketAddr,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The entries as the core takes them. Entries whose address can't be read are left out.
+    /// The entries in the core's form. Entries whose address can't be parsed are left out.
     pub fn members(&self) -> Vec<ListedMember> {
         self.endpoints.iter().filter_map(EndpointRecord::member).collect()
     }
--- a/src/extended/batch.rs
+++ b/src/extended/batch.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 /// A statement as a client prepared it. The same text with the same types is one statement at a member,
-/// whoever prepared it and under whatever name.
+/// for all clients and names.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub struct PreparedStatement {
     /// The text, as received.
@@ -24,12 +24,12 @@
         statement: Arc<PreparedStatement>,
         /// The rest of the message after the names: formats and parameter values, as received.
         arguments: Vec<u8>,
-        /// The client is owed a BindComplete; not so for a portal that it bound before a Flush.
+        /// Whether the client expects a BindComplete; not so for a portal that it bound before a Flush.
         reply_forwarded: bool,
     },
-    /// The client asks for the description of a statement.
+    /// The client requests the description of a statement.
     DescribeStatement(Arc<PreparedStatement>),
-    /// The client asks for the description of a portal, by name.
+    /// The client requests the description of a portal, by name.
     DescribePortal(Vec<u8>),
     /// The client executes a portal.
     Execute {
@@ -40,7 +40,7 @@
     },
     /// The client closes a portal, by name.
     ClosePortal(Vec<u8>),
-    /// The client closes a statement. The member is not told: it keeps its statements for other clients.
+    /// The client closes a statement. The member is not notified: it keeps its statements for other clients.
     CloseStatement,
 }
 
--- a/src/extended/execution.rs
+++ b/src/extended/execution.rs
@@ -1,5 +1,5 @@
 //! The execution of one batch on one member connection: the messages to write, the replies to expect, and
-//! which of these go to the client.
+//! which of these are sent to the client.
 
 use super::batch::{ExtendedBatch, ExtendedMessage, PreparedStatement};
 use super::statement_cache::{CacheLookup, PreparedStatementCache};
@@ -8,15 +8,15 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// What a Describe or a Close refers to, as its first byte says.
+/// The target of a Describe or a Close, as encoded in its first byte.
 const STATEMENT: &[u8] = b"S";
 const PORTAL: &[u8] = b"P";
-/// Ends a name in a message.
+/// The terminator of a name in a message.
 const NUL: &[u8] = &[0];
 
 /// The next reply of the member, or of the proxy in its place.
 enum ExpectedReply {
-    /// The proxy answers for the member, with a message that is nothing but this type byte and its length.
+    /// The proxy answers for the member, with a message that consists of this type byte and its length.
     Synthesized(u8),
     ParseComplete {
         statement: Arc<PreparedStatement>,
@@ -28,23 +28,23 @@
     ParameterDescription,
     /// RowDescription or NoData.
     RowDescription,
-    /// The rows of an Execute, up to what ends them.
+    /// The rows of an Execute, up to the message that ends them.
     ExecuteResult,
     CloseComplete {
         forwarded: bool,
     },
 }
 
-/// How a reply fits the one that was expected.
+/// How a reply matches the expected one.
 struct Fit {
-    /// The reply completes what was expected.
+    /// The reply completes the expected one.
     completes: bool,
-    /// The reply is the client's.
+    /// The reply is sent to the client.
     forwarded: bool,
 }
 
 impl ExpectedReply {
-    /// How a reply of this type fits; `None` if the protocol does not allow it here.
+    /// How a reply of this type matches; `None` if the protocol does not allow it here.
     fn fit(&self, tag: u8) -> Option<Fit> {
         use backend::*;
         let (allowed, forwarded) = match self {
@@ -63,14 +63,14 @@
     }
 }
 
-/// What follows from a reply.
+/// The effect of a reply on the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// More replies are due.
+    /// More replies are expected.
     AwaitingReplies,
     /// ReadyForQuery: the batch has ended.
     Complete,
-    /// The member does not keep to the protocol.
+    /// The member violates the protocol.
     ProtocolViolation,
 }
 
@@ -93,8 +93,8 @@
 }
 
 impl BatchExecution {
-    /// Prepares the execution of a batch on the connection that has these statements. What the batch prepares
-    /// counts as prepared there from now on.
+    /// Prepares the execution of a batch on the connection that has these statements. Statements of the batch
+    /// count as prepared there from now on.
     pub fn new(batch: &ExtendedBatch, statements: &mut PreparedStatementCache) -> BatchExecution {
         let mut execution = BatchExecution::default();
         let mut expected_before_execute = 0;
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Makes sure that the member has a statement: its name there. `requested` says that the client asked for
-    /// it to be prepared and is owed a ParseComplete.
+    /// Ensures that the member has a statement, and returns its name there. `requested`: the client itself
+    /// prepares it and expects a ParseComplete.
     pub(super) fn add_statement(
         &mut self,
         statement: &Arc<PreparedStatement>,
@@ -181,7 +181,7 @@
         pg::put_message(messages, tag, parts);
     }
 
-    /// Adds the proxy's own replies that are due next to the response.
+    /// Adds the proxy's own replies that are next in order to the response.
     fn add_synthesized_replies(&mut self) {
         while let Some(ExpectedReply::Synthesized(tag)) = self.expected.front() {
             pg::put_message(&mut self.response, *tag, &[]);
@@ -197,7 +197,7 @@
         self.error.is_some() || self.expected.len() <= self.expected_from_execute
     }
 
-    /// Takes a reply of the member: its type byte and the whole message.
+    /// Handles a reply of the member: its type byte and the complete message.
     pub fn on_reply(&mut self, statements: &mut PreparedStatementCache, tag: u8, message: &[u8]) -> Progress {
         if tag == backend::NOTICE_RESPONSE || tag == backend::PARAMETER_STATUS {
             return Progress::AwaitingReplies;
@@ -221,7 +221,7 @@
         let code = pg::error_field(pg::message_body(message), b'C').unwrap_or_default();
         self.error = Some(code.to_vec());
         self.response.extend_from_slice(message);
-        // The member skips all messages after the error: what they were to prepare is not prepared.
+        // The member skips all messages after the error: statements in them are not prepared.
         for expected in self.expected.drain(..) {
             if let ExpectedReply::ParseComplete { statement, .. } = expected {
                 statements.remove(&statement);
--- a/src/extended/mod.rs
+++ b/src/extended/mod.rs
@@ -1,8 +1,8 @@
 //! The extended query protocol as one member connection executes it: the messages of a client up to a Sync
 //! form an [`ExtendedBatch`], a [`BatchExecution`] turns it into the messages for a connection that has
-//! prepared statements of its own, and picks the client's replies out of the member's.
+//! its own prepared statements, and selects the client's replies from the member's.
 //!
-//! No I/O here: a member connection writes what a [`BatchExecution`] holds and hands it the replies.
+//! No I/O here: a member connection writes the messages of a [`BatchExecution`] and passes it the replies.
 
 mod batch;
 mod execution;
--- a/src/extended/statement_cache.rs
+++ b/src/extended/statement_cache.rs
@@ -9,7 +9,7 @@
 /// The most bytes of statement text that stay prepared on one member connection.
 const MAX_STATEMENT_BYTES: usize = 128 * 1024;
 
-/// The statements that one member connection has prepared, under names of the proxy's own that are never
+/// The statements that one member connection has prepared, under the proxy's own names, which are never
 /// reused on that connection. The least recently used statements are evicted first.
 #[derive(Default)]
 pub struct PreparedStatementCache {
@@ -25,7 +25,7 @@
     last_used: u64,
 }
 
-/// What a lookup found, and what the member must be sent so that it has the statement under its name.
+/// The result of a lookup, and the messages that prepare the statement at the member, if any are needed.
 pub(super) enum CacheLookup {
     /// The statement is prepared under this name.
     Hit {
@@ -42,7 +42,7 @@
 }
 
 impl PreparedStatementCache {
-    /// Looks up a statement. One that is missing counts as prepared from now on.
+    /// Looks up a statement. A missing one counts as prepared from now on.
     pub(super) fn look_up(&mut self, statement: &Arc<PreparedStatement>) -> CacheLookup {
         self.lookups += 1;
         let now = self.lookups;
@@ -56,7 +56,7 @@
         CacheLookup::Miss { name: name_at_member(now), evicted }
     }
 
-    /// Removes a statement that the member did not prepare after all.
+    /// Removes a statement that the member failed to prepare.
     pub(super) fn remove(&mut self, statement: &Arc<PreparedStatement>) {
         if self.entries.remove(statement).is_some() {
             self.bytes -= statement.sql.len();
@@ -69,7 +69,7 @@
         self.entries.len()
     }
 
-    /// Evicts statements until this one fits; the names of the evicted, least recently used first.
+    /// Evicts statements until this one fits; returns the names of the evicted, least recently used first.
     fn make_room_for(&mut self, statement: &PreparedStatement) -> Vec<String> {
         let mut evicted = Vec::new();
         while !self.has_room_for(statement)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! liftrelay is a proxy that routes reads and writes to replicated database groups: a pure decision
 //! module, the reducer around it, and the sockets around that. The simulator's adapter shares the module.
 //!
-//! The [`Router`] does no I/O and reads no clock: the host hands it [`Event`]s with the present time and
-//! carries out the [`Action`]s that it asks for.
+//! The [`Router`] does no I/O and reads no clock: the host passes it [`Event`]s with the current time and
+//! carries out the [`Action`]s that it requests.
 //!
 //! ```
 //! use liftrelay::*;
@@ -33,7 +33,7 @@
 //! let token = |a: &Action| if let Action::SetTimer { token, .. } = a { Some(*token) } else { None };
 //! let wake = actions.iter().find_map(token);
 //!
-//! // A write goes to the hinted member, and its answer tells that it is the primary.
+//! // A write goes to the hinted member, and its answer shows that it is the primary.
 //! let ask = |id, class| Request {
 //!     id, class, group: 1, session: 9, tenant: 0,
 //!     time_since_write: None, remaining: 800_000, is_retry: false,
--- a/src/main.rs
+++ b/src/main.rs
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// All that the proxy is configured with.
+/// The complete configuration of the proxy.
 struct Deployment {
     config: Config,
     postgres: Option<ExtendedListenerConfig>,
--- a/src/pg/build.rs
+++ b/src/pg/build.rs
@@ -6,7 +6,7 @@
 const PROTOCOL_VERSION: u32 = 196_608;
 /// The body of AuthenticationOk.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
-/// What clients are told of the server's settings.
+/// The server parameters that are reported to clients.
 const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "15.0 (liftrelay)"),
     ("server_encoding", "UTF8"),
--- a/src/pg/frame_reader.rs
+++ b/src/pg/frame_reader.rs
@@ -8,18 +8,18 @@
 
 /// The longest message that is read: a value of 64 KiB as hexadecimal digits, with room around it.
 pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// The longest message of a server that is no row: errors, notices, descriptions.
+/// The longest message of a server other than a row: errors, notices, descriptions.
 const MAX_CONTROL_MESSAGE_BYTES: usize = 16 * 1024;
-/// What is asked of the socket at once.
+/// The most bytes in one read from the socket.
 const READ_BYTES: usize = 16 * 1024;
-/// An empty buffer with more room than this is released.
+/// An empty buffer with more capacity than this is released.
 const MAX_IDLE_CAPACITY: usize = 4 * READ_BYTES;
 /// The length of a length field, which counts itself.
 const LENGTH_FIELD_BYTES: usize = 4;
 
 /// The lengths that a startup packet may have.
 const STARTUP_PACKET_LENGTHS: RangeInclusive<usize> = 8..=10_000;
-/// The code of a request to cancel what another connection runs.
+/// The code of a request to cancel a command of another connection.
 const CANCEL_REQUEST_CODE: u32 = 80_877_102;
 const CANCEL_REQUEST_BYTES: usize = 16;
 /// The code of a request for TLS.
@@ -30,14 +30,14 @@
 /// The protocol versions that are served: 3.0 and later minor versions.
 const PROTOCOL_VERSIONS: RangeInclusive<u32> = 196_608..=196_699;
 
-/// What a client may open a connection with.
+/// The first packet of a client's connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
     /// The startup message of version 3.
     Startup,
     /// A request for TLS or GSS encryption, which is answered `N`.
     EncryptionRequest,
-    /// A request to cancel what another connection runs.
+    /// A request to cancel a command of another connection.
     CancelRequest {
         /// The connection's process id.
         process: u32,
@@ -50,18 +50,18 @@
 #[derive(Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
-    /// Where the bytes begin that were not taken yet.
+    /// The start of the bytes that are not consumed yet.
     start: usize,
 }
 
 impl FrameReader {
-    /// Reads once; `false` at the end of the stream. Waits as the stream does.
+    /// Reads once; `false` at the end of the stream. Blocks if the stream does.
     pub fn fill(&mut self, mut stream: impl Read) -> std::io::Result<bool> {
         if self.start > 0 {
             self.discard_taken();
         }
         if self.buffer.is_empty() && self.buffer.capacity() > MAX_IDLE_CAPACITY {
-            // A long message must not hold its memory for as long as the connection lasts.
+            // Guards against keeping the memory of a long message for as long as the connection lasts.
             self.buffer = Vec::new();
         }
         let filled = self.buffer.len();
@@ -82,7 +82,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The bytes that have arrived and were not taken yet.
+    /// The bytes that have arrived and are not consumed yet.
     pub fn buffered(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
@@ -92,7 +92,7 @@
         self.start = 0;
     }
 
-    /// Takes the startup packet, which has no type byte, if it has arrived completely.
+    /// Consumes the startup packet, which has no type byte, if it has arrived completely.
     pub fn next_startup_packet(&mut self) -> Result<Option<StartupPacket>, ProtocolError> {
         let Some(length) = length_at(self.buffered(), 0) else { return Ok(None) };
         if !STARTUP_PACKET_LENGTHS.contains(&length) {
@@ -104,15 +104,15 @@
         Ok(Some(packet))
     }
 
-    /// Takes the next complete message of a client: its type, and all its bytes with type and length.
+    /// Consumes the next complete message of a client: its type, and all its bytes with type and length.
     pub fn next_message(&mut self) -> Result<Option<(u8, &[u8])>, ProtocolError> {
         self.next_frame(|_| Some(LENGTH_FIELD_BYTES..=MAX_MESSAGE_BYTES))
     }
 
-    /// Takes the next complete message of a server.
+    /// Consumes the next complete message of a server.
     ///
-    /// What no server can send is refused as soon as its header has arrived: a member that claims 3 GB, or
-    /// sends noise, is not waited for.
+    /// Anything that no server can send is rejected once its header has arrived: a message of 3 GB,
+    /// or noise, is not waited for.
     pub fn next_reply(&mut self) -> Result<Option<(u8, &[u8])>, ProtocolError> {
         if self.first_value_exceeds_row() {
             return Err(ProtocolError::ValueTooLong);
@@ -120,7 +120,7 @@
         self.next_frame(reply_lengths)
     }
 
-    /// Whether a row has begun whose first value claims to be longer than the row.
+    /// Whether a row has begun whose first value is longer than the row, by its length field.
     fn first_value_exceeds_row(&self) -> bool {
         const HEADER_AND_FIRST_VALUE_LENGTH: usize = 11;
         const ROW_BYTES_BEFORE_FIRST_VALUE: i32 = 10;
@@ -134,7 +134,7 @@
         i32::from_be_bytes([a, b, c, d]) > room
     }
 
-    /// Takes the next complete message; its type allows these lengths, or is unknown.
+    /// Consumes the next complete message; its type allows these lengths, or is unknown.
     fn next_frame(
         &mut self,
         allowed_lengths: impl Fn(u8) -> Option<RangeInclusive<usize>>,
--- a/src/pg/message_tags.rs
+++ b/src/pg/message_tags.rs
@@ -29,7 +29,7 @@
 pub mod backend {
     /// AuthenticationOk and other authentication messages.
     pub const AUTHENTICATION: u8 = b'R';
-    /// BackendKeyData: what a cancel request must name.
+    /// BackendKeyData: the key for cancel requests.
     pub const BACKEND_KEY_DATA: u8 = b'K';
     /// BindComplete.
     pub const BIND_COMPLETE: u8 = b'2';
@@ -83,11 +83,11 @@
     pub const SQLSTATE: u8 = b'C';
     /// The text.
     pub const MESSAGE: u8 = b'M';
-    /// The detail: here, the milliseconds until a retry is welcome.
+    /// The detail: here, the retry delay in milliseconds.
     pub const DETAIL: u8 = b'D';
 }
 
-/// What a Describe or a Close message is about.
+/// The target of a Describe or a Close message.
 pub mod describe_targets {
     /// A prepared statement.
     pub const STATEMENT: u8 = b'S';
--- a/src/pg/parse.rs
+++ b/src/pg/parse.rs
@@ -3,11 +3,11 @@
 use super::HEADER_BYTES;
 use super::message_tags::{backend, error_fields, transaction_status};
 
-/// The length of a column in a RowDescription behind its name.
+/// The length of a column in a RowDescription after its name.
 const COLUMN_DESCRIPTION_BYTES: usize = 18;
 /// The length of a parameter's type in a ParameterDescription.
 const TYPE_BYTES: usize = 4;
-/// The length that stands for a NULL in a DataRow.
+/// The length that encodes a NULL in a DataRow.
 const NULL_LENGTH: i32 = -1;
 const SQLSTATE_BYTES: usize = 5;
 
@@ -16,7 +16,7 @@
     message.get(HEADER_BYTES..).unwrap_or_default()
 }
 
-/// Splits off a zero-terminated string; returns it and the bytes behind the terminator.
+/// Splits off a zero-terminated string; returns it and the bytes after the terminator.
 pub fn split_c_string(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = bytes.iter().position(|byte| *byte == 0)?;
     Some((&bytes[..end], &bytes[end + 1..]))
@@ -57,7 +57,7 @@
     (head[..2] == [0, 1] && value.len() == length).then_some(value)
 }
 
-/// Whether the body of a server's message is what its type wants, to the last byte.
+/// Whether the body of a server's message has exactly the form that its type requires.
 pub fn is_well_formed(tag: u8, body: &[u8]) -> bool {
     match tag {
         backend::READY_FOR_QUERY => is_transaction_status(body),
@@ -96,14 +96,14 @@
     body.split_at_checked(2).is_some_and(|(count, types)| types.len() == TYPE_BYTES * u16_value(count))
 }
 
-/// Steps over a column of a RowDescription.
+/// Skips a column of a RowDescription.
 fn skip_column_description(bytes: &[u8]) -> Option<&[u8]> {
     let (name, rest) = split_c_string(bytes)?;
     is_printable(name).then_some(())?;
     rest.get(COLUMN_DESCRIPTION_BYTES..)
 }
 
-/// Steps over a value of a DataRow.
+/// Skips a value of a DataRow.
 fn skip_value(bytes: &[u8]) -> Option<&[u8]> {
     let (length, rest) = bytes.split_at_checked(4)?;
     match i32::from_be_bytes([length[0], length[1], length[2], length[3]]) {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Whether a body is a count and so many columns, each of which `skip` steps over.
+/// Whether a body is a count and as many columns, each of which `skip` skips.
 fn holds_columns(body: &[u8], skip: impl Fn(&[u8]) -> Option<&[u8]>) -> bool {
     let Some((count, mut columns)) = body.split_at_checked(2) else { return false };
     for _ in 0..u16_value(count) {
--- a/src/pg/sqlstate.rs
+++ b/src/pg/sqlstate.rs
@@ -1,6 +1,6 @@
-//! The SQLSTATE codes that the proxy sends or looks for, under the names of PostgreSQL's documentation.
+//! The SQLSTATE codes that the proxy sends or checks, with the names of PostgreSQL's documentation.
 
-/// The message or the statement is not what the protocol allows.
+/// The message or the statement violates the protocol.
 pub const PROTOCOL_VIOLATION: &str = "08P01";
 /// The proxy is out of service.
 pub const CANNOT_CONNECT_NOW: &str = "57P03";
@@ -18,5 +18,5 @@
 pub const INVALID_SQL_STATEMENT_NAME: &str = "26000";
 /// No portal has that name.
 pub const INVALID_CURSOR_NAME: &str = "34000";
-/// More than the listener allows.
+/// The limits of the listener are exceeded.
 pub const PROGRAM_LIMIT_EXCEEDED: &str = "54000";
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,5 +1,5 @@
-//! Reads from a statement what routing needs: the fields of its comment and its key, as slices of the text.
-//! Everything else is forwarded as the bytes that came.
+//! Reads the routing fields of a statement, from its comment and its key, as slices of the text.
+//! Everything else is forwarded unchanged.
 
 mod validate;
 
@@ -17,7 +17,7 @@
     pub const RETRY: &[u8] = b"r";
 }
 
-/// The longest keyword that is looked at.
+/// The longest keyword that is recognized.
 const MAX_KEYWORD_BYTES: usize = 32;
 /// The longest key that may be a hexadecimal number of 64 bits.
 const MAX_HEXADECIMAL_DIGITS: usize = 16;
@@ -30,11 +30,11 @@
 pub struct Timeout {
     /// The milliseconds.
     pub millis: u64,
-    /// Where their digits stand in the statement.
+    /// The position of their digits in the statement.
     pub digits: Range<usize>,
 }
 
-/// The fields of a statement, as they stand in its text.
+/// The fields of a statement, as written in its text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementFields<'a> {
     /// `c`: the name of the request class.
@@ -45,7 +45,7 @@
     pub group: Option<u32>,
     /// `after`: the position that a read must see, as Unix time in milliseconds.
     pub min_position_ms: Option<u64>,
-    /// `r=1`: the client retries.
+    /// `r=1`: this is a retry by the client.
     pub is_retry: bool,
     /// `id`: the request's id.
     pub id: Option<&'a [u8]>,
@@ -61,7 +61,7 @@
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
-/// Reads the statement once, left to right: literals first, so that nothing within them passes for a comment.
+/// Reads the statement once, left to right: literals first, so that nothing within them counts as a comment.
 pub fn parse_fields(text: &[u8]) -> StatementFields<'_> {
     let mut fields = StatementFields::default();
     let mut at = 0;
@@ -121,7 +121,7 @@
     }
 }
 
-/// Where the comment ends that starts at `at`; `None` if none starts there.
+/// The end of the comment that starts at `at`; `None` if none starts there.
 fn comment_end(text: &[u8], at: usize) -> Option<usize> {
     let rest = &text[at..];
     if rest.starts_with(LINE_COMMENT) {
@@ -136,7 +136,7 @@
     Some(length.map_or(text.len(), |length| at + COMMENT_START.len() + length + COMMENT_END.len()))
 }
 
-/// The first word in lower case, behind comments, blanks and opening parentheses.
+/// The first word in lower case, after comments, blanks and opening parentheses.
 pub fn first_keyword(text: &[u8]) -> String {
     let mut at = 0;
     while at < text.len() {
@@ -150,7 +150,7 @@
     word.map(|byte| char::from(byte.to_ascii_lowercase())).collect()
 }
 
-/// Whether something other than blanks and comments stands behind a semicolon.
+/// Whether something other than blanks and comments follows a semicolon.
 pub fn has_several_statements(text: &[u8]) -> bool {
     let mut at = 0;
     let mut ended = false;
@@ -174,7 +174,7 @@
     false
 }
 
-/// The session that a key names: its hexadecimal value, or a hash of it; never 0, which means none.
+/// The session that a key identifies: its hexadecimal value, or a hash of it; never 0, which means none.
 pub fn session_id(key: &[u8]) -> u64 {
     let text = std::str::from_utf8(key).ok().filter(|text| text.len() <= MAX_HEXADECIMAL_DIGITS);
     let number = text.and_then(|text| u64::from_str_radix(text, 16).ok());
--- a/src/pg/statement/validate.rs
+++ b/src/pg/statement/validate.rs
@@ -1,4 +1,4 @@
-//! Checks that members can read a statement.
+//! Checks that members can parse a statement.
 
 use super::{COMMENT_END, COMMENT_START, LINE_COMMENT, field_names, parse_number};
 use std::fmt;
@@ -7,7 +7,7 @@
 /// Why a statement is rejected. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
-    /// It holds control characters other than blanks.
+    /// It contains control characters other than blanks.
     ControlCharacters,
     /// A literal has no closing quote.
     UnterminatedLiteral,
@@ -17,17 +17,17 @@
     SeveralComments,
     /// It has a semicolon.
     Semicolon,
-    /// Something other than blanks stands behind the comment.
+    /// Something other than blanks follows the comment.
     TextAfterComment,
-    /// It has a comment that goes to the end of the line.
+    /// It has a comment that extends to the end of the line.
     LineComment,
     /// It has no comment.
     NoComment,
-    /// The comment holds something that is no pair of a name and a value.
+    /// The comment contains something other than a pair of a name and a value.
     NameWithoutValue,
-    /// The comment holds a name twice.
+    /// The comment contains a name twice.
     DuplicateName,
-    /// A value in the comment must be a number and is none.
+    /// A value in the comment must be a number and is not.
     NotANumber,
 }
 
@@ -58,8 +58,8 @@
 
 impl std::error::Error for StatementError {}
 
-/// Checks that a text is one statement whose one comment, at its end, can be read: what members can't read is
-/// not forwarded, as they would close the connection on it, whatever else waits there.
+/// Checks that a text is one statement whose one comment, at its end, can be parsed: other statements are
+/// not forwarded, as members would close the connection on them, with any other requests on it.
 pub fn validate(text: &[u8]) -> Result<(), StatementError> {
     if text.iter().any(|byte| byte.is_ascii_control() && !byte.is_ascii_whitespace()) {
         return Err(StatementError::ControlCharacters);
@@ -68,7 +68,7 @@
     validate_comment(&text[comment])
 }
 
-/// Where the inside of the statement's one comment is.
+/// The range of the inside of the statement's one comment.
 fn find_comment(text: &[u8]) -> Result<Range<usize>, StatementError> {
     let mut comment = None;
     let mut at = 0;
@@ -85,7 +85,7 @@
                 if comment.replace(start..end).is_some() {
                     return Err(StatementError::SeveralComments);
                 }
-                // The last byte of the comment's end is stepped over below.
+                // The last byte of the comment's end is skipped below.
                 at = end + COMMENT_END.len() - 1;
             }
             b';' => return Err(StatementError::Semicolon),
--- a/src/router.rs
+++ b/src/router.rs
@@ -7,7 +7,7 @@
 use crate::state::{PendingRequest, SessionCommits, Topology};
 use std::collections::BTreeMap;
 
-/// Decides where each request goes. One for each process; routers share nothing.
+/// Decides where each request is sent. There is one per process; routers share nothing.
 ///
 /// The decisions are methods of this type in the policy module.
 #[derive(Default)]
@@ -16,11 +16,11 @@
     pub(crate) random: RandomSource,
     pub(crate) created_at: Micros,
     pub(crate) now: Micros,
-    /// What the event at hand has led to so far.
+    /// The actions that the current event has caused so far.
     pub(crate) actions: Vec<Action>,
 
     pub(crate) next_tick_at: Micros,
-    /// When this process last came back from a suspension.
+    /// When this process last resumed after a suspension.
     pub(crate) resumed_at: Micros,
 
     pub(crate) topology: Topology,
@@ -40,7 +40,7 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings.
+    /// A router that knows only its settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Router {
             traffic: Traffic::new(&settings, now),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.check_ticks();
--- a/src/sim_adapter/actions.rs
+++ b/src/sim_adapter/actions.rs
@@ -3,7 +3,7 @@
 use super::codes::ActionCode;
 use crate::{Action, EndpointId, Micros};
 
-/// The code and the size, which stand before the fields of a record.
+/// The code and the size, which precede the fields of a record.
 const PREFIX_BYTES: usize = 5;
 /// The argument of `listen` that subscribes.
 const SUBSCRIBE: u8 = 1;
@@ -63,7 +63,7 @@
     }
 }
 
-/// The six low bytes, which hold every identity that the simulator gives.
+/// The six low bytes, which contain every identity that the simulator assigns.
 fn endpoint_bytes(endpoint: EndpointId) -> [u8; 6] {
     let [_, _, low @ ..] = endpoint.0.to_be_bytes();
     low
--- a/src/sim_adapter/codes.rs
+++ b/src/sim_adapter/codes.rs
@@ -1,4 +1,4 @@
-//! The codes of records, as the wire names them.
+//! The codes of records in the simulator's protocol.
 
 /// A kind of record from the simulator.
 #[derive(Clone, Copy, PartialEq, Eq)]
--- a/src/sim_adapter/error.rs
+++ b/src/sim_adapter/error.rs
@@ -1,8 +1,8 @@
-//! Why a conversation with the simulator had to be given up.
+//! The errors that end the exchange with the simulator.
 
 use std::io;
 
-/// An error that ends the conversation.
+/// An error that ends the exchange.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// Standard input or output failed.
@@ -11,7 +11,7 @@
     /// The input ended within the header of a batch.
     #[error("truncated: {received} of {expected} header bytes")]
     TruncatedHeader {
-        /// The bytes that came.
+        /// The bytes that arrived.
         received: usize,
         /// The bytes of a header.
         expected: usize,
@@ -19,9 +19,9 @@
     /// The input ended within the body of a batch.
     #[error("truncated: {received} of {expected} body bytes")]
     TruncatedBody {
-        /// The bytes that came.
+        /// The bytes that arrived.
         received: usize,
-        /// The bytes that the header states.
+        /// The bytes given by the header.
         expected: u64,
     },
     /// A record, or the body of a batch, is too short for its fields.
@@ -32,7 +32,7 @@
         /// The bytes that are left.
         left: usize,
     },
-    /// A batch goes on after its last record.
+    /// A batch continues after its last record.
     #[error("{0} bytes after the last record")]
     TrailingBytes(usize),
     /// The settings of an instance cannot be used.
@@ -50,7 +50,7 @@
     /// A record is malformed.
     #[error("record {index} (code {code}): {source}")]
     Record {
-        /// Its place in the batch, counted from 0.
+        /// Its index in the batch.
         index: u32,
         /// Its code.
         code: u8,
--- a/src/sim_adapter/events.rs
+++ b/src/sim_adapter/events.rs
@@ -9,16 +9,16 @@
 };
 use std::collections::BTreeMap;
 
-/// The value of `how` in an update that says that a call for the list failed.
+/// The value of `how` in an update for a failed call for the list.
 const LIST_CALL_FAILED: u8 = 3;
-/// The bit of a request's options that marks a client's repeat.
+/// The bit of a request's options that marks a client's retry.
 const RETRY_OPTION: u16 = 2;
 const STATUS_OK: u16 = 200;
 
 /// Tables of list entries, by number.
 pub(super) type Tables = BTreeMap<u8, Vec<EndpointEntry>>;
 
-/// How the values of reports and notes are to be read, as the settings of an instance say.
+/// How to interpret the values of reports and notes, by the settings of an instance.
 pub(super) struct ValueDecoder {
     position_epoch: Micros,
     load_report_fields: Vec<String>,
@@ -44,7 +44,7 @@
         report
     }
 
-    /// A note holds the position in milliseconds times 4, plus 1 from a primary and 2 from a replica.
+    /// A note encodes the position in milliseconds times 4, plus 1 from a primary and 2 from a replica.
     fn response_metadata(&self, note: u32) -> ResponseMetadata {
         let role = match note % 4 {
             1 => Some(Role::Primary),
@@ -75,7 +75,7 @@
     Ok(EndpointEntry { endpoint, group, zone, state, primary_hint, started_at })
 }
 
-/// Reads the event of a record; none for records that a router has no use for.
+/// Reads the event of a record; none for records that a router does not need.
 pub(super) fn decode_event(
     code: EventCode,
     fields: &mut FieldReader<'_>,
--- a/src/sim_adapter/fields.rs
+++ b/src/sim_adapter/fields.rs
@@ -1,11 +1,11 @@
-//! Reads big-endian fields off a record.
+//! Reads big-endian fields from a record.
 
 use super::WireError;
 use crate::EndpointId;
 
 const ENDPOINT_ID_BYTES: usize = 6;
 
-/// What is left of a record.
+/// The rest of a record.
 pub(super) struct FieldReader<'a> {
     rest: &'a [u8],
 }
--- a/src/sim_adapter/frame.rs
+++ b/src/sim_adapter/frame.rs
@@ -1,4 +1,4 @@
-//! Batches and replies as they lie on a stream.
+//! Batches and replies as encoded on a stream.
 
 use super::WireError;
 use crate::Micros;
@@ -16,7 +16,7 @@
     pub body: Vec<u8>,
 }
 
-/// Reads one batch; none where the input ends before it.
+/// Reads one batch; none if the input ends before it.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
     let Some(header) = read_header(input)? else { return Ok(None) };
     let word = |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
--- a/src/sim_adapter/host.rs
+++ b/src/sim_adapter/host.rs
@@ -18,7 +18,7 @@
 pub struct RouterHost {
     instances: BTreeMap<u32, Instance>,
     tables: Tables,
-    /// What was skipped or dropped since the caller last took it.
+    /// The records skipped or dropped since the caller last collected them.
     pub warnings: Vec<String>,
 }
 
--- a/src/sim_adapter/mod.rs
+++ b/src/sim_adapter/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: batches of events in, batches of actions out. Pure translation, no decision.
+//! The simulator's protocol: batches of events in, batches of actions out. Translates only, decides nothing.
 
 mod actions;
 mod codes;
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -1,10 +1,10 @@
-//! What several modules ask of a TCP stream.
+//! Checks of a TCP stream that several modules share.
 
 use std::io::ErrorKind;
 use std::net::TcpStream;
 
-/// Whether an idle connection can't be used any more: the peer has closed it, or has sent bytes that nobody
-/// asked for.
+/// Whether an idle connection can't be used any more: the peer has closed it, or has sent unexpected
+/// bytes.
 pub fn closed_by_peer(stream: &TcpStream) -> bool {
     let mut byte = [0];
     if stream.set_nonblocking(true).is_err() {
--- a/src/syslog/error.rs
+++ b/src/syslog/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong when logging starts.
+//! The errors at the start of logging.
 
 use tracing::subscriber::SetGlobalDefaultError;
 
@@ -8,7 +8,7 @@
     /// The facility does not exist.
     #[error("syslog facility {0} is over 23")]
     Facility(u8),
-    /// The system has no thread left.
+    /// No thread could be started.
     #[error(transparent)]
     Thread(std::io::Error),
     /// No socket for the collector can be bound.
--- a/src/syslog/format.rs
+++ b/src/syslog/format.rs
@@ -1,11 +1,11 @@
-//! Formats messages as RFC 5424 has them.
+//! Formats messages according to RFC 5424.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use tracing::Level;
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::{FormatTime, SystemTime};
 
-/// The longest message, in bytes: what every receiver should take.
+/// The longest message, in bytes: the length that every receiver should accept.
 pub const MAX_MESSAGE_BYTES: usize = 2048;
 /// The longest structured data, in bytes, which leaves room for the text.
 pub const MAX_DATA_BYTES: usize = 1024;
@@ -17,13 +17,13 @@
 const MAX_NAME_CHARS: usize = 32;
 /// The highest sequence id; 1 follows it.
 const MAX_SEQUENCE_ID: u64 = 2_147_483_647;
-/// The identifier of this program's own structured data; 32473 is the number set aside for examples, as the
+/// The identifier of this program's own structured data; 32473 is the number reserved for examples, as the
 /// project has none of its own.
 const DATA_ID: &str = "liftrelay@32473";
 const APPLICATION: &str = "liftrelay";
-/// Stands where a part of the header has no value.
+/// The placeholder for a part of the header without a value.
 const NIL: &str = "-";
-/// Severities in the priority take this many values.
+/// The number of severities in the priority.
 const SEVERITIES: u8 = 8;
 const BYTE_ORDER_MARK: char = '\u{feff}';
 
@@ -77,7 +77,7 @@
         Formatter { host, facility, sequence: AtomicU64::new(0) }
     }
 
-    /// A whole message. Text and structured data are cut to fit.
+    /// A complete message. Text and structured data are truncated to fit.
     pub fn format(&self, level: Level, message_id: &str, parameters: &[Parameter], text: &str) -> String {
         let priority = self.facility * SEVERITIES + Severity::from(level) as u8;
         let timestamp = timestamp();
@@ -98,7 +98,7 @@
         message
     }
 
-    /// The message that tells how many messages were dropped before it.
+    /// The notice with the number of messages that were dropped before it.
     pub fn dropped_notice(&self, dropped: u64) -> String {
         let parameters = [Parameter::new("dropped", dropped.to_string())];
         self.format(Level::WARN, "syslog", &parameters, "messages were dropped")
@@ -126,15 +126,15 @@
     }
 }
 
-/// A name as headers and parameters have them: printable ASCII without `=`, `]`, quotes and blanks.
+/// A name in the form of headers and parameters: printable ASCII without `=`, `]`, quotes and blanks.
 pub fn sanitize_name(text: &str, max_chars: usize) -> String {
     let allowed = |c: &char| c.is_ascii_graphic() && !matches!(c, '=' | ']' | '"');
     let name: String = text.chars().filter(allowed).take(max_chars).collect();
     if name.is_empty() { NIL.into() } else { name }
 }
 
-/// The parameters as one element, or nothing. A value that does not fit is cut, a parameter that does not is
-/// left out.
+/// The parameters as one element, or nothing. A value that does not fit is truncated, a parameter that does
+/// not fit is left out.
 pub fn structured_data(parameters: &[Parameter]) -> String {
     // The brackets count, too.
     let max_bytes = MAX_DATA_BYTES - DATA_ID.len() - 2;
--- a/src/syslog/layer.rs
+++ b/src/syslog/layer.rs
@@ -1,4 +1,4 @@
-//! The tracing layer: takes events, and sends them formatted to all sinks.
+//! The tracing layer: formats events, and sends them to all sinks.
 
 use super::format::{Formatter, Parameter};
 use super::sink::Sink;
@@ -8,7 +8,7 @@
 use tracing::{Event, Subscriber};
 use tracing_subscriber::layer::{Context, Layer};
 
-/// The field that holds an event's text.
+/// The field with an event's text.
 const MESSAGE_FIELD: &str = "message";
 
 /// The layer that writes events as syslog messages.
--- a/src/syslog/mod.rs
+++ b/src/syslog/mod.rs
@@ -1,7 +1,7 @@
 //! Logging as RFC 5424 syslog with structured data: a tracing layer that writes to standard error and,
-//! where a file says so, to a collector over TCP (octet counting, RFC 6587) or UDP (RFC 5426).
+//! if configured in a file, to a collector over TCP (octet counting, RFC 6587) or UDP (RFC 5426).
 //!
-//! Whoever logs never waits: each sink has a thread and a bounded queue of its own, and counts what it drops.
+//! Logging never blocks: each sink has its own thread and bounded queue, and counts the messages it drops.
 
 mod error;
 mod format;
@@ -19,13 +19,13 @@
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::layer::{Layer, SubscriberExt};
 
-/// The facility where no collector sets another: system daemons.
+/// The facility unless a collector sets another: system daemons.
 const DEFAULT_FACILITY: u8 = 3;
 /// The highest facility.
 const MAX_FACILITY: u8 = 23;
-/// How long the program waits at its end for messages that are not written yet.
+/// How long the process waits before it exits for messages that are not written yet.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
-/// The delay between two looks whether all is written.
+/// The interval between two checks whether everything is written.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The file under `deploy/` that names a collector.
@@ -66,13 +66,13 @@
     Udp,
 }
 
-/// Kept until the program ends.
+/// Kept until the process exits.
 pub struct FlushGuard {
     unwritten: Vec<Unwritten>,
 }
 
 impl FlushGuard {
-    /// Waits until all messages are written, but not for long.
+    /// Waits for a short time until all messages are written.
     pub fn finish(self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         while self.unwritten.iter().any(Unwritten::any) && Instant::now() < deadline {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Starts logging for the whole process.
+/// Starts logging for the complete process.
 pub fn start(collector: Option<Collector>) -> Result<FlushGuard, SyslogError> {
     let mut sinks = vec![Sink::start("log-stderr", transport::write_to_stderr)?];
     if let Some(collector) = collector {
--- a/src/syslog/sink.rs
+++ b/src/syslog/sink.rs
@@ -1,4 +1,4 @@
-//! A destination of messages: a bounded queue, and the thread that writes what is in it.
+//! A destination of messages: a bounded queue, and the thread that writes the queued messages.
 
 use super::SyslogError;
 use crate::threads::spawn;
@@ -28,7 +28,7 @@
     }
 }
 
-/// A destination of messages. Sending never waits: what finds the queue full is dropped and counted.
+/// A destination of messages. Sending never blocks: if the queue is full, the message is dropped and counted.
 pub struct Sink {
     queue: Sender<Arc<str>>,
     dropped: Arc<AtomicU64>,
@@ -62,7 +62,7 @@
         self.dropped.clone()
     }
 
-    /// Queues a message. Where messages were dropped before it, a notice that says how many goes first.
+    /// Queues a message. If messages were dropped before it, a notice with their number is queued first.
     pub fn send(&self, message: Arc<str>, dropped_notice: impl FnOnce(u64) -> String) {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 && !self.try_enqueue(dropped_notice(dropped).into()) {
--- a/src/syslog/transport.rs
+++ b/src/syslog/transport.rs
@@ -6,11 +6,11 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, TcpStream, UdpSocket};
 use std::time::Duration;
 
-/// How long a connection to a collector may take, and a write on it.
+/// The timeout of a connection to a collector, and of a write to it.
 const TCP_TIMEOUT: Duration = Duration::from_secs(1);
 /// The delay after a message that could not be written to a collector.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How often the writing of a message is attempted.
+/// The number of attempts to write a message.
 const ATTEMPTS: usize = 2;
 
 /// Writes a message to standard error, as one line.
@@ -30,7 +30,7 @@
         TcpTransport { address, stream: None }
     }
 
-    /// Writes a message. One that meets a broken connection is written once more on a new one.
+    /// Writes a message. After a broken connection, it is retried once on a new one.
     pub fn send(&mut self, message: &str) {
         let frame = format!("{} {message}", message.len());
         for _ in 0..ATTEMPTS {
