--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -61,6 +61,17 @@
     pub at: Micros,
     /// The messages.
     pub messages: Vec<Vec<u8>>,
-    /// The type of the message that ended it: Sync, Flush or Query.
-    pub end: u8,
+    /// The message that ended it.
+    pub end: BatchEnd,
+}
+
+/// The message that ends a batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BatchEnd {
+    /// A Sync: the batch is complete.
+    Sync,
+    /// A Flush: more messages follow before the Sync.
+    Flush,
+    /// A simple query, which is a batch by itself.
+    Query,
 }
--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -21,11 +21,11 @@
 
 use super::final_answer::append_final_answer;
 use super::{CommandStep, Protocol, ServiceState};
-use crate::client::ClientBatch;
+use crate::client::{BatchEnd, ClientBatch};
 use crate::core::FinalAnswer;
 use crate::exchange::{MemberRequest, MemberResponse};
 use crate::extended::ExtendedBatch;
-use crate::pg::message_tags::{backend, frontend};
+use crate::pg::message_tags::backend;
 use crate::pg::{self, statement};
 use crate::store::Change;
 use crate::{Micros, Settings};
@@ -47,7 +47,7 @@
     parsed: Vec<ParsedStatement>,
     session_key: u64,
     /// The type of the message that ended the batch.
-    end: u8,
+    end: BatchEnd,
 }
 
 /// The extended front's protocol.
@@ -74,7 +74,7 @@
         service: ServiceState,
     ) -> Result<CommandStep<Self>, BatchError> {
         match batch.messages.first() {
-            Some(message) if batch.end == frontend::QUERY => {
+            Some(message) if batch.end == BatchEnd::Query => {
                 // The front layer's readiness query: whether it may send clients.
                 if service == ServiceState::OutOfService && message.len() == EMPTY_QUERY_BYTES {
                     return Err(BatchError::OutOfService);
@@ -111,7 +111,7 @@
         };
         let request = self.analyzer.combine(&statements, member_request)?;
         session.end_unit();
-        let context = UnitContext { parsed: Vec::new(), session_key, end: frontend::QUERY };
+        let context = UnitContext { parsed: Vec::new(), session_key, end: BatchEnd::Query };
         Ok(CommandStep::Forward(request, context))
     }
 
@@ -144,7 +144,7 @@
         if let MemberRequest::Extended(extended) = &mut request.member_request {
             extended.confirm_before_execute = !self.analyzer.is_idempotent(request.class);
         }
-        if batch.end != frontend::FLUSH {
+        if batch.end != BatchEnd::Flush {
             session.end_unit();
         }
         let context = UnitContext { parsed: plan.parsed, session_key: plan.session_key, end: batch.end };
@@ -185,7 +185,7 @@
         let prepares_a_dependency = |context: &UnitContext| {
             context.parsed.iter().any(|parsed| names.contains(&parsed.name.as_slice()))
         };
-        unfinished.iter().any(|context| context.end == frontend::FLUSH || prepares_a_dependency(context))
+        unfinished.iter().any(|context| context.end == BatchEnd::Flush || prepares_a_dependency(context))
     }
 
     fn start(
@@ -196,14 +196,14 @@
     ) -> CommandStep<Self> {
         let mut reply = Vec::new();
         if session.skipping {
-            if batch.end == frontend::SYNC {
+            if batch.end == BatchEnd::Sync {
                 session.end_batch(batch.end, &mut reply);
             }
             return CommandStep::Reply(reply);
         }
         self.start_batch(session, &batch, service).unwrap_or_else(|error| {
             pg::put_error_response(&mut reply, "ERROR", error.sqlstate(), &error.to_string(), None);
-            session.skipping = batch.end == frontend::FLUSH;
+            session.skipping = batch.end == BatchEnd::Flush;
             session.end_batch(batch.end, &mut reply);
             CommandStep::Reply(reply)
         })
@@ -223,14 +223,14 @@
         append_final_answer(&mut reply, &answer);
         let ReplySummary { parse_completes, has_error } = ReplySummary::of(&reply);
         session.undo_parses(context.parsed, if has_error { parse_completes } else { usize::MAX });
-        session.skipping |= has_error && context.end == frontend::FLUSH;
+        session.skipping |= has_error && context.end == BatchEnd::Flush;
         if let FinalAnswer::Served(MemberResponse { commit_position: Some(position), .. }) = answer
             && !has_error
             && context.session_key != 0
         {
             self.commits.record(context.session_key, position);
         }
-        if context.end == frontend::FLUSH {
+        if context.end == BatchEnd::Flush {
             session.end_batch(context.end, &mut reply);
         } else {
             // A later unit may be running already: what this unit's Sync ends was ended when that one began.
--- a/src/front/postgres/session.rs
+++ b/src/front/postgres/session.rs
@@ -1,9 +1,9 @@
 //! The state of a connection across batches: its prepared statements and portals.
 
 use super::analysis::StatementDescription;
+use crate::client::BatchEnd;
 use crate::extended::PreparedStatement;
 use crate::pg;
-use crate::pg::message_tags::frontend;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -64,8 +64,8 @@
     }
 
     /// Ends a batch: with ReadyForQuery after a Sync or a query, without after a Flush.
-    pub fn end_batch(&mut self, end: u8, reply: &mut Vec<u8>) {
-        if end == frontend::FLUSH {
+    pub fn end_batch(&mut self, end: BatchEnd, reply: &mut Vec<u8>) {
+        if end == BatchEnd::Flush {
             self.portals.values_mut().for_each(|portal| portal.flushed = true);
         } else {
             self.end_unit();
--- a/src/front/postgres/tests.rs
+++ b/src/front/postgres/tests.rs
@@ -1,6 +1,6 @@
 use super::bind::parse_parameters;
 use super::*;
-use crate::pg::message_tags::describe_targets;
+use crate::pg::message_tags::{describe_targets, frontend};
 
 fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
@@ -9,7 +9,7 @@
 }
 
 fn batch(messages: Vec<Vec<u8>>) -> ClientBatch {
-    ClientBatch { at: 0, messages, end: frontend::SYNC }
+    ClientBatch { at: 0, messages, end: BatchEnd::Sync }
 }
 
 #[test]
--- a/src/net/client/commands.rs
+++ b/src/net/client/commands.rs
@@ -4,7 +4,7 @@
 use super::ReactorEvent;
 use super::connection::{ClientConnection, ConnectionEvent, ParseProgress, ParseState, PartialBatch};
 use crate::Settings;
-use crate::client::{ClientBatch, ClientEvent, ParsedQuery, SimpleQuery};
+use crate::client::{BatchEnd, ClientBatch, ClientEvent, ParsedQuery, SimpleQuery};
 use crate::pg::message_tags::frontend;
 use crate::pg::{self, ProtocolError, StartupPacket};
 use std::ops::ControlFlow;
@@ -78,7 +78,12 @@
         };
         match self.frames.next_message()? {
             None => Ok(ControlFlow::Break(ParseProgress::NeedsBytes)),
-            Some((end @ (frontend::SYNC | frontend::FLUSH | frontend::QUERY), message)) => {
+            Some((tag @ (frontend::SYNC | frontend::FLUSH | frontend::QUERY), message)) => {
+                let end = match tag {
+                    frontend::SYNC => BatchEnd::Sync,
+                    frontend::FLUSH => BatchEnd::Flush,
+                    _ => BatchEnd::Query,
+                };
                 batch.end_with(end, message)?;
                 self.report_batch(end, events);
                 Ok(ControlFlow::Continue(()))
@@ -104,7 +109,7 @@
     }
 
     /// Counts the completed batch, and reports it.
-    fn report_batch(&mut self, end: u8, events: &EventSink) {
+    fn report_batch(&mut self, end: BatchEnd, events: &EventSink) {
         let ParseState::Extended(batch) = &mut self.parse_state else { return };
         let PartialBatch { messages, bytes } = std::mem::take(batch);
         let batch = ClientBatch { at: self.last_read_at, messages, end };
@@ -125,8 +130,8 @@
     }
 
     /// Handles the message that ends the batch: a Sync, a Flush, or a simple query by itself.
-    pub(super) fn end_with(&mut self, end: u8, message: &[u8]) -> Result<(), ProtocolError> {
-        if end != frontend::QUERY {
+    pub(super) fn end_with(&mut self, end: BatchEnd, message: &[u8]) -> Result<(), ProtocolError> {
+        if end != BatchEnd::Query {
             return if message.len() == HEADER_BYTES { Ok(()) } else { Err(ProtocolError::UnexpectedBody) };
         }
         if !self.messages.is_empty() {
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -1,8 +1,8 @@
 use super::connection::PartialBatch;
 use super::deadlines::Deadlines;
 use super::write_buffer::{Added, WriteBuffer};
+use crate::client::BatchEnd;
 use crate::pg::ProtocolError;
-use crate::pg::message_tags::frontend;
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -104,14 +104,14 @@
 fn a_batch_ends_with_a_bare_sync_or_flush_or_is_a_query_by_itself() {
     let mut batch = PartialBatch::default();
     assert!(batch.push(b"P\0\0\0\x04").is_ok());
-    assert!(batch.end_with(frontend::SYNC, b"S\0\0\0\x04").is_ok());
-    assert!(batch.end_with(frontend::FLUSH, b"H\0\0\0\x04").is_ok());
-    let with_body = batch.end_with(frontend::SYNC, b"S\0\0\0\x05x");
+    assert!(batch.end_with(BatchEnd::Sync, b"S\0\0\0\x04").is_ok());
+    assert!(batch.end_with(BatchEnd::Flush, b"H\0\0\0\x04").is_ok());
+    let with_body = batch.end_with(BatchEnd::Sync, b"S\0\0\0\x05x");
     assert!(matches!(with_body, Err(ProtocolError::UnexpectedBody)));
     let query = b"Q\0\0\0\x05\0";
-    assert!(matches!(batch.end_with(frontend::QUERY, query), Err(ProtocolError::QueryWithinBatch)));
+    assert!(matches!(batch.end_with(BatchEnd::Query, query), Err(ProtocolError::QueryWithinBatch)));
     let mut alone = PartialBatch::default();
-    assert!(alone.end_with(frontend::QUERY, query).is_ok());
+    assert!(alone.end_with(BatchEnd::Query, query).is_ok());
     assert_eq!(alone.messages, [query.to_vec()]);
     assert_eq!(alone.bytes, query.len());
 }
