--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -11,16 +11,19 @@
 const KILL_MARGIN: Micros = 700_000;
 /// Connections are closed between requests from this long before SIGKILL on.
 const CLOSE_IDLE_BEFORE_KILL: Micros = 900_000;
-/// Requests that are still pending fail this long before SIGKILL.
+/// Requests that are still pending fail this long before SIGKILL, and reading from clients stops: what would be read
+/// later could only be rejected, and is left to the client to send elsewhere.
 const FAIL_PENDING_BEFORE_KILL: Micros = 250_000;
-/// Reading from clients stops this long before SIGKILL.
-const STOP_READING_BEFORE_KILL: Micros = FAIL_PENDING_BEFORE_KILL / 2;
 /// Waiting stops this long before SIGKILL.
 const STOP_WAITING_BEFORE_KILL: Micros = FAIL_PENDING_BEFORE_KILL / 4;
 /// The process has exited this long before SIGKILL.
 const EXIT_BEFORE_KILL: Micros = 30_000;
-/// New connections are answered for this long after SIGTERM at least, even if there are no clients.
-const MIN_SERVING_TIME: Micros = 900_000;
+/// Clients go on opening connections for 0.4 s after SIGTERM: until a little later, none is closed between
+/// requests.
+const MIN_SERVING_TIME: Micros = 450_000;
+/// New connections are answered for this long after SIGTERM, even if there are no clients, unless requests must
+/// fail before.
+const MAX_SERVING_TIME_WITHOUT_CLIENTS: Micros = 900_000;
 /// New connections are accepted for this long after SIGTERM where the next process accepts them as well.
 const SHARED_ACCEPT_TIME: Micros = 500_000;
 /// The interval between two checks whether all requests are answered.
@@ -91,11 +94,39 @@
     }
 }
 
-/// When SIGKILL may follow SIGTERM. Guards against an outage longer than a restart: open connections are
-/// served until shortly before it.
-fn time_until_kill(settings: &Settings) -> Micros {
-    let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN
+/// The times of a shutdown. Guards against an outage longer than a restart: open connections are served until
+/// shortly before SIGKILL may come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Schedule {
+    /// Connections are closed between requests from then on.
+    close_idle_at: Micros,
+    /// Reading stops from then on if there are no clients.
+    may_end_at: Micros,
+    /// Requests that are still pending fail, and reading from clients stops.
+    fail_pending_at: Micros,
+    /// Waiting for answers stops.
+    stop_waiting_at: Micros,
+    /// The process has exited.
+    exit_at: Micros,
+}
+
+impl Schedule {
+    /// The times of a shutdown that was requested at this time.
+    fn new(requested_at: Micros, settings: &Settings) -> Schedule {
+        let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let time_until_kill = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
+        let kill_at = requested_at + time_until_kill;
+        // With short deadlines, half of the time serves clients, and half is left to their last requests.
+        let serving_time = time_until_kill.saturating_sub(CLOSE_IDLE_BEFORE_KILL).max(time_until_kill / 2);
+        let fail_pending_at = kill_at - FAIL_PENDING_BEFORE_KILL;
+        Schedule {
+            close_idle_at: requested_at + serving_time.max(MIN_SERVING_TIME),
+            may_end_at: fail_pending_at.min(requested_at + MAX_SERVING_TIME_WITHOUT_CLIENTS),
+            fail_pending_at,
+            stop_waiting_at: kill_at - STOP_WAITING_BEFORE_KILL,
+            exit_at: kill_at - EXIT_BEFORE_KILL,
+        }
+    }
 }
 
 impl Server {
@@ -106,7 +137,7 @@
         }
         tracing::info!(target: LOG_TARGET, "shutdown requested");
         self.shutdown.phase = Phase::Draining { requested_at: now };
-        let deadline = now + time_until_kill(&self.settings) - FAIL_PENDING_BEFORE_KILL;
+        let deadline = Schedule::new(now, &self.settings).fail_pending_at;
         self.step_reducer(now, Input::ShutdownRequested { deadline });
     }
 
@@ -115,26 +146,23 @@
         let Some(requested_at) = self.shutdown.requested_at() else {
             return ControlFlow::Continue(());
         };
-        let time_until_kill = time_until_kill(&self.settings);
-        let kill_at = requested_at + time_until_kill;
+        let schedule = Schedule::new(requested_at, &self.settings);
         self.leave_shared_listener(now, requested_at);
         // Repeated at each check: connections that were accepted late and send nothing are closed as well.
-        let close_idle_after = (time_until_kill - CLOSE_IDLE_BEFORE_KILL).max(MIN_SERVING_TIME);
-        if now >= requested_at + close_idle_after {
+        if now >= schedule.close_idle_at {
             self.enter_closing_idle(requested_at);
             self.close_idle_connections(now);
         }
         let is_done = self.fronts.open_connections() == 0 && self.reducer.pending_requests() == 0;
-        let is_late = now >= kill_at - STOP_READING_BEFORE_KILL;
-        let served_long_enough = now >= requested_at + MIN_SERVING_TIME;
-        if self.shutdown.reading == Reading::Active && served_long_enough && (is_done || is_late) {
+        let may_end = is_done && now >= schedule.may_end_at;
+        if self.shutdown.reading == Reading::Active && (may_end || now >= schedule.fail_pending_at) {
             self.shutdown.reading = Reading::Stopping;
             self.client_reactor.stop_reading();
         }
         // Guards against a request that is read at the last moment and never answered.
         let all_answered = self.shutdown.reading == Reading::Stopped && self.reducer.pending_requests() == 0;
-        if all_answered || now >= kill_at - STOP_WAITING_BEFORE_KILL {
-            self.flush_clients(kill_at - EXIT_BEFORE_KILL);
+        if all_answered || now >= schedule.stop_waiting_at {
+            self.flush_clients(schedule.exit_at);
             return ControlFlow::Break(());
         }
         ControlFlow::Continue(())
--- a/src/server/shutdown/tests.rs
+++ b/src/server/shutdown/tests.rs
@@ -1,4 +1,4 @@
-use super::{Phase, Shutdown, time_until_kill};
+use super::{Phase, Schedule, Shutdown};
 use crate::{Class, Idempotency, Requirement, Settings};
 
 fn settings_with_deadline(deadline: u64) -> Settings {
@@ -13,11 +13,34 @@
     Settings { classes: vec![class], ..Settings::default() }
 }
 
+/// The schedule of a shutdown at this time where the longest deadline is as given.
+fn schedule(requested_at: u64, deadline: u64) -> Schedule {
+    Schedule::new(requested_at, &settings_with_deadline(deadline))
+}
+
 #[test]
 fn the_kill_follows_the_longest_deadline_up_to_a_limit() {
-    assert_eq!(time_until_kill(&settings_with_deadline(800_000)), 1_500_000);
-    assert_eq!(time_until_kill(&settings_with_deadline(3_000_000)), 3_700_000);
-    assert_eq!(time_until_kill(&settings_with_deadline(9_000_000)), 3_700_000);
+    let killed_at = |deadline| schedule(5, deadline).exit_at + 30_000 - 5;
+    assert_eq!(killed_at(800_000), 1_500_000);
+    assert_eq!(killed_at(3_000_000), 3_700_000);
+    assert_eq!(killed_at(9_000_000), 3_700_000);
+}
+
+#[test]
+fn clients_are_served_while_they_connect_and_their_last_requests_have_their_time() {
+    for deadline in [0, 1_000, 50_000, 150_000, 200_000, 400_000, 900_000, 1_100_000, 3_000_000] {
+        let schedule = schedule(0, deadline);
+        assert!(schedule.close_idle_at >= 450_000 && schedule.may_end_at >= 450_000, "{schedule:?}");
+        let left = schedule.fail_pending_at - schedule.close_idle_at;
+        assert!(left >= deadline.min(300_000), "{left} left of {deadline}: {schedule:?}");
+        assert!(
+            schedule.stop_waiting_at >= schedule.fail_pending_at + 150_000,
+            "a held-up process: {schedule:?}"
+        );
+        assert!(schedule.stop_waiting_at < schedule.exit_at, "{schedule:?}");
+    }
+    assert_eq!(schedule(0, 3_000_000).close_idle_at, 2_800_000);
+    assert_eq!(schedule(0, 3_000_000).may_end_at, 900_000);
 }
 
 #[test]
--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -4,4 +4,5 @@
 mod clients;
 mod discovery;
 mod members;
+mod short_deadlines;
 mod shutdown;
--- /dev/null
+++ b/tests/proxy/races/short_deadlines.rs
@@ -0,0 +1,153 @@
+//! The shutdown of processes whose classes all have short deadlines: SIGKILL comes soon after SIGTERM.
+
+use crate::support::*;
+use std::net::SocketAddr;
+use std::sync::{Arc, Barrier};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+/// SIGKILL comes this long after the longest deadline, counted from SIGTERM, at the earliest.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// For this long after SIGTERM, new connections go on coming.
+const CONNECTING_TIME: Duration = Duration::from_millis(400);
+/// More requests than a test sends.
+const MANY: usize = 20_000;
+
+/// How a client goes on after SIGTERM.
+#[derive(Clone, Copy)]
+enum Traffic {
+    /// A simple query at a time, each a read.
+    Reads,
+    /// A simple query at a time, each a write.
+    Writes,
+    /// Several simple queries at once.
+    Pipelined,
+    /// A batch of extended messages at a time.
+    Extended,
+}
+
+impl Traffic {
+    /// The next messages of a client, and how many replies they get.
+    fn messages(self, id: u32, timeout_ms: u32) -> (Vec<u8>, u32) {
+        let read = |id| simple_query(&read_query(id).replace(",d=900,", &format!(",d={timeout_ms},")));
+        match self {
+            Traffic::Reads => (read(id), 1),
+            Traffic::Writes => (simple_query(&write_query(id, timeout_ms)), 1),
+            Traffic::Pipelined => ((id..id + 4).flat_map(read).collect(), 4),
+            Traffic::Extended => {
+                let sql = read_query(id).replace(",d=900,", &format!(",d={timeout_ms},"));
+                (extended_messages(&format!("P - {sql}|B - -|E -|S")), 1)
+            }
+        }
+    }
+}
+
+/// Sends for as long as the connection stays open. Returns the ids of the commands that got no reply; a reply that
+/// has begun must be complete.
+fn send_until_closed(mut client: Client, traffic: Traffic, first_id: u32, timeout_ms: u32) -> Vec<u32> {
+    let mut id = first_id;
+    loop {
+        let (messages, count) = traffic.messages(id, timeout_ms);
+        if std::io::Write::write_all(&mut client.stream, &messages).is_err() {
+            return (id..id + count).collect();
+        }
+        for answered in 0..count {
+            let reply = client.read_reply();
+            if reply == "end" {
+                return (id + answered..id + count).collect();
+            }
+            assert!(reply.ends_with('Z'), "{reply}");
+        }
+        id += count;
+    }
+}
+
+/// Connects again and again while new connections come, each with a query right behind the startup message:
+/// each gets its answer.
+fn connect_repeatedly(address: SocketAddr, first_id: u32, timeout_ms: u32) {
+    let start = Instant::now();
+    for id in first_id.. {
+        if start.elapsed() >= CONNECTING_TIME {
+            return;
+        }
+        let mut client = Client::connect_without_startup(address);
+        client.send(&[startup_message(), Traffic::Reads.messages(id, timeout_ms).0].concat());
+        client.read_greeting();
+        let reply = client.read_reply();
+        assert!(reply.ends_with('Z'), "a new connection, {:?} after SIGTERM: {reply}", start.elapsed());
+    }
+}
+
+/// A proxy in front of these members, whose classes have this deadline, and that knows its primary.
+fn start_with_deadline(members: &[&MockMember], deadline_ms: u32) -> Proxy {
+    let edit = format!("s/\"deadline_us\":[0-9]*/\"deadline_us\":{deadline_ms}000/g");
+    let shell = format!("sed -i '{edit}' \"$GW_CONFIG\"; exec \"$0\" serve --postgres \"$1\"");
+    let proxy = Proxy::start_with_shell(members, &shell, "");
+    while proxy.connect().query(&write_query(0, 900)) != SERVED {}
+    members.iter().for_each(|member| member.reset_record());
+    proxy
+}
+
+fn start_clients(proxy: &Proxy, begin: &Arc<Barrier>, timeout_ms: u32) -> Vec<JoinHandle<Vec<u32>>> {
+    let kinds = [Traffic::Reads, Traffic::Writes, Traffic::Pipelined, Traffic::Extended];
+    let start = |(index, traffic): (u32, Traffic)| {
+        let client = match traffic {
+            Traffic::Extended => proxy.connect_extended(),
+            _ => proxy.connect(),
+        };
+        let begin = begin.clone();
+        std::thread::spawn(move || {
+            begin.wait();
+            send_until_closed(client, traffic, (index + 1) << 16, timeout_ms)
+        })
+    };
+    (0..).zip(kinds.into_iter().cycle().take(12)).map(start).collect()
+}
+
+fn assert_every_command_that_was_read_is_answered(deadline_ms: u32, members_hang: bool) {
+    let (primary, replica) = (MockMember::start(true), MockMember::start(false));
+    let mut proxy = start_with_deadline(&[&primary, &replica], deadline_ms);
+    if members_hang {
+        [&primary, &replica].iter().for_each(|member| member.plan(&[MemberBehavior::HangOn(b'Q'); MANY]));
+    }
+    let mut idle = proxy.connect();
+    let mut partial = proxy.connect();
+    partial.send(&simple_query(&read_query(1))[..30]);
+    let begin = Arc::new(Barrier::new(13));
+    let clients = start_clients(&proxy, &begin, deadline_ms);
+    let address = proxy.address;
+    begin.wait();
+    let start = Instant::now();
+    proxy.signal("-TERM");
+    let connecting = std::thread::spawn(move || connect_repeatedly(address, 1 << 24, deadline_ms));
+    let unanswered: Vec<u32> = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
+    connecting.join().unwrap();
+    assert_eq!(idle.read_reply(), "end");
+    assert!(!partial.read_reply().contains('D'), "a partial command is not executed");
+    drop((idle, partial));
+    assert!(proxy.child.wait().unwrap().success());
+    let longest = Duration::from_millis(deadline_ms.into()) + KILL_MARGIN;
+    assert!(start.elapsed() < longest, "{:?} with deadlines of {deadline_ms} ms", start.elapsed());
+    let received: Vec<String> = [primary.received(), replica.received()].concat();
+    for id in unanswered {
+        let id = format!("id={id:x},");
+        assert!(!received.iter().any(|text| text.contains(&id)), "{id} was read and has no answer");
+    }
+}
+
+/// Guards against an arithmetic underflow, and against requests that are read up to the end of the process and never
+/// answered, where deadlines are so short that SIGKILL comes within a second.
+#[test]
+fn shutdown_answers_every_command_that_was_read_whatever_the_deadlines() {
+    for deadline_ms in [50, 150, 400] {
+        assert_every_command_that_was_read_is_answered(deadline_ms, false);
+    }
+}
+
+/// The same while no member answers.
+#[test]
+fn shutdown_answers_every_command_that_was_read_while_all_members_hang() {
+    for deadline_ms in [50, 150, 400] {
+        assert_every_command_that_was_read_is_answered(deadline_ms, true);
+    }
+}
