--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -140,7 +140,14 @@
             last_commit: self.commits.last(plan.session_key),
         };
         let extended = ExtendedBatch { messages: plan.messages, confirm_before_execute: false };
-        let mut request = self.analyzer.combine(&statements, MemberRequest::Extended(extended))?;
+        let combined = self.analyzer.combine(&statements, MemberRequest::Extended(extended));
+        let mut request = match combined {
+            Ok(request) => request,
+            Err(error) => {
+                session.undo_parses(plan.parsed, 0);
+                return Err(error);
+            }
+        };
         if let MemberRequest::Extended(extended) = &mut request.member_request {
             extended.confirm_before_execute = !self.analyzer.is_idempotent(request.class);
         }
--- a/tests/proxy/extended.rs
+++ b/tests/proxy/extended.rs
@@ -163,6 +163,19 @@
     assert_snapshot!(format!("{} | {}", client.read_reply(), client.read_reply()), @"2 E(42601) Z | 2 D(value) C Z");
 }
 
+#[test]
+fn a_batch_rejected_for_its_groups_leaves_no_prepared_statement_behind() {
+    let (_primary, _replica, proxy) = start_pair();
+    let mut client = proxy.connect_extended();
+    let other_group = "P b select payload from u where ref = $1 /* cluster=3 */";
+    for end in ["S", "H|S"] {
+        assert_eq!(run_batch(&mut client, &format!("{READ}|{other_group}|{end}")), "E(0A000) Z");
+    }
+    let script = format!("{READ}|B - r|E -|S");
+    assert_eq!(run_batch(&mut client, &script), "1 2 D(value) C Z");
+    assert_eq!(run_batch(&mut client, "B - b|E -|S"), "E(26000) Z", "the other one isn't prepared either");
+}
+
 #[test]
 fn flush_answers_the_messages_received_so_far() {
     let (primary, _replica, proxy) = start_pair();
