--- a/src/estimators/traffic.rs
+++ b/src/estimators/traffic.rs
@@ -47,8 +47,8 @@
         self.work(&self.offered, now, needs_primary)
     }
 
-    /// How unevenly work comes to primaries: the variance of the work that only they can serve, as a multiple of what
-    /// the same work has in requests of the mean work of all; 1 at least.
+    /// How unevenly work comes to primaries: the variance of the work that only they can serve, as a multiple
+    /// of what the same work has in requests of the mean work of all; 1 at least.
     pub(crate) fn primary_work_dispersion(&self, classes: &[Class], now: Micros) -> f64 {
         let needs_primary = |class: &usize| classes[*class].role() == Role::Primary;
         let primary_work = self.offered_primary_work(classes, now);
