--- a/Makefile
+++ b/Makefile
@@ -9,9 +9,9 @@
 	@skips=$$(.ci/known-red) && cargo test --locked -- --exact $$skips
 
 lint: ## format, lints and documentation, as CI checks them
-	cargo fmt --check
-	cargo clippy --locked --all-targets -- -D warnings
-	RUSTDOCFLAGS="-D warnings" cargo doc --locked --no-deps
+	cargo fmt --all --check
+	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
 
 run: build ## the proxy, as GW_CONFIG says
 	target/release/liftrelay serve
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -4,6 +4,7 @@
 
 mod daemon;
 mod extended;
+mod fault_injection;
 mod operations;
 mod pipelining;
 mod platform;
--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -2,6 +2,7 @@
 
 mod client;
 mod discovery;
+mod faults;
 mod member;
 mod member_connection;
 mod proxy;
@@ -11,6 +12,7 @@
 pub use discovery::{
     MockDiscovery, ScriptedDiscovery, chunk, endpoint_entry, endpoint_update, full_list, serving_list,
 };
+pub use faults::Faults;
 pub use member::{MemberBehavior, MemberEvent, MockMember};
 pub use proxy::{Proxy, configuration, configuration_at, shell_without_probes, wait_for_counter};
 pub use wire::{extended_messages, read_query, simple_query, startup_message, write_query};
--- a/tests/proxy/support/proxy.rs
+++ b/tests/proxy/support/proxy.rs
@@ -1,7 +1,7 @@
 //! The real program as a process, and its configuration.
 
 use super::{
-    Client, MockDiscovery, MockMember, SERVED, TEST_TIMEOUT, endpoint_entry, full_list, write_query,
+    Client, Faults, MockDiscovery, MockMember, SERVED, TEST_TIMEOUT, endpoint_entry, full_list, write_query,
 };
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -107,7 +107,12 @@
         Proxy::start_with_limits(members, shell, file, DEFAULT_LIMITS)
     }
 
-    /// The same within these limits.
+    /// Starts the program by this shell command with these faults of its system calls.
+    pub fn start_with_faults(members: &[&MockMember], shell: &str, faults: &Faults) -> Proxy {
+        Proxy::start_with_shell(members, &faults.preload_in_shell(shell), "")
+    }
+
+    /// [`Proxy::start_with_shell`] within these limits.
     pub fn start_with_limits(members: &[&MockMember], shell: &str, file: &str, limits: &str) -> Proxy {
         Proxy::start_with_stdin(Stdio::null(), members, shell, file, limits)
     }
