--- a/tests/proxy/fault_injection.rs
+++ b/tests/proxy/fault_injection.rs
@@ -102,36 +102,43 @@
 #[test]
 fn calls_of_the_proxy_are_reached() {
     let primary = MockMember::start(true);
-    let faults = Faults::none();
+    let member = primary.address;
+    let calls_to_member = [
+        "epoll_wait".to_string(),
+        "pthread_create".to_string(),
+        "socket".to_string(),
+        format!("connect peer={member}"),
+        format!("poll peer={member}"),
+        format!("write peer={member} on=connected"),
+        format!("read peer={member} on=connected"),
+    ];
+    let faults = Faults::scripted(&once_each(&calls_to_member));
     let proxy = Proxy::start_with_faults(&[&primary], &shell_without_probes(""), &faults);
-    let (member, admin) = (primary.address, proxy.admin_address.unwrap());
-    let client = proxy.address;
-    for rule in [
-        "epoll_wait delay_ms=0".to_string(),
-        "pthread_create delay_ms=0".to_string(),
-        "socket delay_ms=0".to_string(),
-        format!("connect peer={member} delay_ms=0"),
-        format!("poll peer={member} delay_ms=0"),
-        format!("write peer={member} on=connected delay_ms=0"),
-        format!("read peer={member} on=connected delay_ms=0"),
-        format!("accept4 local={client} on=listener delay_ms=0"),
-        format!("epoll_ctl local={client} on=accepted delay_ms=0"),
-        format!("ioctl local={client} on=accepted delay_ms=0"),
-        format!("read local={client} on=accepted delay_ms=0"),
-        format!("write local={client} on=accepted delay_ms=0"),
-        format!("accept4 local={admin} on=listener delay_ms=0"),
-        format!("write local={admin} on=accepted delay_ms=0"),
-    ] {
-        // A new connection to the member is needed each time.
-        primary.plan(&[MemberBehavior::ServeThenClose]);
-        faults.set(&rule);
-        assert_eq!(proxy.connect().query(&write_query(1, 9000)), SERVED, "{rule}");
-        assert_eq!(proxy.admin_request("GET", "ready").0, 200, "{rule}");
-        faults.wait_for_injected(1);
-        primary.wait_for(MemberEvent::ConnectionClosed);
-    }
+    assert_eq!(proxy.connect().query(&write_query(1, 9000)), SERVED);
+    faults.wait_for_injected(calls_to_member.len());
+
+    let (client, admin) = (proxy.address, proxy.admin_address.unwrap());
+    let calls_to_clients = [
+        format!("accept4 local={client} on=listener"),
+        format!("epoll_ctl local={client} on=accepted"),
+        format!("ioctl local={client} on=accepted"),
+        format!("read local={client} on=accepted"),
+        format!("write local={client} on=accepted"),
+        format!("accept4 local={admin} on=listener"),
+        format!("write local={admin} on=accepted"),
+    ];
+    faults.set(&once_each(&calls_to_clients));
+    assert_eq!(proxy.connect().query(&write_query(2, 9000)), SERVED);
+    wait_for_counter(&proxy, "pending=0\n");
+    faults.wait_for_injected(calls_to_clients.len());
+
     faults
         .set("read peer=127.0.0.1:1 error=EIO; connect local=127.0.0.1:1 error=EIO; write on=file error=EIO");
-    assert_eq!(proxy.connect().query(&write_query(2, 9000)), SERVED);
+    assert_eq!(proxy.connect().query(&write_query(3, 9000)), SERVED);
     assert!(faults.injected().is_empty());
 }
+
+/// A script that has each of these calls injected once, with no effect but its report.
+fn once_each(calls: &[String]) -> String {
+    calls.iter().map(|call| format!("{call} count=1 delay_ms=0\n")).collect()
+}
