--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # What people do here. `.ci/run` calls `make test` and adds the checks of a clean checkout.
 
-.PHONY: build test lint run check sites
+.PHONY: build test lint run check sites fleet-cost
 
 build: ## the two programs, into target/release
 	cargo build --release --locked
@@ -13,6 +13,9 @@
 	cargo clippy --locked --all-targets -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --locked --no-deps
 
+fleet-cost: ## what a proxy needs with 200 and with 3,200 members, beside the limits; half a minute
+	cargo bench --locked --bench fleet_cost
+
 run: build ## the proxy, as GW_CONFIG says
 	target/release/liftrelay serve
 
--- a/tests/proxy/support/discovery.rs
+++ b/tests/proxy/support/discovery.rs
@@ -3,6 +3,7 @@
 use super::{MockMember, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
@@ -14,10 +15,15 @@
 
 /// A member as an entry of the endpoint list.
 pub fn endpoint_entry(uid: usize, member: &MockMember, state: &str) -> String {
+    endpoint_entry_in_group(uid, 2, member, state)
+}
+
+/// A member of this group as an entry of the endpoint list.
+pub fn endpoint_entry_in_group(uid: usize, group: usize, member: &MockMember, state: &str) -> String {
     let address = member.address;
     let recovery = if member.primary { "off" } else { "on" };
     format!(
-        r#"{{"uid":"s-{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":2,"state":"{state}","capacity_hint":1.0,"boot_ms":0,"recovery":"{recovery}"}}"#
+        r#"{{"uid":"s-{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":{group},"state":"{state}","capacity_hint":1.0,"boot_ms":0,"recovery":"{recovery}"}}"#
     )
 }
 
@@ -54,6 +60,7 @@
     pub address: SocketAddr,
     watches: Arc<Mutex<Vec<TcpStream>>>,
     opened_watches: Receiver<()>,
+    list_bytes: Arc<AtomicUsize>,
 }
 
 impl MockDiscovery {
@@ -68,9 +75,12 @@
             std::thread::spawn(move || send_keepalives(&watches));
         }
         let streams = watches.clone();
+        let list_bytes = Arc::new(AtomicUsize::new(0));
+        let sent_bytes = list_bytes.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let request_line = read_request_line(&stream).unwrap_or_default();
+                sent_bytes.fetch_add(list.len(), Ordering::SeqCst);
                 if !request_line.contains("stream=1") {
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
                     let _ = stream.write_all(format!("{head}{list}").as_bytes());
@@ -83,12 +93,18 @@
                 let _ = notify_watch.send(());
             }
         });
-        MockDiscovery { address, watches, opened_watches }
+        MockDiscovery { address, watches, opened_watches, list_bytes }
+    }
+
+    /// The bytes of all lists and updates that were sent.
+    pub fn list_bytes(&self) -> usize {
+        self.list_bytes.load(Ordering::SeqCst)
     }
 
     /// Sends this text to all watches.
     pub fn push(&self, text: &str) {
         for stream in self.watches.lock().unwrap().iter_mut() {
+            self.list_bytes.fetch_add(text.len(), Ordering::SeqCst);
             let _ = stream.write_all(chunk(text).as_bytes());
         }
     }
--- a/tests/proxy/support/member.rs
+++ b/tests/proxy/support/member.rs
@@ -70,6 +70,7 @@
     /// How many of the held replies may be sent.
     released_replies: Arc<(Mutex<usize>, Condvar)>,
     replication_lag_ms: Arc<AtomicU64>,
+    connections: Arc<AtomicU64>,
 }
 
 impl MockMember {
@@ -85,11 +86,13 @@
             greetings_held: Arc::default(),
             released_replies: Arc::default(),
             replication_lag_ms: Arc::default(),
+            connections: Arc::default(),
         };
         let listening = member.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let member = listening.clone();
+                member.connections.fetch_add(1, Ordering::SeqCst);
                 let events = event_sender.clone();
                 std::thread::spawn(move || {
                     MemberConnection::new(&member, stream, &events).serve();
@@ -139,6 +142,11 @@
         self.events.lock().unwrap().try_iter().for_each(drop);
     }
 
+    /// The number of connections that were made to it.
+    pub fn connection_count(&self) -> u64 {
+        self.connections.load(Ordering::SeqCst)
+    }
+
     /// The number of statements that were executed.
     pub fn executed_count(&self) -> usize {
         self.record.lock().unwrap().executed.len()
--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -2,6 +2,8 @@
 
 mod client;
 mod discovery;
+mod fleet;
+mod fleet_limits;
 mod member;
 mod member_connection;
 mod proxy;
@@ -9,8 +11,11 @@
 
 pub use client::Client;
 pub use discovery::{
-    MockDiscovery, ScriptedDiscovery, chunk, endpoint_entry, endpoint_update, full_list, serving_list,
+    MockDiscovery, ScriptedDiscovery, chunk, endpoint_entry, endpoint_entry_in_group, endpoint_update,
+    full_list, serving_list,
 };
+pub use fleet::Fleet;
+pub use fleet_limits::COST_LIMITS;
 pub use member::{MemberBehavior, MemberEvent, MockMember};
 pub use proxy::{Proxy, configuration, configuration_at, shell_without_probes, wait_for_counter};
 pub use wire::{extended_messages, read_query, simple_query, startup_message, write_query};
--- a/tests/proxy/support/proxy.rs
+++ b/tests/proxy/support/proxy.rs
@@ -124,7 +124,17 @@
         let entries: Vec<_> = members.iter().enumerate().map(entry).collect();
         // Without members, discovery is down.
         let list = if members.is_empty() { String::new() } else { full_list(1, &entries) };
-        let discovery = MockDiscovery::start(list);
+        Proxy::start_with_discovery(stdin, MockDiscovery::start(list), shell, file, limits)
+    }
+
+    /// The same with this discovery.
+    pub fn start_with_discovery(
+        stdin: Stdio,
+        discovery: MockDiscovery,
+        shell: &str,
+        file: &str,
+        limits: &str,
+    ) -> Proxy {
         let directory = create_directory();
         let configuration = configuration(&discovery).replace(DEFAULT_LIMITS, limits);
         std::fs::write(directory.join("config.json"), configuration).unwrap();
