--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -33,13 +33,15 @@
                 && now > endpoint.last_answer_at + FORGET_AFTER
                 && endpoint.outstanding.is_empty()
         };
-        let slot = self.slots.iter().position(forgotten).unwrap_or(self.slots.len());
-        if slot == self.slots.len() {
+        let reused = self.slots.iter().position(forgotten);
+        if let Some(slot) = reused {
+            self.by_id.remove(&self.slots[slot].id);
+        } else {
             self.slots.push(Endpoint::default());
         }
-        self.by_id.remove(&self.slots[slot].id);
-        self.by_id.insert(id, EndpointIndex(slot));
-        EndpointIndex(slot)
+        let index = EndpointIndex(reused.unwrap_or(self.slots.len() - 1));
+        self.by_id.insert(id, index);
+        index
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint_table::EndpointTable;
 use super::*;
-use crate::{EndpointId, EndpointState, Micros, Role};
+use crate::{EndpointEntry, EndpointId, EndpointState, Micros, Role};
 
 const SECOND: Micros = 1_000_000;
 
@@ -29,6 +29,15 @@
     assert_eq!(table.len(), 3);
 }
 
+/// Guards against a new slot whose default identity counts as that of an earlier occupant.
+#[test]
+fn a_new_slot_forgets_no_endpoint() {
+    let mut table = EndpointTable::default();
+    let first = add(&mut table, 0, 0);
+    add(&mut table, 1, 0);
+    assert_eq!(table.find(EndpointId(0)), Some(first));
+}
+
 #[test]
 fn a_slot_with_outstanding_attempts_is_not_used_again() {
     let mut table = EndpointTable::default();
@@ -70,3 +79,30 @@
     assert_eq!(commits.position(7), 0);
     assert_eq!(commits.position(20_000), 20_000 * SECOND);
 }
+
+/// Guards against an endpoint that counts as a member, and as the primary, of a group that it has left.
+#[test]
+fn an_endpoint_listed_under_another_group_leaves_the_former_one() {
+    let mut topology = Topology::default();
+    let listed = |group| EndpointEntry {
+        endpoint: EndpointId(1),
+        group,
+        zone: 0,
+        state: EndpointState::Ready,
+        primary_hint: true,
+        started_at: 0,
+    };
+    let index = topology.allocate(EndpointId(1), 0);
+    topology[index] = Endpoint::new(&listed(7));
+    assert!(topology.apply_entry(index, &listed(7), 0));
+    topology.record_role(index, Role::Primary, SECOND, true);
+    topology[index].replication.record(SECOND, SECOND);
+    assert_eq!((topology.primary(7), topology.members(7)), (Some(index), &[index][..]));
+    assert!(topology.apply_entry(index, &listed(8), SECOND), "its hint is new to the group");
+    assert_eq!((topology.presumed_primary(7), topology.members(7)), (None, &[][..]));
+    assert_eq!((topology.primary(8), topology.members(8)), (None, &[index][..]));
+    assert_eq!(topology.role(index), Role::Replica);
+    assert!(!topology.all_members_have(8, SECOND), "a position counts within its group only");
+    topology.record_role(index, Role::Primary, 2 * SECOND, true);
+    assert_eq!((topology.primary(7), topology.primary(8)), (None, Some(index)));
+}
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -2,7 +2,7 @@
 
 use super::endpoint_table::EndpointTable;
 use super::{Endpoint, EndpointIndex, Group, PerRole, SlowStartBudget};
-use crate::estimators::{FailureRate, QueueingDelay};
+use crate::estimators::{FailureRate, QueueingDelay, ReplicationEstimate};
 use crate::{
     AttemptResult, EndpointCounts, EndpointEntry, EndpointId, EndpointState, GroupId, LoadReport, Micros,
     Role,
@@ -96,8 +96,23 @@
         index
     }
 
+    /// Moves an endpoint that is listed under another group: its role and its position say nothing there.
+    fn change_group(&mut self, index: EndpointIndex, id: GroupId) {
+        let endpoint = &mut self.endpoints[index];
+        let former = std::mem::replace(&mut endpoint.group, id);
+        endpoint.primary_hint = false;
+        endpoint.replica_seen_at = 0;
+        endpoint.replication = ReplicationEstimate::default();
+        if let Some(group) = self.groups.get_mut(&former) {
+            group.remove(index);
+        }
+    }
+
     /// Applies an entry of the list; returns whether it newly names the endpoint as the primary.
     pub(crate) fn apply_entry(&mut self, index: EndpointIndex, entry: &EndpointEntry, now: Micros) -> bool {
+        if self.endpoints[index].group != entry.group {
+            self.change_group(index, entry.group);
+        }
         let group = self.groups.entry(entry.group).or_default();
         if !group.members.contains(&index) {
             group.members.push(index);
