--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -111,7 +111,7 @@
         let trials_are_quick = trials_per_second > self.topology.endpoint_count() as f64;
         let ejected = !is_first_list && (entry.started_at == 0 || trials_are_quick);
         let failure_rate = FailureRate::new(if ejected { health::EJECTION_THRESHOLD } else { 0.0 });
-        self.topology[index] = Endpoint {
+        let endpoint = Endpoint {
             concurrency_limit: admission::CONCURRENCY_START,
             confirmed: is_first_list,
             ejected,
@@ -120,6 +120,7 @@
             last_send_number,
             ..Endpoint::new(entry)
         };
+        self.topology.add(index, endpoint);
         index
     }
 }
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use super::Endpoint;
 use crate::{EndpointId, EndpointState, Micros};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
 /// An endpoint that was removed and silent for this long is dropped when its slot is needed.
@@ -17,6 +17,8 @@
 pub(crate) struct EndpointTable {
     slots: Vec<Endpoint>,
     by_id: BTreeMap<EndpointId, EndpointIndex>,
+    /// The slots of removed endpoints, in order.
+    removed: BTreeSet<EndpointIndex>,
 }
 
 impl EndpointTable {
@@ -25,23 +27,34 @@
         self.by_id.get(&id).copied()
     }
 
-    /// Assigns a slot to a new endpoint, if possible that of one that is dropped. Guards against a table that
-    /// grows forever. The caller fills the slot, and drops its state of an earlier endpoint there.
-    pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> EndpointIndex {
+    /// Assigns a slot to a new endpoint, if possible that of one that is dropped; returns that one too. Guards
+    /// against a table that grows forever. The caller fills the slot.
+    pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<Endpoint>) {
         let forgotten = |endpoint: &Endpoint| {
             endpoint.state == EndpointState::Removed
                 && now > endpoint.last_answer_at + FORGET_AFTER
                 && endpoint.outstanding.is_empty()
         };
-        let reused = self.slots.iter().position(forgotten);
-        if let Some(slot) = reused {
-            self.by_id.remove(&self.slots[slot].id);
+        let reused = self.removed.iter().copied().find(|index| forgotten(&self[*index]));
+        let dropped = reused.map(|index| std::mem::take(&mut self[index]));
+        if let Some(dropped) = &dropped {
+            self.by_id.remove(&dropped.id);
         } else {
             self.slots.push(Endpoint::default());
         }
-        let index = EndpointIndex(reused.unwrap_or(self.slots.len() - 1));
+        let index = reused.unwrap_or(EndpointIndex(self.slots.len() - 1));
         self.by_id.insert(id, index);
-        index
+        (index, dropped)
+    }
+
+    /// Sets the state of an endpoint. All changes go through here: the slots of removed endpoints are indexed.
+    pub(crate) fn set_state(&mut self, index: EndpointIndex, state: EndpointState) {
+        self[index].state = state;
+        if state == EndpointState::Removed {
+            self.removed.insert(index);
+        } else {
+            self.removed.remove(&index);
+        }
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -55,10 +68,6 @@
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> + Clone {
         self.slots.iter()
     }
-
-    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
-        self.slots.iter_mut()
-    }
 }
 
 impl Index<EndpointIndex> for EndpointTable {
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -7,8 +7,9 @@
 const SECOND: Micros = 1_000_000;
 
 fn add(table: &mut EndpointTable, id: u64, now: Micros) -> EndpointIndex {
-    let index = table.allocate(EndpointId(id), now);
-    table[index] = Endpoint { id: EndpointId(id), state: EndpointState::Ready, ..Endpoint::default() };
+    let (index, _) = table.allocate(EndpointId(id), now);
+    table[index] = Endpoint { id: EndpointId(id), ..Endpoint::default() };
+    table.set_state(index, EndpointState::Ready);
     index
 }
 
@@ -18,7 +19,7 @@
     let first = add(&mut table, 1, 0);
     let second = add(&mut table, 2, 0);
     assert_ne!(first, second);
-    table[first].state = EndpointState::Removed;
+    table.set_state(first, EndpointState::Removed);
     table[first].last_answer_at = 5 * SECOND;
     let third = add(&mut table, 3, 10 * SECOND);
     assert_ne!(third, first, "it may still answer");
@@ -42,7 +43,7 @@
 fn a_slot_with_outstanding_attempts_is_not_used_again() {
     let mut table = EndpointTable::default();
     let index = add(&mut table, 1, 0);
-    table[index].state = EndpointState::Removed;
+    table.set_state(index, EndpointState::Removed);
     let attempt = OutstandingAttempt { request: 1, attempt: 0, class: 0, sent_at: 0 };
     table[index].outstanding.push(attempt);
     assert_ne!(add(&mut table, 2, 100 * SECOND), index);
@@ -93,7 +94,7 @@
         started_at: 0,
     };
     let index = topology.allocate(EndpointId(1), 0);
-    topology[index] = Endpoint::new(&listed(7));
+    topology.add(index, Endpoint::new(&listed(7)));
     assert!(topology.apply_entry(index, &listed(7), 0));
     topology.record_role(index, Role::Primary, SECOND, true);
     topology[index].replication.record(SECOND, SECOND);
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -7,7 +7,7 @@
     AttemptResult, EndpointCounts, EndpointEntry, EndpointId, EndpointState, GroupId, LoadReport, Micros,
     Role,
 };
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
 /// All endpoints and groups.
@@ -81,42 +81,49 @@
 
     /// Marks endpoints that are missing from a complete list as removed.
     pub(crate) fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
-        let is_listed = |id: EndpointId| entries.iter().any(|entry| entry.endpoint == id);
-        for endpoint in self.endpoints.iter_mut().filter(|endpoint| !is_listed(endpoint.id)) {
-            endpoint.state = EndpointState::Removed;
+        let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        for index in self.endpoints.indices() {
+            if !listed.contains(&self.endpoints[index].id) {
+                self.endpoints.set_state(index, EndpointState::Removed);
+            }
         }
     }
 
-    /// Assigns a slot to a new endpoint; the caller fills it.
+    /// Assigns a slot to a new endpoint; the caller fills it by [`Topology::add`].
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> EndpointIndex {
-        let index = self.endpoints.allocate(id, now);
-        for group in self.groups.values_mut() {
+        let (index, dropped) = self.endpoints.allocate(id, now);
+        if let Some(group) = dropped.and_then(|dropped| self.groups.get_mut(&dropped.group)) {
             group.remove(index);
         }
         index
     }
 
+    /// Fills a slot, and adds the endpoint to its group.
+    pub(crate) fn add(&mut self, index: EndpointIndex, endpoint: Endpoint) {
+        self.groups.entry(endpoint.group).or_default().members.push(index);
+        self.endpoints[index] = endpoint;
+    }
+
     /// Moves an endpoint that is listed under another group: its role and its position say nothing there.
-    fn change_group(&mut self, index: EndpointIndex, id: GroupId) {
+    fn move_to_group(&mut self, index: EndpointIndex, group: GroupId) {
         let endpoint = &mut self.endpoints[index];
-        let former = std::mem::replace(&mut endpoint.group, id);
+        let former = std::mem::replace(&mut endpoint.group, group);
         endpoint.primary_hint = false;
         endpoint.replica_seen_at = 0;
         endpoint.replication = ReplicationEstimate::default();
-        if let Some(group) = self.groups.get_mut(&former) {
-            group.remove(index);
+        if let Some(former) = self.groups.get_mut(&former) {
+            former.remove(index);
         }
+        self.groups.entry(group).or_default().members.push(index);
     }
 
     /// Applies an entry of the list; returns whether it newly names the endpoint as the primary.
     pub(crate) fn apply_entry(&mut self, index: EndpointIndex, entry: &EndpointEntry, now: Micros) -> bool {
         if self.endpoints[index].group != entry.group {
-            self.change_group(index, entry.group);
+            self.move_to_group(index, entry.group);
         }
+        self.endpoints.set_state(index, entry.state);
         let group = self.groups.entry(entry.group).or_default();
-        if !group.members.contains(&index) {
-            group.members.push(index);
-        }
         let endpoint = &mut self.endpoints[index];
         if entry.started_at != endpoint.started_at {
             endpoint.started_at = entry.started_at;
@@ -130,7 +137,6 @@
         if newly_hinted {
             group.next_search_at = now;
         }
-        endpoint.state = entry.state;
         endpoint.primary_hint = entry.primary_hint;
         endpoint.zone = entry.zone;
         endpoint.has_drained = match entry.state {
