--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -27,9 +27,10 @@
     Attempt {
         /// The work to send.
         work: Arc<W>,
-        /// How long this proxy waits for the response.
+        /// How long this proxy waits for the response, from the step that starts the attempt. The member is
+        /// told what is left of it when the attempt is written.
         timeout: Micros,
-        /// The attempt must be started within this time from now, or not at all.
+        /// The attempt must be started within this time from that step, or not at all.
         start_within: Micros,
         /// Verify first that the connection to the member is still alive.
         verify_connection: bool,
--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -165,7 +165,7 @@
         let mut execution = JobExecution {
             connection: &mut open,
             state: &job.state,
-            start_deadline: job.start_deadline,
+            limits: job.limits,
             on_written: &|| self.notify(Input::AttemptWritten),
         };
         let reply = execution.run(&job.what, &mut state.statements);
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -79,7 +79,7 @@
     ) -> Option<JobReply> {
         let executes = batch.executes();
         let confirm_first = batch.confirm_before_execute || !executes;
-        if self.start_deadline_passed() {
+        if self.limits.time_left().is_none() {
             return Some(JobReply::not_begun());
         }
         // Checked before the execution is created, as its statements count as prepared from then on.
@@ -117,7 +117,7 @@
         if !confirmed {
             return Err(Outcome::ConnectFailed);
         }
-        if self.start_deadline_passed() {
+        if self.limits.time_left().is_none() {
             // The batch is incomplete at the member: the connection can't be reused.
             return Err(Outcome::NeverSent);
         }
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -3,14 +3,15 @@
 use super::connect::OpenConnection;
 use super::job_state::JobState;
 use super::load_report::MemberStatus;
+use super::time_limits::TimeLimits;
 use crate::core::{JobId, JobResult, JobSpec};
-use crate::exchange::{MemberRequest, MemberResponse, millis_rounded_up};
+use crate::exchange::{MemberRequest, MemberResponse};
 use crate::extended::PreparedStatementCache;
-use crate::{Micros, Outcome, pg};
+use crate::{Outcome, pg};
 use std::io::{ErrorKind, Write};
 use std::ops::Range;
 use std::sync::Arc;
-use std::time::Instant;
+use std::time::Duration;
 
 /// The simple query that requests a member's load report.
 const HEALTH_CHECK: &[u8] = b"SHOW health";
@@ -21,8 +22,8 @@
     pub(super) id: JobId,
     /// The work of the job.
     pub(super) what: JobSpec<MemberRequest>,
-    /// The job must not start later than this.
-    pub(super) start_deadline: Option<Instant>,
+    /// The time limits of the job.
+    pub(super) limits: TimeLimits,
     /// The progress of the job.
     pub(super) state: Arc<JobState>,
 }
@@ -72,8 +73,8 @@
     pub(super) connection: &'a mut OpenConnection,
     /// The progress of the job.
     pub(super) state: &'a JobState,
-    /// The job must not start later than this.
-    pub(super) start_deadline: Option<Instant>,
+    /// The time limits of the job.
+    pub(super) limits: TimeLimits,
     /// Called when the last byte of an attempt has been written.
     pub(super) on_written: &'a dyn Fn(),
 }
@@ -86,25 +87,29 @@
         statements: &mut PreparedStatementCache,
     ) -> Option<JobReply> {
         match what {
-            JobSpec::Probe => self.run_simple_query(&pg::query_message(&[HEALTH_CHECK]), true),
-            JobSpec::Attempt { work, timeout: allowed, .. } => match work.as_ref() {
+            JobSpec::Probe => self.run_simple_query(HEALTH_CHECK, None, true),
+            JobSpec::Attempt { work, .. } => match work.as_ref() {
                 MemberRequest::Extended(batch) => self.run_batch(batch, statements),
                 MemberRequest::SimpleQuery { text, wait_digits } => {
-                    let message = simple_query(text, wait_digits.as_ref(), *allowed);
-                    self.run_simple_query(&message, false)
+                    self.run_simple_query(text, wait_digits.as_ref(), false)
                 }
             },
         }
     }
 
-    fn run_simple_query(&mut self, message: &[u8], health_check: bool) -> Option<JobReply> {
-        if self.start_deadline_passed() {
+    fn run_simple_query(
+        &mut self,
+        text: &[u8],
+        wait_digits: Option<&Range<usize>>,
+        health_check: bool,
+    ) -> Option<JobReply> {
+        let Some(time_left) = self.limits.time_left() else {
             return Some(JobReply::not_begun());
-        }
+        };
         if !self.state.begin() {
             return None;
         }
-        if self.write(message).is_err() {
+        if self.write(&simple_query(text, wait_digits, time_left)).is_err() {
             // The connection broke before the last byte was written: the query was never executed.
             return Some(JobReply::failed(Outcome::ConnectFailed));
         }
@@ -114,12 +119,6 @@
         Some(self.read_simple_query_reply(health_check))
     }
 
-    /// Whether it is too late to start: the conditions for the decision may have changed since.
-    /// Guards against a connection that takes long to open.
-    pub(super) fn start_deadline_passed(&self) -> bool {
-        self.start_deadline.is_some_and(|deadline| Instant::now() > deadline)
-    }
-
     /// Writes all bytes.
     pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), WriteError> {
         let mut written = 0;
@@ -141,11 +140,11 @@
 }
 
 /// The query message of a statement, with the remaining time of this proxy's wait in place of `wait_digits`.
-fn simple_query(text: &[u8], wait_digits: Option<&Range<usize>>, allowed: Micros) -> Vec<u8> {
+fn simple_query(text: &[u8], wait_digits: Option<&Range<usize>>, time_left: Duration) -> Vec<u8> {
     match wait_digits {
         None => pg::query_message(&[text]),
         Some(digits) => {
-            let wait = millis_rounded_up(allowed).to_string();
+            let wait = time_left.as_millis().to_string();
             pg::query_message(&[&text[..digits.start], wait.as_bytes(), &text[digits.end..]])
         }
     }
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -11,6 +11,7 @@
 mod load_report;
 mod outcome;
 mod simple_query;
+mod time_limits;
 mod worker_pool;
 
 pub use events::MemberEvents;
@@ -24,6 +25,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use time_limits::TimeLimits;
 use worker_pool::AssignedJob;
 
 /// The result of withdrawing a job.
@@ -67,17 +69,12 @@
         }
     }
 
-    /// Starts a job on the connection; `false` if there is no thread for it.
-    pub fn start_job(&mut self, job: JobId, what: JobSpec<MemberRequest>) -> bool {
+    /// Starts a job that was decided at this time; `false` if there is no thread for it.
+    pub fn start_job(&mut self, job: JobId, what: JobSpec<MemberRequest>, decided_at: Instant) -> bool {
         self.job = job;
         self.state = Arc::new(JobState::queued());
-        let start_deadline = match what {
-            JobSpec::Attempt { start_within: within, .. } => {
-                Instant::now().checked_add(Duration::from_micros(within))
-            }
-            JobSpec::Probe => None,
-        };
-        let job = Job { id: job, what, start_deadline, state: self.state.clone() };
+        let limits = TimeLimits::of(&what, decided_at);
+        let job = Job { id: job, what, limits, state: self.state.clone() };
         self.workers.dispatch(AssignedJob { connection: self.connection.clone(), job })
     }
 
--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -37,7 +37,8 @@
 
     fn start_job(&mut self, now: Micros, connection: ConnectionId, job: JobId, spec: JobSpec<MemberRequest>) {
         let handle = self.member_connections.get_mut(&connection);
-        if handle.is_some_and(|handle| handle.start_job(job, spec)) {
+        let decided_at = self.clock.instant(now);
+        if handle.is_some_and(|handle| handle.start_job(job, spec, decided_at)) {
             return;
         }
         // Guards against counting the proxy's own lack of threads as the member's fault.
--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -2,6 +2,7 @@
 //! is forced and not left to chance; `docs/race-conditions.md` lists them.
 
 mod clients;
+mod deadlines;
 mod discovery;
 mod members;
 mod shutdown;
--- a/tests/proxy/support/member.rs
+++ b/tests/proxy/support/member.rs
@@ -16,6 +16,8 @@
     Serve,
     /// Reads the message of this type and sends nothing any more.
     HangOn(u8),
+    /// Reads the message of this type, and goes on to serve once it is released.
+    HoldOn(u8),
     /// Reads the message of this type and resets the connection.
     ResetOn(u8),
     /// Begins its answer and sends nothing any more.
@@ -45,7 +47,7 @@
     Hanging,
     /// A connection waits for its greeting.
     GreetingHeld,
-    /// A request was executed whose reply waits for its release.
+    /// A reply waits for its release.
     ReplyHeld,
 }
 
--- a/tests/proxy/support/member_connection.rs
+++ b/tests/proxy/support/member_connection.rs
@@ -141,15 +141,19 @@
                 let _ = self.events.send(MemberEvent::Hanging);
                 self.read_until_closed()
             }
-            MemberBehavior::HoldReply(_) if is_execution(tag) => {
-                let _ = self.events.send(MemberEvent::ReplyHeld);
-                self.member.wait_for_release();
-                Some(())
-            }
+            MemberBehavior::HoldReply(_) if is_execution(tag) => self.wait_for_release(),
+            MemberBehavior::HoldOn(trigger) if trigger == tag => self.wait_for_release(),
             _ => Some(()),
         }
     }
 
+    /// Reports that a reply is held, and waits until it is released.
+    fn wait_for_release(&self) -> Option<()> {
+        let _ = self.events.send(MemberEvent::ReplyHeld);
+        self.member.wait_for_release();
+        Some(())
+    }
+
     /// Reads until the proxy closes the connection, and then ends it.
     fn read_until_closed(&mut self) -> Option<()> {
         while read_message(&mut self.stream).is_some() {}
