--- a/src/extended/execution.rs
+++ b/src/extended/execution.rs
@@ -1,12 +1,13 @@
 //! The execution of one batch on one member connection: the messages to write, the replies to expect, and
 //! which of these are sent to the client.
 
-use super::batch::{ExtendedBatch, ExtendedMessage, PreparedStatement};
+use super::batch::{ExtendedBatch, ExtendedMessage, PreparedStatement, timeout_ms};
 use super::statement_cache::{CacheLookup, PreparedStatementCache};
 use crate::pg;
 use crate::pg::message_tags::{backend, frontend};
 use std::collections::VecDeque;
 use std::sync::Arc;
+use std::time::Duration;
 
 /// The target of a Describe or a Close, as encoded in its first byte.
 const STATEMENT: &[u8] = b"S";
@@ -84,8 +85,8 @@
     /// An Execute has been added: messages go to `from_execute`.
     executes: bool,
     expected: VecDeque<ExpectedReply>,
-    /// How many of the expected replies belong to `from_execute`.
-    expected_from_execute: usize,
+    /// The time that its statements are prepared with, in milliseconds.
+    timeout_ms: u64,
     /// The client's replies.
     pub response: Vec<u8>,
     /// The SQLSTATE of the error that ended the batch.
@@ -93,33 +94,70 @@
 }
 
 impl BatchExecution {
-    /// Prepares the execution of a batch on the connection that has these statements. Statements of the batch
-    /// count as prepared there from now on.
-    pub fn new(batch: &ExtendedBatch, statements: &mut PreparedStatementCache) -> BatchExecution {
-        let mut execution = BatchExecution::default();
-        let mut expected_before_execute = 0;
-        for message in &batch.messages {
-            if matches!(message, ExtendedMessage::Execute { .. }) && !execution.executes {
-                execution.executes = true;
-                expected_before_execute = execution.expected.len();
-            }
+    /// Prepares the part of a batch before its first Execute, for the connection that has these statements,
+    /// with this time left for the batch. Statements of that part count as prepared there from now on.
+    pub fn new(
+        batch: &ExtendedBatch,
+        statements: &mut PreparedStatementCache,
+        time_left: Duration,
+    ) -> BatchExecution {
+        let mut execution = BatchExecution { timeout_ms: timeout_ms(time_left), ..Default::default() };
+        for message in batch.messages_before_execute() {
             execution.add(message, statements);
         }
-        if execution.executes {
-            execution.expected_from_execute = execution.expected.len() - expected_before_execute;
-        }
         execution
     }
 
+    /// Prepares the rest of the batch, with this time left. Where the time that the portals were bound with
+    /// is more than that, they are bound again, unseen by the client.
+    pub fn add_from_execute(
+        &mut self,
+        batch: &ExtendedBatch,
+        statements: &mut PreparedStatementCache,
+        time_left: Duration,
+    ) {
+        self.executes = true;
+        if time_left < Duration::from_millis(self.timeout_ms) {
+            self.timeout_ms = timeout_ms(time_left);
+            for message in batch.messages_before_execute() {
+                self.bind_again(message, statements);
+            }
+        }
+        for message in batch.messages_from_execute() {
+            self.add(message, statements);
+        }
+    }
+
+    fn bind_again(&mut self, message: &ExtendedMessage, statements: &mut PreparedStatementCache) {
+        let ExtendedMessage::Bind { portal, statement, arguments, .. } = message else { return };
+        if statement.timeout_digits.is_none() {
+            return;
+        }
+        self.put(frontend::CLOSE, &[PORTAL, portal, NUL]);
+        self.expected.push_back(ExpectedReply::CloseComplete { forwarded: false });
+        self.add_bind(portal, statement, arguments, statements, false);
+    }
+
+    fn add_bind(
+        &mut self,
+        portal: &[u8],
+        statement: &Arc<PreparedStatement>,
+        arguments: &[u8],
+        statements: &mut PreparedStatementCache,
+        forwarded: bool,
+    ) {
+        let name = self.add_statement(statement, statements, false);
+        self.put(frontend::BIND, &[portal, NUL, name.as_bytes(), NUL, arguments]);
+        self.expected.push_back(ExpectedReply::BindComplete { forwarded });
+    }
+
     fn add(&mut self, message: &ExtendedMessage, statements: &mut PreparedStatementCache) {
         match message {
             ExtendedMessage::Parse(statement) => {
                 self.add_statement(statement, statements, true);
             }
             ExtendedMessage::Bind { portal, statement, arguments, reply_forwarded } => {
-                let name = self.add_statement(statement, statements, false);
-                self.put(frontend::BIND, &[portal, NUL, name.as_bytes(), NUL, arguments]);
-                self.expected.push_back(ExpectedReply::BindComplete { forwarded: *reply_forwarded });
+                self.add_bind(portal, statement, arguments, statements, *reply_forwarded);
             }
             ExtendedMessage::DescribeStatement(statement) => {
                 let name = self.add_statement(statement, statements, false);
@@ -145,15 +183,16 @@
         }
     }
 
-    /// Ensures that the member has a statement, and returns its name there. `requested`: the client itself
-    /// prepares it and expects a ParseComplete.
+    /// Ensures that the member has a statement with the time that is left, and returns its name there.
+    /// `requested`: the client itself prepares it and expects a ParseComplete.
     pub(super) fn add_statement(
         &mut self,
         statement: &Arc<PreparedStatement>,
         statements: &mut PreparedStatementCache,
         requested: bool,
     ) -> String {
-        match statements.look_up(statement) {
+        let statement = statement.with_timeout(self.timeout_ms);
+        match statements.look_up(&statement) {
             CacheLookup::Hit { name } => {
                 if requested {
                     self.expected.push_back(ExpectedReply::Synthesized(backend::PARSE_COMPLETE));
@@ -169,7 +208,6 @@
                     frontend::PARSE,
                     &[name.as_bytes(), NUL, &statement.sql, NUL, &statement.parameter_types],
                 );
-                let statement = statement.clone();
                 self.expected.push_back(ExpectedReply::ParseComplete { statement, forwarded: requested });
                 name
             }
@@ -189,12 +227,13 @@
         }
     }
 
-    /// Whether all messages of `pre_execute` have been answered, or one of them by an error.
+    /// Whether all messages of `pre_execute` have been answered, or one of them by an error. To be called
+    /// before the rest of the batch is added.
     pub fn pre_execute_answered(&mut self) -> bool {
-        if self.error.is_none() && self.expected.len() > self.expected_from_execute {
+        if self.error.is_none() {
             self.add_synthesized_replies();
         }
-        self.error.is_some() || self.expected.len() <= self.expected_from_execute
+        self.error.is_some() || self.expected.is_empty()
     }
 
     /// Handles a reply of the member: its type byte and the complete message.
--- a/src/front/postgres/analysis.rs
+++ b/src/front/postgres/analysis.rs
@@ -78,11 +78,12 @@
         if writes && keyword != "with" && !self.is_write_class(class) {
             return Err(BatchError::WriteInReadClass { keyword });
         }
-        let timeout_ms = fields.timeout.map_or(self.config.wait_ms, |timeout| timeout.millis);
+        let timeout_ms = fields.timeout.as_ref().map_or(self.config.wait_ms, |timeout| timeout.millis);
         Ok(StatementDescription {
             prepared: Arc::new(PreparedStatement {
                 sql: sql.to_vec(),
                 parameter_types: parameter_types.to_vec(),
+                timeout_digits: fields.timeout.map(|timeout| timeout.digits),
             }),
             class,
             group: fields.group.unwrap_or(self.config.group),
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -23,6 +23,13 @@
 }
 
 impl BatchReplies<'_> {
+    /// Prepares what follows the messages before the first Execute, unless one of these has met an error.
+    fn add_from_execute(&mut self, batch: &ExtendedBatch, time_left: Duration) {
+        if batch.executes() && self.execution.error.is_none() {
+            self.execution.add_from_execute(batch, self.statements, time_left);
+        }
+    }
+
     /// Reads one reply; `None` if the connection ends.
     fn read(&mut self, connection: &mut OpenConnection) -> Option<Progress> {
         loop {
@@ -79,37 +86,40 @@
     ) -> Option<JobReply> {
         let executes = batch.executes();
         let confirm_first = batch.confirm_before_execute || !executes;
-        if self.limits.time_left().is_none() {
+        let Some(time_left) = self.limits.time_left() else {
             return Some(JobReply::not_begun());
-        }
+        };
         // Checked before the execution is created, as its statements count as prepared from then on.
         let started = if confirm_first { self.state.start_preparing() } else { self.state.begin() };
         if !started {
             return None;
         }
         let mut replies = BatchReplies {
-            execution: BatchExecution::new(batch, statements),
+            execution: BatchExecution::new(batch, statements, time_left),
             statements,
             status: MemberStatus::default(),
         };
         let pre_execute = std::mem::take(&mut replies.execution.pre_execute);
         if !confirm_first {
+            replies.add_from_execute(batch, time_left);
             return Some(self.finish_batch(pre_execute, replies, executes));
         }
-        if let Err(outcome) = self.confirm_pre_execute(pre_execute, &mut replies, executes) {
-            return Some(JobReply::failed(outcome));
+        match self.confirm_pre_execute(pre_execute, &mut replies, executes) {
+            Ok(time_left) => replies.add_from_execute(batch, time_left),
+            Err(outcome) => return Some(JobReply::failed(outcome)),
         }
         Some(self.finish_batch(Vec::new(), replies, executes))
     }
 
-    /// Sends the messages before the first Execute and waits until they are answered. On success, the job has
-    /// started, or there is nothing to execute: the batch executes nothing or has met an error.
+    /// Sends the messages before the first Execute and waits until they are answered; returns how much time
+    /// is left then. On success, the job has started, or there is nothing to execute: the batch executes
+    /// nothing or has met an error.
     fn confirm_pre_execute(
         &mut self,
         mut messages: Vec<u8>,
         replies: &mut BatchReplies<'_>,
         executes: bool,
-    ) -> Result<(), Outcome> {
+    ) -> Result<Duration, Outcome> {
         pg::put_message(&mut messages, frontend::FLUSH, &[]);
         let _ = self.connection.stream.set_read_timeout(Some(PRE_EXECUTE_TIMEOUT));
         let confirmed = self.write(&messages).is_ok() && replies.read_pre_execute(self.connection);
@@ -117,15 +127,13 @@
         if !confirmed {
             return Err(Outcome::ConnectFailed);
         }
-        if self.limits.time_left().is_none() {
-            // The batch is incomplete at the member: the connection can't be reused.
-            return Err(Outcome::NeverSent);
-        }
+        // Without time left, the batch is incomplete at the member: the connection can't be reused.
+        let time_left = self.limits.time_left().ok_or(Outcome::NeverSent)?;
         let will_execute = executes && replies.execution.error.is_none();
         if will_execute && !self.state.begin_prepared() {
             return Err(Outcome::ConnectFailed);
         }
-        Ok(())
+        Ok(time_left)
     }
 
     /// Sends the rest of the batch after these messages, and reads the replies.
@@ -135,9 +143,7 @@
         mut replies: BatchReplies<'_>,
         executes: bool,
     ) -> JobReply {
-        if replies.execution.error.is_none() {
-            messages.append(&mut replies.execution.from_execute);
-        }
+        messages.append(&mut replies.execution.from_execute);
         pg::put_message(&mut messages, frontend::SYNC, &[]);
         if let Err(WriteError { written }) = self.write(&messages) {
             let outcome = if written == 0 { Outcome::ConnectFailed } else { Outcome::Reset };
