--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -2,7 +2,7 @@
 
 use super::timers::TimerEvent;
 use super::{Core, Effect, FinalAnswer, NewRequest};
-use crate::{Event, Idempotency, Micros, RequestId};
+use crate::{Event, Idempotency, Micros, RequestId, hold_up_margin};
 use std::sync::Arc;
 
 /// Answers are given this long before the client's deadline, so that they arrive in time.
@@ -37,11 +37,13 @@
         self.idempotency == Idempotency::AtMostOnce && self.first_maybe_executed_at.is_some()
     }
 
-    /// How long members still recognize a repeat by its idempotency key; [`Micros::MAX`] where no key is
-    /// needed.
+    /// How long a repeat may still be begun so that members recognize it by its idempotency key, though this
+    /// proxy is held up before it writes; [`Micros::MAX`] where no key is needed.
     pub fn deduplication_time_left(&self, now: Micros) -> Micros {
         match (self.idempotency, self.first_maybe_executed_at) {
-            (Idempotency::Keyed { window, .. }, Some(first)) => (first + window).saturating_sub(now),
+            (Idempotency::Keyed { window, .. }, Some(first)) => {
+                (first + window).saturating_sub(now + hold_up_margin(window))
+            }
             _ => Micros::MAX,
         }
     }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -161,14 +161,14 @@
 #[test]
 fn bounded_read_must_start_while_the_replica_is_fresh_enough_and_is_cancelled_afterwards() {
     let mut core = core(true);
-    // The first attempt reaches a replica whose data is 150 ms old, the second one the primary.
+    // The first attempt reaches a replica whose data is 100 ms old, the second one the primary.
     let first = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
-    let effects = core.step(START, first.finished(Outcome::NotServable, Role::Replica, START - 150 * MS));
+    let effects = core.step(START, first.finished(Outcome::NotServable, Role::Replica, START - 100 * MS));
     let second = StartedAttempt::only_one_in(&effects);
     core.step(START + MS, second.finished(Outcome::Ok, Role::Primary, START));
 
     let read = start_request(&mut core, START + 10 * MS, 2, BOUNDED_READ);
-    assert_eq!(read.start_within, 40 * MS, "the bound of 200 ms less an age of 160 ms by now");
+    assert_eq!(read.start_within, 40 * MS, "the bound of 200 ms less a quarter and an age of 110 ms by now");
     let effects = core.step(START + 49 * MS, Input::TimerDue);
     assert!(unsent_cancellations(&effects).is_empty());
     let effects = core.step(START + 51 * MS, Input::TimerDue);
@@ -182,7 +182,11 @@
     assert_eq!(first.start_within, Micros::MAX);
     let effects = core.step(START + 100 * MS, first.finished(Outcome::Error, Role::Primary, START));
     let retry = StartedAttempt::only_one_in(&effects);
-    assert_eq!(retry.start_within, 200 * MS, "the window of 300 ms less the 100 ms that have passed");
+    assert_eq!(
+        retry.start_within,
+        125 * MS,
+        "the window of 300 ms less a quarter and the 100 ms that have passed"
+    );
 }
 
 #[test]
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -4,6 +4,7 @@
 
 mod endpoint;
 mod event;
+mod hold_up;
 mod request;
 mod settings;
 mod settings_document;
@@ -12,6 +13,7 @@
     EndpointCounts, EndpointEntry, EndpointId, EndpointState, GroupId, LoadReport, ResponseMetadata, Role,
 };
 pub use event::{Action, Event};
+pub use hold_up::hold_up_margin;
 pub use request::{AttemptResult, Class, Idempotency, Outcome, Request, RequestId, Requirement};
 pub use settings::{Settings, StaleReadBehavior};
 pub use settings_document::SettingsError;
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -94,7 +94,19 @@
     }
 
     fn required_position(&self, pending: &PendingRequest) -> Micros {
-        pending.required_position_at(self.now, &self.settings.classes[pending.request.class])
+        let class = &self.settings.classes[pending.request.class];
+        pending.required_position_at(self.now, class) + self.staleness_margin(class)
+    }
+
+    /// Departure: where endpoints serve stale data, a bound is not used to its end. Guards against a proxy
+    /// that is held up between the selection and the write.
+    fn staleness_margin(&self, class: &Class) -> Micros {
+        match class.requirement {
+            Requirement::BoundedStaleness(bound) if self.settings.endpoints_serve_stale() => {
+                hold_up_margin(bound)
+            }
+            _ => 0,
+        }
     }
 
     fn expected_position(&self, index: EndpointIndex) -> Micros {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -68,7 +68,8 @@
         let may_run_again = |first_run_at| match self.settings.classes[pending.request.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed { window, .. } => {
-                ((self.now - first_run_at) as f64) < window as f64 * WINDOW_USED
+                let usable = (window as f64 * WINDOW_USED) as Micros;
+                self.now - first_run_at < usable.min(window - hold_up_margin(window))
             }
             Idempotency::AtMostOnce => false,
         };
@@ -119,7 +120,7 @@
             (_, Role::Primary) => ANSWER_VALIDITY / 2,
             (Requirement::BoundedStaleness(bound), Role::Replica) => {
                 let position = self.topology[index].replication.known_position();
-                (position + bound).saturating_sub(self.now)
+                (position + bound).saturating_sub(self.now + hold_up_margin(bound))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
         }
--- a/tests/policy/freshness.rs
+++ b/tests/policy/freshness.rs
@@ -197,3 +197,35 @@
     harness.report(2, Role::Primary, between);
     assert_eq!(sent_to(&harness.request(1, LATEST)), None, "member 2 has said since that it is a replica");
 }
+
+/// Guards against a read that is too old once it is written, as the proxy was held up after the selection.
+#[test]
+fn a_bounded_read_leaves_time_for_a_hold_up_where_endpoints_serve_stale() {
+    for (age, expected) in [(640, true), (660, false)] {
+        let settings = Settings { probes: false, ..settings_serving_stale() };
+        let mut harness = RouterHarness::with_known_roles(settings, 2);
+        harness.advance(2000 * MS);
+        harness.report(1, Role::Primary, harness.now);
+        harness.report(2, Role::Replica, harness.now - age * MS);
+        let actions = harness.request(1, BOUNDED_STALENESS);
+        assert_eq!(sent_to(&actions) == Some(2), expected, "the bound is 800 ms, the age {age} ms");
+        let limits = actions.iter().filter_map(|action| match action {
+            Action::Send { endpoint: EndpointId(2), start_within, .. } => Some(*start_within),
+            _ => None,
+        });
+        assert!(limits.eq(expected.then_some(10 * MS)), "150 ms are left when it must have started");
+    }
+}
+
+/// Guards against a repeat that is written after its window, as the proxy was held up after the decision.
+#[test]
+fn a_keyed_write_is_not_repeated_when_a_hold_up_could_carry_it_out_of_its_window() {
+    for (passed, expected) in [(1840, true), (1860, false)] {
+        let mut harness = RouterHarness::with_known_roles(settings(), 2);
+        let write = Request { remaining: 9000 * MS, ..request(1, WRITE) };
+        assert_eq!(sent_to(&harness.handle(Event::Request(write))), Some(1));
+        harness.advance(passed * MS);
+        let repeated = sent_to(&harness.end_attempt(1, 0, 1, Outcome::Error, None));
+        assert_eq!(repeated.is_some(), expected, "{passed} ms of 2000 ms have passed");
+    }
+}
