--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -87,7 +87,7 @@
             return Some(never_sent(request, attempt, endpoint));
         };
         let verify_connection = self.must_verify(now, &connection, idempotency);
-        let spec = JobSpec::Attempt { work, timeout, start_within, verify_connection };
+        let spec = JobSpec::Attempt { request, work, timeout, start_within, verify_connection };
         let purpose = JobPurpose::Attempt { request, attempt };
         let job = self.start_job(now, connection, endpoint, purpose, timeout, spec);
         if start_within < timeout {
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -25,6 +25,8 @@
 pub enum JobSpec<W> {
     /// Send an attempt and wait for its response.
     Attempt {
+        /// The request that it serves.
+        request: RequestId,
         /// The work to send.
         work: Arc<W>,
         /// How long this proxy waits for the response, from the step that starts the attempt. The member is
@@ -107,7 +109,8 @@
         /// When the proxy shuts down.
         deadline: Micros,
     },
-    /// The time that [`Core::next_timer_at`](super::Core::next_timer_at) returned has been reached.
+    /// The time that [`Core::next_timer_at`](super::Core::next_timer_at) returned has been reached. To be
+    /// repeated while a timer is due.
     TimerDue,
 }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -112,8 +112,13 @@
         std::mem::take(&mut self.effects)
     }
 
+    /// Fires the timers that are due, up to one that requests an effect: the reply to the effect comes before
+    /// the next timer. Guards against a process that was held up: the deadline of a request must not count an
+    /// attempt whose cancellation has not been carried out yet.
     fn fire_due_timers(&mut self, now: Micros) {
-        while let Some(event) = self.timers.pop_due(now) {
+        while self.effects.is_empty()
+            && let Some(event) = self.timers.pop_due(now)
+        {
             match event {
                 TimerEvent::Router(token) => self.notify_router(now, Event::TimerFired(token)),
                 TimerEvent::JobTimeout(job) => self.cancel_job(job, CancelReason::TimedOut),
--- a/src/front/request_registry.rs
+++ b/src/front/request_registry.rs
@@ -38,6 +38,11 @@
         id
     }
 
+    /// The client of an open request.
+    pub fn client_of(&self, request: RequestId) -> Option<ClientId> {
+        self.owners.get(&request).map(|owner| owner.client)
+    }
+
     /// Closes a request and returns the client that it belongs to; `None` if it is not open.
     pub fn close(&mut self, request: RequestId) -> Option<ClientId> {
         let Owner { client, external_id } = self.owners.remove(&request)?;
--- a/src/net/client/handle.rs
+++ b/src/net/client/handle.rs
@@ -1,5 +1,6 @@
 //! The event loop's handles: one for each client connection, and one for the reactor.
 
+use super::presence::ClientPresence;
 use super::shared::{CLOSED, ConnectionShared, ReactorShared};
 use super::write_buffer::Added;
 use std::net::Shutdown;
@@ -33,6 +34,11 @@
         open
     }
 
+    /// Tells other threads whether the client has left.
+    pub fn presence(&self) -> ClientPresence {
+        ClientPresence::new(Arc::downgrade(&self.shared))
+    }
+
     /// Allows the client another command.
     pub fn command_answered(&self) {
         self.shared.command_answered();
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -10,6 +10,7 @@
 mod connection;
 mod deadlines;
 mod handle;
+mod presence;
 mod reactor;
 mod readiness;
 mod shared;
@@ -17,6 +18,7 @@
 
 pub use accept_gate::ClientListener;
 pub use handle::{ClientHandle, ReactorHandle};
+pub use presence::ClientPresence;
 pub use reactor::ClientReactor;
 
 use crate::client::{ClientBatch, ClientEvent, ClientId, SimpleQuery};
--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -165,7 +165,7 @@
         let mut execution = JobExecution {
             connection: &mut open,
             state: &job.state,
-            limits: job.limits,
+            conditions: &job.conditions,
             on_written: &|| self.notify(Input::AttemptWritten),
         };
         let reply = execution.run(&job.what, &mut state.statements);
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -86,7 +86,7 @@
     ) -> Option<JobReply> {
         let executes = batch.executes();
         let confirm_first = batch.confirm_before_execute || !executes;
-        let Some(time_left) = self.limits.time_left() else {
+        let Some(time_left) = self.conditions.time_left() else {
             return Some(JobReply::not_begun());
         };
         // Checked before the execution is created, as its statements count as prepared from then on.
@@ -128,7 +128,7 @@
             return Err(Outcome::ConnectFailed);
         }
         // Without time left, the batch is incomplete at the member: the connection can't be reused.
-        let time_left = self.limits.time_left().ok_or(Outcome::NeverSent)?;
+        let time_left = self.conditions.time_left().ok_or(Outcome::NeverSent)?;
         let will_execute = executes && replies.execution.error.is_none();
         if will_execute && !self.state.begin_prepared() {
             return Err(Outcome::ConnectFailed);
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -3,7 +3,7 @@
 use super::connect::OpenConnection;
 use super::job_state::JobState;
 use super::load_report::MemberStatus;
-use super::time_limits::TimeLimits;
+use super::start_conditions::StartConditions;
 use crate::core::{JobId, JobResult, JobSpec};
 use crate::exchange::{MemberRequest, MemberResponse};
 use crate::extended::PreparedStatementCache;
@@ -22,8 +22,8 @@
     pub(super) id: JobId,
     /// The work of the job.
     pub(super) what: JobSpec<MemberRequest>,
-    /// The time limits of the job.
-    pub(super) limits: TimeLimits,
+    /// The conditions under which the job may start.
+    pub(super) conditions: StartConditions,
     /// The progress of the job.
     pub(super) state: Arc<JobState>,
 }
@@ -73,8 +73,8 @@
     pub(super) connection: &'a mut OpenConnection,
     /// The progress of the job.
     pub(super) state: &'a JobState,
-    /// The time limits of the job.
-    pub(super) limits: TimeLimits,
+    /// The conditions under which the job may start.
+    pub(super) conditions: &'a StartConditions,
     /// Called when the last byte of an attempt has been written.
     pub(super) on_written: &'a dyn Fn(),
 }
@@ -103,7 +103,7 @@
         wait_digits: Option<&Range<usize>>,
         health_check: bool,
     ) -> Option<JobReply> {
-        let Some(time_left) = self.limits.time_left() else {
+        let Some(time_left) = self.conditions.time_left() else {
             return Some(JobReply::not_begun());
         };
         if !self.state.begin() {
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -11,10 +11,11 @@
 mod load_report;
 mod outcome;
 mod simple_query;
-mod time_limits;
+mod start_conditions;
 mod worker_pool;
 
 pub use events::MemberEvents;
+pub use start_conditions::StartConditions;
 pub use worker_pool::WorkerPool;
 
 use crate::core::{ConnectionId, JobId, JobSpec};
@@ -24,8 +25,7 @@
 use job_state::JobState;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
-use time_limits::TimeLimits;
+use std::time::Duration;
 use worker_pool::AssignedJob;
 
 /// The result of withdrawing a job.
@@ -69,12 +69,16 @@
         }
     }
 
-    /// Starts a job that was decided at this time; `false` if there is no thread for it.
-    pub fn start_job(&mut self, job: JobId, what: JobSpec<MemberRequest>, decided_at: Instant) -> bool {
+    /// Starts a job on the connection; `false` if there is no thread for it.
+    pub fn start_job(
+        &mut self,
+        job: JobId,
+        what: JobSpec<MemberRequest>,
+        conditions: StartConditions,
+    ) -> bool {
         self.job = job;
         self.state = Arc::new(JobState::queued());
-        let limits = TimeLimits::of(&what, decided_at);
-        let job = Job { id: job, what, limits, state: self.state.clone() };
+        let job = Job { id: job, what, conditions, state: self.state.clone() };
         self.workers.dispatch(AssignedJob { connection: self.connection.clone(), job })
     }
 
--- a/src/net/member/time_limits.rs
+++ b/src/net/member/start_conditions.rs
@@ -1,39 +1,46 @@
-//! The time limits of a job: when it must have started, and how long the proxy waits for its result.
+//! The conditions under which a job may still start: its time limits, and a client that waits for it.
 
 #[cfg(test)]
 mod tests;
 
 use crate::core::JobSpec;
+use crate::net::client::ClientPresence;
 use std::time::{Duration, Instant};
 
 /// An attempt with less time than this is not begun: members are told whole milliseconds.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// The time limits of a job. They count from the decision to start it, whatever delays the start: the
-/// proxy's own threads, opening the connection, a liveness check.
-#[derive(Clone, Copy)]
-pub(super) struct TimeLimits {
+/// The conditions of a job. Its time limits count from the decision to start it, whatever delays the start:
+/// the proxy's own threads, opening the connection, a liveness check.
+pub struct StartConditions {
     /// The job must not start later than this.
     start_by: Option<Instant>,
     /// The proxy waits for the result until then.
     wait_until: Option<Instant>,
+    /// The client of the request.
+    client: Option<ClientPresence>,
 }
 
-impl TimeLimits {
-    /// The limits of a job that was decided at this time.
-    pub(super) fn of<W>(job: &JobSpec<W>, decided_at: Instant) -> TimeLimits {
+impl StartConditions {
+    /// The conditions of a job that was decided at this time, for this client if there is one.
+    pub fn new<W>(job: &JobSpec<W>, decided_at: Instant, client: Option<ClientPresence>) -> StartConditions {
         match job {
-            JobSpec::Attempt { timeout, start_within, .. } => TimeLimits {
+            JobSpec::Attempt { timeout, start_within, .. } => StartConditions {
                 start_by: decided_at.checked_add(Duration::from_micros(*start_within)),
                 wait_until: decided_at.checked_add(Duration::from_micros(*timeout)),
+                client,
             },
-            JobSpec::Probe => TimeLimits { start_by: None, wait_until: None },
+            JobSpec::Probe => StartConditions { start_by: None, wait_until: None, client: None },
         }
     }
 
-    /// How long the proxy still waits for the result; `None` if the job must not start any more. Read right
-    /// before the job is written, as the member is told this time.
+    /// How long the proxy still waits for the result; `None` if the job must not start any more. Evaluated
+    /// right before the job is written: the member is told this time, and nothing may be sent for a client
+    /// that has left.
     pub(super) fn time_left(&self) -> Option<Duration> {
+        if self.client.as_ref().is_some_and(ClientPresence::has_left) {
+            return None;
+        }
         self.time_left_at(Instant::now())
     }
 
--- a/src/net/member/time_limits/tests.rs
+++ b/src/net/member/start_conditions/tests.rs
@@ -4,27 +4,27 @@
 const MS: u64 = 1000;
 
 fn attempt(timeout: u64, start_within: u64) -> JobSpec<()> {
-    JobSpec::Attempt { work: Arc::new(()), timeout, start_within, verify_connection: false }
+    JobSpec::Attempt { request: 1, work: Arc::new(()), timeout, start_within, verify_connection: false }
 }
 
 #[test]
 fn time_left_counts_from_the_decision_and_ends_a_whole_millisecond_early() {
     let decided_at = Instant::now();
-    let limits = TimeLimits::of(&attempt(100 * MS, u64::MAX), decided_at);
-    let left_after = |millis| limits.time_left_at(decided_at + Duration::from_millis(millis));
+    let conditions = StartConditions::new(&attempt(100 * MS, u64::MAX), decided_at, None);
+    let left_after = |millis| conditions.time_left_at(decided_at + Duration::from_millis(millis));
     assert_eq!(left_after(30), Some(Duration::from_millis(70)));
     assert_eq!(left_after(99), Some(MIN_WAIT));
-    assert_eq!(limits.time_left_at(decided_at + Duration::from_micros(99 * MS + 1)), None);
+    assert_eq!(conditions.time_left_at(decided_at + Duration::from_micros(99 * MS + 1)), None);
     assert_eq!(left_after(200), None);
 }
 
 #[test]
 fn job_must_start_within_its_limit_though_time_is_left() {
     let decided_at = Instant::now();
-    let limits = TimeLimits::of(&attempt(100 * MS, 10 * MS), decided_at);
-    let left_after = |millis| limits.time_left_at(decided_at + Duration::from_millis(millis));
+    let conditions = StartConditions::new(&attempt(100 * MS, 10 * MS), decided_at, None);
+    let left_after = |millis| conditions.time_left_at(decided_at + Duration::from_millis(millis));
     assert_eq!(left_after(10), Some(Duration::from_millis(90)));
     assert_eq!(left_after(11), None);
-    let probe = TimeLimits::of(&JobSpec::<()>::Probe, decided_at);
+    let probe = StartConditions::new(&JobSpec::<()>::Probe, decided_at, None);
     assert!(probe.time_left_at(decided_at + Duration::from_secs(9)).is_some());
 }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -45,7 +45,7 @@
     }
 
     fn handle_due_times(&mut self, now: Micros) {
-        if self.reducer.next_timer_at().is_some_and(|timer_at| timer_at <= now) {
+        while self.reducer.next_timer_at().is_some_and(|timer_at| timer_at <= now) {
             self.step_reducer(now, Input::TimerDue);
         }
         if self.ready_at.is_some_and(|ready_at| ready_at <= now) {
--- a/src/server/fronts.rs
+++ b/src/server/fronts.rs
@@ -74,6 +74,11 @@
         }
     }
 
+    /// The client that sent a request which has not ended.
+    pub(super) fn client_of(&self, request: RequestId) -> Option<ClientId> {
+        self.requests.client_of(request)
+    }
+
     /// Ends a request; returns the client that sent it, unless it had already ended.
     pub(super) fn close_request(&mut self, request: RequestId) -> Option<ClientId> {
         self.requests.close(request)
--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -3,7 +3,8 @@
 use super::{LOG_TARGET, Server};
 use crate::core::{ConnectionId, Effect, FinalAnswer, Input, JobId, JobResult, JobSpec};
 use crate::exchange::{MemberRequest, MemberResponse};
-use crate::net::member::{MemberHandle, Withdrawal};
+use crate::net::client::ClientHandle;
+use crate::net::member::{MemberHandle, StartConditions, Withdrawal};
 use crate::{Micros, Outcome, RequestId};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,9 +37,9 @@
     }
 
     fn start_job(&mut self, now: Micros, connection: ConnectionId, job: JobId, spec: JobSpec<MemberRequest>) {
+        let conditions = self.start_conditions(now, &spec);
         let handle = self.member_connections.get_mut(&connection);
-        let decided_at = self.clock.instant(now);
-        if handle.is_some_and(|handle| handle.start_job(job, spec, decided_at)) {
+        if handle.is_some_and(|handle| handle.start_job(job, spec, conditions)) {
             return;
         }
         // Guards against counting the proxy's own lack of threads as the member's fault.
@@ -49,6 +50,15 @@
         self.step_reducer(now, Input::ConnectionClosed(connection));
     }
 
+    fn start_conditions(&self, now: Micros, spec: &JobSpec<MemberRequest>) -> StartConditions {
+        let client = match spec {
+            JobSpec::Attempt { request, .. } => self.fronts.client_of(*request),
+            JobSpec::Probe => None,
+        };
+        let client = client.and_then(|id| self.clients.get(&id)).map(ClientHandle::presence);
+        StartConditions::new(spec, self.clock.instant(now), client)
+    }
+
     fn cancel_job(&mut self, now: Micros, connection: ConnectionId, job: JobId) {
         let handle = self.member_connections.get(&connection);
         let withdrawal = handle.map_or(Withdrawal::CUT, |handle| handle.abandon(job));
--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -4,5 +4,6 @@
 mod clients;
 mod deadlines;
 mod discovery;
+mod held_up;
 mod members;
 mod shutdown;
--- a/tests/proxy/support/proxy.rs
+++ b/tests/proxy/support/proxy.rs
@@ -190,6 +190,24 @@
     pub fn signal(&self, name: &str) {
         assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
     }
+
+    /// Stops the process, and returns once none of its threads runs any more.
+    pub fn suspend(&self) {
+        self.signal("-STOP");
+        let tasks = format!("/proc/{}/task", self.child.id());
+        let is_stopped = |task: std::fs::DirEntry| {
+            let status = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
+            status.rsplit(')').next().is_some_and(|fields| fields.starts_with(" T"))
+        };
+        while !std::fs::read_dir(&tasks).unwrap().flatten().all(is_stopped) {
+            std::thread::yield_now();
+        }
+    }
+
+    /// Lets the process go on.
+    pub fn resume(&self) {
+        self.signal("-CONT");
+    }
 }
 
 impl Drop for Proxy {
