--- a/tests/proxy/races/clients.rs
+++ b/tests/proxy/races/clients.rs
@@ -2,6 +2,7 @@
 
 use crate::support::*;
 use std::io::{ErrorKind, Read};
+use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
 /// Guards against a client that sends many commands at once and disconnects: its close stands behind bytes
@@ -131,3 +132,63 @@
         assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
     }
 }
+
+/// Guards against an attempt, the first one or a retry, that waits for its connection to open when its client
+/// closes, closes its sending side, or cancels, and is sent once the connection is open. Both listeners.
+#[test]
+fn waiting_attempt_or_retry_is_not_sent_after_its_client_has_closed_or_cancelled() {
+    for ending in [Ending::Closed, Ending::SendingSideClosed, Ending::Cancelled] {
+        for extended in [false, true] {
+            for retry in [false, true] {
+                check_waiting_attempt_is_not_sent(ending, extended, retry);
+            }
+        }
+    }
+}
+
+/// How a client ends its request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Ending {
+    Closed,
+    SendingSideClosed,
+    Cancelled,
+}
+
+fn check_waiting_attempt_is_not_sent(ending: Ending, extended: bool, retry: bool) {
+    let case = format!("{ending:?}, extended {extended}, retry {retry}");
+    let (primary, replica) = (MockMember::start(true), MockMember::start(false));
+    let proxy = Proxy::start_with_shell(&[&primary, &replica], &shell_without_probes(""), "");
+    primary.plan(&[MemberBehavior::ServeThenClose]);
+    assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED, "the primary is known");
+    primary.wait_for(MemberEvent::ConnectionClosed);
+    // The first attempt goes to the replica, a retry to the primary.
+    let execution = if extended { b'E' } else { b'Q' };
+    let waits_for = if retry { &primary } else { &replica };
+    replica.plan(&[MemberBehavior::ResetOn(execution)]);
+    waits_for.hold_greetings();
+    let mut client = if extended { proxy.connect_extended() } else { proxy.connect() };
+    let read = "SELECT payload FROM entries WHERE ref = $1 /* id=2,c=any,d=9000,cluster=2 */";
+    client.send(&match extended {
+        true => extended_messages(&format!("P - {read} | B - - 7f | E - | S")),
+        false => simple_query(&read.replace("$1", "'7f'")),
+    });
+    waits_for.wait_for(MemberEvent::GreetingHeld);
+    match ending {
+        Ending::Closed => drop(client),
+        Ending::SendingSideClosed => client.stream.shutdown(Shutdown::Write).unwrap(),
+        Ending::Cancelled => {
+            let address = if extended { proxy.extended_address.unwrap() } else { proxy.address };
+            let _cancel = client.send_cancel_to(address);
+            assert_eq!(client.read_reply(), "E(08007) Z", "{case}");
+        }
+    }
+    wait_for_counter(&proxy, "pending=0\n");
+    replica.replace_plan(&[]);
+    waits_for.release_greetings();
+    // The connection that was opened for it serves another request.
+    let text = if retry { write_query(3, 9000) } else { read_query(3).replace("d=900", "d=9000") };
+    assert_eq!(proxy.connect().query(&text), SERVED, "{case}");
+    let received = waits_for.received();
+    assert!(received.iter().all(|message| !message.contains("id=2,")), "{case}: {received:?}");
+    assert_eq!(replica.executed_count(), 1, "{case}: the first attempt, or the other request");
+}
