--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -11,9 +11,11 @@
 mod load_report;
 mod outcome;
 mod simple_query;
+mod start_conditions;
 mod worker_pool;
 
 pub use events::MemberEvents;
+pub use start_conditions::StartConditions;
 pub use worker_pool::WorkerPool;
 
 use crate::core::{ConnectionId, JobId, JobSpec};
@@ -23,7 +25,7 @@
 use job_state::JobState;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use worker_pool::AssignedJob;
 
 /// The result of withdrawing a job.
@@ -68,16 +70,15 @@
     }
 
     /// Starts a job on the connection; `false` if there is no thread for it.
-    pub fn start_job(&mut self, job: JobId, what: JobSpec<MemberRequest>) -> bool {
+    pub fn start_job(
+        &mut self,
+        job: JobId,
+        what: JobSpec<MemberRequest>,
+        conditions: StartConditions,
+    ) -> bool {
         self.job = job;
         self.state = Arc::new(JobState::queued());
-        let start_deadline = match what {
-            JobSpec::Attempt { start_within: within, .. } => {
-                Instant::now().checked_add(Duration::from_micros(within))
-            }
-            JobSpec::Probe => None,
-        };
-        let job = Job { id: job, what, start_deadline, state: self.state.clone() };
+        let job = Job { id: job, what, conditions, state: self.state.clone() };
         self.workers.dispatch(AssignedJob { connection: self.connection.clone(), job })
     }
 
--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -2,7 +2,9 @@
 //! is forced and not left to chance; `docs/race-conditions.md` lists them.
 
 mod clients;
+mod deadlines;
 mod discovery;
+mod held_up;
 mod members;
 mod short_deadlines;
 mod shutdown;
--- a/tests/proxy/support/proxy.rs
+++ b/tests/proxy/support/proxy.rs
@@ -1,7 +1,7 @@
 //! The real program as a process, and its configuration.
 
 use super::{
-    Client, MockDiscovery, MockMember, SERVED, TEST_TIMEOUT, endpoint_entry, full_list, write_query,
+    Client, Faults, MockDiscovery, MockMember, SERVED, TEST_TIMEOUT, endpoint_entry, full_list, write_query,
 };
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -107,7 +107,12 @@
         Proxy::start_with_limits(members, shell, file, DEFAULT_LIMITS)
     }
 
-    /// The same within these limits.
+    /// Starts the program by this shell command with these faults of its system calls.
+    pub fn start_with_faults(members: &[&MockMember], shell: &str, faults: &Faults) -> Proxy {
+        Proxy::start_with_shell(members, &faults.preload_in_shell(shell), "")
+    }
+
+    /// [`Proxy::start_with_shell`] within these limits.
     pub fn start_with_limits(members: &[&MockMember], shell: &str, file: &str, limits: &str) -> Proxy {
         Proxy::start_with_stdin(Stdio::null(), members, shell, file, limits)
     }
@@ -124,7 +129,17 @@
         let entries: Vec<_> = members.iter().enumerate().map(entry).collect();
         // Without members, discovery is down.
         let list = if members.is_empty() { String::new() } else { full_list(1, &entries) };
-        let discovery = MockDiscovery::start(list);
+        Proxy::start_with_discovery(stdin, MockDiscovery::start(list), shell, file, limits)
+    }
+
+    /// The same with this discovery.
+    pub fn start_with_discovery(
+        stdin: Stdio,
+        discovery: MockDiscovery,
+        shell: &str,
+        file: &str,
+        limits: &str,
+    ) -> Proxy {
         let directory = create_directory();
         let configuration = configuration(&discovery).replace(DEFAULT_LIMITS, limits);
         std::fs::write(directory.join("config.json"), configuration).unwrap();
@@ -190,6 +205,24 @@
     pub fn signal(&self, name: &str) {
         assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
     }
+
+    /// Stops the process, and returns once none of its threads runs any more.
+    pub fn suspend(&self) {
+        self.signal("-STOP");
+        let tasks = format!("/proc/{}/task", self.child.id());
+        let is_stopped = |task: std::fs::DirEntry| {
+            let status = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
+            status.rsplit(')').next().is_some_and(|fields| fields.starts_with(" T"))
+        };
+        while !std::fs::read_dir(&tasks).unwrap().flatten().all(is_stopped) {
+            std::thread::yield_now();
+        }
+    }
+
+    /// Lets the process go on.
+    pub fn resume(&self) {
+        self.signal("-CONT");
+    }
 }
 
 impl Drop for Proxy {
