--- a/src/net/client/commands.rs
+++ b/src/net/client/commands.rs
@@ -88,10 +88,7 @@
                 self.report_batch(end, events);
                 Ok(ControlFlow::Continue(()))
             }
-            Some((
-                frontend::PARSE | frontend::BIND | frontend::EXECUTE | frontend::DESCRIBE | frontend::CLOSE,
-                message,
-            )) => {
+            Some((tag, message)) if begins_or_continues_batch(tag) => {
                 batch.push(message)?;
                 Ok(ControlFlow::Continue(()))
             }
@@ -103,9 +100,16 @@
         }
     }
 
-    /// Bytes have arrived, but the limits on unanswered commands do not allow another one.
+    /// The next message would complete a command, but the limits on unanswered commands do not allow another
+    /// one. Guards against a client that stops within a command behind others: it is read from until the
+    /// command is complete, and so has a deadline for that.
     fn must_wait_for_capacity(&self) -> bool {
-        !self.frames.buffered().is_empty() && !self.shared.has_capacity()
+        let is_part_of_batch = |tag| match self.parse_state {
+            ParseState::Extended(_) => begins_or_continues_batch(tag),
+            ParseState::Startup | ParseState::Simple => false,
+        };
+        let completes_command = self.frames.complete_message_tag().is_some_and(|tag| !is_part_of_batch(tag));
+        completes_command && !self.shared.has_capacity()
     }
 
     /// Counts the completed batch, and reports it.
@@ -153,6 +157,11 @@
     Ok(text)
 }
 
+/// A message of a batch other than the one that ends it.
+fn begins_or_continues_batch(tag: u8) -> bool {
+    matches!(tag, frontend::PARSE | frontend::BIND | frontend::EXECUTE | frontend::DESCRIBE | frontend::CLOSE)
+}
+
 /// A message that clients may send, but that the simple query protocol here does not support.
 fn is_known_but_unsupported(tag: u8) -> bool {
     matches!(
--- a/src/pg/frame_reader.rs
+++ b/src/pg/frame_reader.rs
@@ -104,6 +104,15 @@
         Ok(Some(packet))
     }
 
+    /// The type of a client's next message, if it has arrived completely. An invalid length counts as complete:
+    /// nothing more is waited for.
+    pub fn complete_message_tag(&self) -> Option<u8> {
+        let tag = *self.buffered().first()?;
+        let length = length_at(self.buffered(), 1)?;
+        let is_complete = length > MAX_MESSAGE_BYTES || self.buffered().len() > length;
+        is_complete.then_some(tag)
+    }
+
     /// Consumes the next complete message of a client: its type, and all its bytes with type and length.
     pub fn next_message(&mut self) -> Result<Option<(u8, &[u8])>, ProtocolError> {
         self.next_frame(|_| Some(LENGTH_FIELD_BYTES..=MAX_MESSAGE_BYTES))
--- a/tests/proxy/platform/mod.rs
+++ b/tests/proxy/platform/mod.rs
@@ -5,3 +5,4 @@
 mod endpoint_list;
 mod faults;
 mod messages;
+mod partial_messages;
