--- a/tests/proxy/platform/endpoint_list.rs
+++ b/tests/proxy/platform/endpoint_list.rs
@@ -153,3 +153,48 @@
         assert!(limit.holds(&usual, &large, 3200), "{}: {usual:?} and {large:?}", limit.name);
     }
 }
+
+fn descriptor_count(proxy: &Proxy) -> usize {
+    std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).unwrap().count()
+}
+
+/// Guards against watches that are left behind, or a watch on an address that no longer counts, where configurations
+/// come one after another, some of them invalid.
+#[test]
+fn reloads_in_quick_succession_end_up_with_the_last_valid_configuration() {
+    let (primary, stale, latest) =
+        (MockMember::start(true), MockMember::start(true), MockMember::start(true));
+    let proxy = Proxy::start(&[&primary]);
+    let list = |member| serving_list(5, &[(7, member)]);
+    let passing = [list(&stale), String::new()].map(MockDiscovery::start);
+    let last = MockDiscovery::start(list(&latest));
+    let before = descriptor_count(&proxy);
+    for round in 0..12 {
+        match round % 3 {
+            0 => proxy.reload("{\"name\":"),
+            n => proxy.reload(&configuration_at(passing[n - 1].address)),
+        }
+    }
+    proxy.reload(&configuration_at(last.address));
+    // Until it is read: a file that is replaced before that never counts.
+    last.wait_for_watch();
+    proxy.reload("{}");
+    let mut client = proxy.connect();
+    let start = Instant::now();
+    while latest.executed_count() == 0 {
+        client.query(&write_query(1, 900));
+        assert!(start.elapsed() < Duration::from_secs(10), "the last discovery is never used");
+    }
+    // The others no longer count, and their watches end.
+    passing[0].push(&endpoint_update(9, &endpoint_entry(7, &latest, "DRAINING")));
+    while descriptor_count(&proxy) > before + 2 {
+        assert!(start.elapsed() < Duration::from_secs(10), "{} of {before}", descriptor_count(&proxy));
+    }
+    assert_eq!(client.query(&write_query(2, 900)), SERVED);
+    assert_eq!(statement_count(&latest, "id=2,"), 1);
+}
+
+/// How often a member executed a statement with this text.
+fn statement_count(member: &MockMember, text: &str) -> usize {
+    member.executed().iter().filter(|statement| statement.contains(text)).count()
+}
