--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -5,6 +5,7 @@
 const PROBE_SHARE: f64 = 0.5; // Probes for each request, ...
 pub(super) const INTERVAL_MIN: Micros = 250_000; // ... and the least interval between two of an endpoint.
 const URGENCY: Micros = 4; // Probe rate factor at endpoints that are down and in groups not led.
+const OUTDATED_MULTIPLE: Micros = 8; // An interval that is so many times the current one is outdated.
 
 impl Router {
     pub(super) fn start_probes(&mut self) {
@@ -14,6 +15,7 @@
         let rate = PROBE_SHARE * self.traffic.arrivals.at(self.now);
         let usual = (self.topology.endpoint_count() as f64 / rate.max(0.001) * 1e6) as Micros;
         for index in self.topology.indices() {
+            self.shorten_outdated_interval(index, usual.max(INTERVAL_MIN));
             if !self.may_probe(index) {
                 continue;
             }
@@ -25,10 +27,21 @@
             }
             let jitter = self.random.below(interval / 4);
             endpoint.next_probe_at = self.now + interval - interval / 8 + jitter;
+            endpoint.probe_interval = interval;
             self.probe(index);
         }
     }
 
+    /// Guards against probes that were scheduled while there was next to no traffic: the next one would come an
+    /// hour after a quiet time.
+    fn shorten_outdated_interval(&mut self, index: EndpointIndex, interval: Micros) {
+        let endpoint = &mut self.topology[index];
+        if endpoint.probe_interval > OUTDATED_MULTIPLE * interval {
+            endpoint.probe_interval = interval;
+            endpoint.next_probe_at = endpoint.next_probe_at.min(self.now + self.random.below(interval));
+        }
+    }
+
     fn may_probe(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         let may_answer = endpoint.state == EndpointState::Ready || self.may_serve_though_removed(index);
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -100,6 +100,8 @@
     pub(crate) slow_start: PerRole<SlowStartBudget>,
 
     pub(crate) next_probe_at: Micros,
+    /// The interval that the next probe was scheduled by; 0 before the first.
+    pub(crate) probe_interval: Micros,
     pub(crate) probe_in_flight: bool,
     /// It did not answer the last health check.
     pub(crate) probe_unanswered: bool,
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -8,6 +8,7 @@
 mod health;
 mod primary;
 mod probing;
+mod quiet;
 mod rules;
 mod selection;
 mod slow_start;
