--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -184,6 +184,12 @@
         }
     }
 
+    /// A complete message has been read and waits for capacity: nothing more is read until it is parsed.
+    pub(super) fn has_unparsed_message(&self) -> bool {
+        let is_started = !matches!(self.parse_state, ParseState::Startup);
+        is_started && self.frames.complete_message_tag().is_some()
+    }
+
     /// Parses everything that has arrived completely.
     pub(super) fn parse(&mut self, settings: &Settings, events: &EventSink) -> ParseProgress {
         loop {
@@ -273,7 +279,11 @@
     pub(super) fn flush(&mut self, flags: EventFlags) -> Flushed {
         let mut state = self.shared.state();
         let open = self.shared.flush(&mut state);
-        if flags.contains(EventFlags::OUT) {
+        let is_stopping = self.shared.reactor.stop_reading_requested.load(Ordering::SeqCst);
+        if state.reading_paused && !is_stopping && self.shared.may_add_answer(&state) {
+            state.reading_paused = false;
+            self.shared.update_interest(&state, false);
+        } else if flags.contains(EventFlags::OUT) {
             self.shared.update_interest(&state, false);
         }
         Flushed { open, reading_paused: state.reading_paused }
--- a/src/net/client/readiness.rs
+++ b/src/net/client/readiness.rs
@@ -31,7 +31,7 @@
         if !connection.begin_command() {
             return;
         }
-        if open && flags.contains(EventFlags::IN) {
+        if open && flags.contains(EventFlags::IN) && !connection.has_unparsed_message() {
             open = connection.read(&mut self.read_buffer, &self.clock);
         }
         if !open {
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -1,7 +1,7 @@
 //! The state that the reactor thread and the event loop share.
 
 use super::ReactorLimits;
-use super::write_buffer::WriteBuffer;
+use super::write_buffer::{MAX_WAITING_ANSWERS, WriteBuffer};
 use crate::client::ClientId;
 use rustix::event::epoll::{self, EventData, EventFlags};
 use std::collections::VecDeque;
@@ -155,10 +155,11 @@
         let mut state = self.state();
         let own_bytes: usize = state.unanswered_command_sizes.iter().sum();
         let all_bytes = self.reactor.unanswered_command_bytes.load(Ordering::SeqCst);
-        let has_capacity = state.unanswered_command_sizes.is_empty()
-            || (state.unanswered_command_sizes.len() < MAX_PIPELINED_COMMANDS
-                && own_bytes < MAX_PIPELINED_BYTES
-                && all_bytes < self.reactor.limits.max_unanswered_command_bytes);
+        let has_capacity = self.may_add_answer(&state)
+            && (state.unanswered_command_sizes.is_empty()
+                || (state.unanswered_command_sizes.len() < MAX_PIPELINED_COMMANDS
+                    && own_bytes < MAX_PIPELINED_BYTES
+                    && all_bytes < self.reactor.limits.max_unanswered_command_bytes));
         if !has_capacity {
             state.reading_paused = true;
             self.update_interest(&state, false);
@@ -166,6 +167,15 @@
         has_capacity
     }
 
+    /// Whether the answer to another command may wait for the socket. Guards against disconnecting a client
+    /// that sends many commands before it reads their answers: no more of them are read until it does.
+    pub(super) fn may_add_answer(&self, state: &ConnectionState) -> bool {
+        let answers = state.write_buffer.answer_count() + state.unanswered_command_sizes.len();
+        let all_unwritten = self.reactor.unwritten_bytes.load(Ordering::SeqCst);
+        let is_half_free = all_unwritten < self.reactor.limits.max_unwritten_bytes / 2;
+        state.write_buffer.is_empty() || (answers < MAX_WAITING_ANSWERS && is_half_free)
+    }
+
     /// Counts a command that is about to be reported.
     pub(super) fn command_received(&self, size: usize) {
         self.state().unanswered_command_sizes.push_back(size);
--- a/src/net/client/write_buffer.rs
+++ b/src/net/client/write_buffer.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// The most bytes of answers waiting for one client's socket; a client that does not read is disconnected.
-const MAX_WAITING_ANSWERS: usize = 16;
+pub(super) const MAX_WAITING_ANSWERS: usize = 16;
 
 /// The result of adding an answer to a [`WriteBuffer`].
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -33,6 +33,11 @@
         self.answers.is_empty()
     }
 
+    /// How many answers are not written completely yet.
+    pub(super) fn answer_count(&self) -> usize {
+        self.answers.len()
+    }
+
     /// Bytes that are not written yet.
     pub(super) fn unwritten_bytes(&self) -> usize {
         self.counted_bytes() - self.written_of_first
--- a/src/pg/frame_reader.rs
+++ b/src/pg/frame_reader.rs
@@ -104,8 +104,8 @@
         Ok(Some(packet))
     }
 
-    /// The type of a client's next message, if it has arrived completely. An invalid length counts as complete:
-    /// nothing more is waited for.
+    /// The type of a client's next message, if it has arrived completely. An invalid length counts as
+    /// complete: nothing more is waited for.
     pub fn complete_message_tag(&self) -> Option<u8> {
         let tag = *self.buffered().first()?;
         let length = length_at(self.buffered(), 1)?;
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Guards against probes that were scheduled while there was next to no traffic: the next one would come an
-    /// hour after a quiet time.
+    /// Guards against probes that were scheduled while there was next to no traffic: the next one would come
+    /// an hour after a quiet time.
     fn shorten_outdated_interval(&mut self, index: EndpointIndex, interval: Micros) {
         let endpoint = &mut self.topology[index];
         if endpoint.probe_interval > OUTDATED_MULTIPLE * interval {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -83,7 +83,7 @@
         self.work_per_endpoint() * capacity * self.load_share(role) * self.settings.overload_multiple
     }
 
-    /// Guards against a primary that falls under a few heavy writes more than usual: the less even the work is,
+    /// Guards against a primary that falls under a few heavy writes more than usual: the less even the work,
     /// the more is left to chance.
     fn load_share(&self, role: Role) -> f64 {
         let dispersion = match role {
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -11,8 +11,8 @@
 const KILL_MARGIN: Micros = 700_000;
 /// Connections are closed between requests from this long before SIGKILL on.
 const CLOSE_IDLE_BEFORE_KILL: Micros = 900_000;
-/// Requests that are still pending fail this long before SIGKILL, and reading from clients stops: what would be
-/// read later could only be rejected, and is left to the client to send elsewhere.
+/// Requests that are still pending fail this long before SIGKILL, and reading from clients stops: what would
+/// be read later could only be rejected, and is left to the client to send elsewhere.
 const FAIL_PENDING_BEFORE_KILL: Micros = 250_000;
 /// Waiting stops this long before SIGKILL.
 const STOP_WAITING_BEFORE_KILL: Micros = FAIL_PENDING_BEFORE_KILL / 4;
--- a/tests/proxy/platform/mod.rs
+++ b/tests/proxy/platform/mod.rs
@@ -6,3 +6,4 @@
 mod faults;
 mod messages;
 mod partial_messages;
+mod slow_readers;
