--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -9,6 +9,7 @@
 mod commands;
 mod connection;
 mod deadlines;
+mod event_barrier;
 mod handle;
 mod presence;
 mod reactor;
@@ -17,6 +18,7 @@
 mod write_buffer;
 
 pub use accept_gate::ClientListener;
+pub use event_barrier::EventBarrier;
 pub use handle::{ClientHandle, ReactorHandle};
 pub use presence::ClientPresence;
 pub use reactor::ClientReactor;
@@ -31,6 +33,8 @@
     Simple(ClientId, ClientEvent<SimpleQuery>),
     /// From a connection that speaks the extended query protocol.
     Extended(ClientId, ClientEvent<ClientBatch>),
+    /// All events that had arrived when the barrier was requested have been reported.
+    Barrier(EventBarrier),
     /// Reading from clients has stopped, and all that was read before has been reported.
     ReadingStopped,
 }
--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -3,6 +3,7 @@
 use super::accept_gate::{AcceptGate, AcceptResult, ClientListener};
 use super::connection::ClientConnection;
 use super::deadlines::Deadlines;
+use super::event_barrier::PendingBarriers;
 use super::handle::{ClientHandle, ReactorHandle};
 use super::shared::{ConnectionShared, ReactorShared};
 use super::{EventSink, ReactorEvent, ReactorLimits};
@@ -56,6 +57,7 @@
     pub(super) incomplete_message_bytes: usize,
     /// Connections that the event loop has closed and that may linger, the oldest first.
     lingering: VecDeque<ClientId>,
+    barriers: PendingBarriers,
     /// Whether the event loop has been notified that reading has stopped.
     pub(super) reading_stopped: bool,
     pub(super) clock: Clock,
@@ -93,6 +95,7 @@
             read_buffer: vec![0; READ_BUFFER_BYTES],
             incomplete_message_bytes: 0,
             lingering: VecDeque::new(),
+            barriers: PendingBarriers::default(),
             reading_stopped: false,
             clock,
             settings,
@@ -113,14 +116,17 @@
             }
             self.start_lingering(shutting_down);
             self.apply_stop_requests();
+            self.barriers.add(self.shared.take_requested_barriers());
             let timeout = self.wait_timeout();
             let space = rustix::buffer::spare_capacity(&mut ready);
             if epoll::wait(&self.shared.epoll, space, timeout.as_ref()).is_err() {
                 ready.clear();
             }
+            let nothing_was_ready = ready.iter().all(|event: &Event| event.data.u64() == WAKER_TOKEN);
             for event in ready.drain(..) {
                 self.handle_event(event);
             }
+            self.barriers.finish_round(nothing_was_ready, &self.events);
             self.expire_deadlines();
             self.accept_gate.resume_if_due(&self.shared);
         }
@@ -138,8 +144,12 @@
         while matches!((&self.wake_receiver).read(&mut [0; 64]), Ok(length) if length > 0) {}
     }
 
-    /// How long to wait for events: until the next deadline, or until connections are accepted again.
+    /// How long to wait for events: until the next deadline, or until connections are accepted again; not at
+    /// all while a barrier waits for what is ready.
     fn wait_timeout(&self) -> Option<Timespec> {
+        if !self.barriers.is_empty() {
+            return Some(Timespec { tv_sec: 0, tv_nsec: 0 });
+        }
         let due_times = [self.deadlines.next(), self.accept_gate.paused_until()];
         let due = due_times.into_iter().flatten().min()?;
         let wait = due.saturating_duration_since(Instant::now()) + WAIT_MARGIN;
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -1,10 +1,13 @@
 //! The state that the reactor thread and the event loop share.
 
 use super::ReactorLimits;
+use super::event_barrier::EventBarrier;
 use super::write_buffer::WriteBuffer;
 use crate::client::ClientId;
+use crossbeam_channel::{Receiver, bounded};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use std::collections::VecDeque;
+use std::convert::Infallible;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::OwnedFd;
@@ -35,6 +38,8 @@
     pub(super) stop_reading_requested: AtomicBool,
     /// Connections that the event loop has closed since the reactor last checked.
     closed: Mutex<Vec<ClientId>>,
+    /// Barriers that were requested since the reactor last checked.
+    requested_barriers: Mutex<Vec<EventBarrier>>,
 }
 
 impl ReactorShared {
@@ -51,6 +56,7 @@
             stop_accepting_requested: AtomicBool::new(false),
             stop_reading_requested: AtomicBool::new(false),
             closed: Mutex::default(),
+            requested_barriers: Mutex::default(),
         }
     }
 
@@ -59,6 +65,24 @@
         let _ = (&self.waker).write(&[0]);
     }
 
+    /// Requests a barrier behind the events that have arrived; the receiver is disconnected once these are
+    /// handled.
+    pub(super) fn request_barrier(&self) -> Receiver<Infallible> {
+        let (released, barrier) = bounded(0);
+        self.requested_barriers().push(EventBarrier::new(released));
+        self.wake();
+        barrier
+    }
+
+    /// Removes and returns the barriers that were requested.
+    pub(super) fn take_requested_barriers(&self) -> Vec<EventBarrier> {
+        std::mem::take(&mut *self.requested_barriers())
+    }
+
+    fn requested_barriers(&self) -> MutexGuard<'_, Vec<EventBarrier>> {
+        self.requested_barriers.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
     /// Whether the limit on open connections is reached.
     pub(super) fn is_full(&self) -> bool {
         self.open_connections.load(Ordering::SeqCst) >= self.limits.max_connections
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -75,6 +75,7 @@
                 let effects = self.fronts.handle_extended_event(now, id, event);
                 self.apply_front_effects(now, effects);
             }
+            Message::ClientBarrier(barrier) => drop(barrier),
             Message::Admin(call) => self.handle_admin_call(now, call),
             Message::Terminate => self.request_shutdown(now),
             Message::Stopped => self.shutdown.reading_stopped(),
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -26,6 +26,8 @@
     Client(ClientId, ClientEvent<SimpleQuery>),
     /// An event of a client of the extended front.
     Extended(ClientId, ClientEvent<ClientBatch>),
+    /// All that had arrived from clients before is handled.
+    ClientBarrier(client::EventBarrier),
     /// An operator's request.
     Admin(AdminCall),
     /// SIGTERM or SIGINT.
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -96,6 +96,7 @@
             ReactorEvent::Accepted(id, handle) => Message::Accepted(id, handle),
             ReactorEvent::Simple(id, event) => Message::Client(id, event),
             ReactorEvent::Extended(id, event) => Message::Extended(id, event),
+            ReactorEvent::Barrier(barrier) => Message::ClientBarrier(barrier),
             ReactorEvent::ReadingStopped => Message::Stopped,
         });
     })
--- a/tests/proxy/races/held_up.rs
+++ b/tests/proxy/races/held_up.rs
@@ -95,3 +95,20 @@
         assert_only_last_is_received(&proxy, &primary, &format!("extended {extended}, round {round}"));
     }
 }
+#[test]
+fn request_is_not_sent_if_it_is_cancelled_while_the_process_is_held_up() {
+    for (extended, round) in [false, true].into_iter().flat_map(|e| (0..ROUNDS).map(move |round| (e, round)))
+    {
+        let primary = MockMember::start(true);
+        let proxy = Proxy::start_with_shell(&[&primary], &shell_without_probes(""), "");
+        let address = if extended { proxy.extended_address.unwrap() } else { proxy.address };
+        let request = write(extended, 1, 9000);
+        let duration = Duration::from_millis(150);
+        let client = hold_up(&proxy, &primary, &request, extended, duration, |client| {
+            let _cancel = client.send_cancel_to(address);
+            Some(client)
+        });
+        assert_eq!(client.unwrap().read_reply(), "E(08007) Z");
+        assert_only_last_is_received(&proxy, &primary, &format!("extended {extended}, round {round}"));
+    }
+}
