--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -173,10 +173,12 @@
 
     /// Reads from the socket, up to the size of the read buffer; `false` if the client has disconnected.
     pub(super) fn read(&mut self, read_buffer: &mut [u8], clock: &Clock) -> bool {
+        // Before the read: a delay between the two must not count as time that the client has left.
+        let read_at = clock.now();
         match (&self.shared.stream).read(read_buffer) {
             Ok(0) => false,
             Ok(length) => {
-                self.last_read_at = clock.now();
+                self.last_read_at = read_at;
                 self.frames.push(&read_buffer[..length]);
                 true
             }
