--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # What people do here. `.ci/run` calls `make test` and adds the checks of a clean checkout.
 
-.PHONY: build test lint run check sites
+.PHONY: build test lint run check sites fleet-cost
 
 build: ## the two programs, into target/release
 	cargo build --release --locked
@@ -9,9 +9,12 @@
 	@skips=$$(.ci/known-red) && cargo test --locked -- --exact $$skips
 
 lint: ## format, lints and documentation, as CI checks them
-	cargo fmt --check
-	cargo clippy --locked --all-targets -- -D warnings
-	RUSTDOCFLAGS="-D warnings" cargo doc --locked --no-deps
+	cargo fmt --all --check
+	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps
+
+fleet-cost: ## what a proxy needs with 200 and with 3,200 members, beside the limits; half a minute
+	cargo bench --locked --bench fleet_cost
 
 run: build ## the proxy, as GW_CONFIG says
 	target/release/liftrelay serve
--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -6,4 +6,5 @@
 mod discovery;
 mod held_up;
 mod members;
+mod short_deadlines;
 mod shutdown;
