--- a/tests/proxy/races/deadlines.rs
+++ b/tests/proxy/races/deadlines.rs
@@ -117,3 +117,22 @@
     let prepared = primary.received().iter().filter(|message| message.starts_with("P ")).count();
     assert!(prepared <= 3, "prepared {prepared} times");
 }
+
+/// Guards against a process that is held up between reading its clock and writing: here before each write to
+/// the member, that of the startup message among them.
+#[test]
+fn member_is_told_what_the_client_has_left_though_each_write_is_held_up() {
+    for (extended, writes, delayed_writes) in
+        [(false, false, 2), (false, true, 2), (true, false, 2), (true, true, 3)]
+    {
+        let primary = MockMember::start(true);
+        let script = format!("write peer={} delay_ms={SLACK_MS}", primary.address);
+        let faults = Faults::scripted(&script);
+        let proxy = Proxy::start_with_faults(&[&primary], &shell_without_probes(""), &faults);
+        let mut client = if extended { proxy.connect_extended() } else { proxy.connect() };
+        client.send(&request(extended, writes, 1, 900));
+        assert!(client.read_reply().contains("D(value)"));
+        let (left, told) = (900 - delayed_writes * SLACK_MS, told_ms(&primary));
+        assert!(told <= left + SLACK_MS, "extended {extended}, writes {writes}: told {told} ms of {left} ms");
+    }
+}
