--- a/src/net/client/event_barrier.rs
+++ b/src/net/client/event_barrier.rs
@@ -1,5 +1,5 @@
-//! Barriers in the order of events: a worker that was delayed waits until what has arrived from clients in the
-//! meantime, such as a cancel request, is handled.
+//! Barriers in the order of events: a worker that was delayed waits until what has arrived from clients
+//! meanwhile, such as a cancel request, is handled.
 
 use super::{EventSink, ReactorEvent};
 use crossbeam_channel::Sender;
