--- a/src/store/log_file.rs
+++ b/src/store/log_file.rs
@@ -3,12 +3,12 @@
 
 use super::LOG_TARGET;
 use super::error::StoreError;
+use super::file_operations::{FileOperations, SystemFiles};
 use super::raft::{Entry, HardState, PersistedState, Snapshot};
 use super::record::{self, Record};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use std::fs::{File, OpenOptions};
-use std::io::Write;
+use std::fs::File;
 use std::path::{Path, PathBuf};
 
 /// The file in the data directory.
@@ -18,6 +18,7 @@
 
 /// An open log file.
 pub struct LogFile {
+    files: Box<dyn FileOperations>,
     path: PathBuf,
     file: File,
     /// The term and vote in the file.
@@ -29,20 +30,28 @@
     pub fn open<C: DeserializeOwned, S: DeserializeOwned + Default>(
         directory: &Path,
     ) -> Result<(LogFile, PersistedState<C, S>), StoreError> {
-        std::fs::create_dir_all(directory)?;
+        Self::open_with(Box::new(SystemFiles), directory)
+    }
+
+    /// Opens or creates the file with these file operations.
+    fn open_with<C: DeserializeOwned, S: DeserializeOwned + Default>(
+        files: Box<dyn FileOperations>,
+        directory: &Path,
+    ) -> Result<(LogFile, PersistedState<C, S>), StoreError> {
+        files.create_directory(directory)?;
         let path = directory.join(FILE_NAME);
-        let file = OpenOptions::new().create(true).append(true).read(true).open(&path)?;
+        let file = files.open_for_append(&path)?;
         let bytes = std::fs::read(&path)?;
         let records = record::decode(&bytes)?;
         if records.end < bytes.len() {
             let dropped_bytes = bytes.len() - records.end;
             tracing::warn!(target: LOG_TARGET, dropped_bytes, "dropped incomplete record at end of raft log");
-            file.set_len(records.end as u64)?;
-            file.sync_all()?;
+            files.truncate(&file, records.end as u64)?;
+            files.sync(&file)?;
         }
         let persisted = replay(&records.payloads)?;
         let hard_state = persisted.hard_state;
-        Ok((LogFile { path, file, hard_state }, persisted))
+        Ok((LogFile { files, path, file, hard_state }, persisted))
     }
 
     /// Appends term and vote, if they have changed, and entries; they are on the disk when this returns.
@@ -59,8 +68,8 @@
         for entry in entries {
             record::encode(&Record::<C, ()>::Entry(entry.clone()), &mut bytes)?;
         }
-        self.file.write_all(&bytes)?;
-        self.file.sync_data()?;
+        self.files.write(&mut self.file, &bytes)?;
+        self.files.sync(&self.file)?;
         Ok(())
     }
 
@@ -82,14 +91,14 @@
     /// Replaces the file atomically: after a crash, either the old or the new one exists.
     fn replace(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
         let replacement_path = self.path.with_extension(REPLACEMENT_EXTENSION);
-        let mut replacement = File::create(&replacement_path)?;
-        replacement.write_all(bytes)?;
-        replacement.sync_all()?;
-        std::fs::rename(&replacement_path, &self.path)?;
+        let mut replacement = self.files.create(&replacement_path)?;
+        self.files.write(&mut replacement, bytes)?;
+        self.files.sync(&replacement)?;
+        self.files.rename(&replacement_path, &self.path)?;
         if let Some(directory) = self.path.parent() {
-            File::open(directory)?.sync_all()?;
+            self.files.sync_directory(directory)?;
         }
-        self.file = OpenOptions::new().append(true).open(&self.path)?;
+        self.file = self.files.open_for_append(&self.path)?;
         Ok(())
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,6 +7,7 @@
 mod client;
 mod config;
 mod error;
+mod file_operations;
 mod log_file;
 mod protocol;
 mod raft;
