--- a/src/lib.rs
+++ b/src/lib.rs
@@ -90,4 +90,4 @@
 pub use model::*;
 pub use net::{ListenError, client_listener};
 pub use router::Router;
-pub use server::serve;
+pub use server::{ServeError, serve};
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,9 @@
 use cli::{Arguments, Command, StoreAction, StorePut};
 use liftrelay::store::{self, Store, StoreConfig, StoreError};
 use liftrelay::syslog::{self, Collector, SyslogError};
-use liftrelay::{Config, ConfigError, ExtendedListenerConfig, ListenError, client_listener, from_toml};
+use liftrelay::{
+    Config, ConfigError, ExtendedListenerConfig, ListenError, ServeError, client_listener, from_toml,
+};
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -37,10 +39,21 @@
     Run(#[from] std::io::Error),
 }
 
+impl From<ServeError> for CommandError {
+    fn from(error: ServeError) -> Self {
+        match error {
+            ServeError::Store(error) => CommandError::Store(error),
+            ServeError::Io(error) => CommandError::Run(error),
+        }
+    }
+}
+
 impl CommandError {
     fn exit_code(&self) -> ExitCode {
         match self {
-            CommandError::Config(_) | CommandError::Listen(_) => ExitCode::from(EXIT_BAD_CONFIG),
+            CommandError::Config(_)
+            | CommandError::Listen(_)
+            | CommandError::Store(StoreError::DataDirectory { .. }) => ExitCode::from(EXIT_BAD_CONFIG),
             CommandError::Syslog(_) | CommandError::Store(_) | CommandError::Run(_) => {
                 ExitCode::from(EXIT_FAILURE)
             }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -14,7 +14,7 @@
 mod startup;
 
 pub use messages::{Message, Messages};
-pub use startup::serve;
+pub use startup::{ServeError, serve};
 
 use crate::client::ClientId;
 use crate::clock::Clock;
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -13,7 +13,7 @@
 use crate::net::admin::{self, CallSink, LoopUnavailable};
 use crate::net::client::{self, ClientListener, ClientReactor, ReactorEvent, ReactorLimits};
 use crate::net::member::{MemberEvents, WorkerPool};
-use crate::store::{Change, State, Store, StoreConfig};
+use crate::store::{Change, State, Store, StoreConfig, StoreError};
 use crate::threads::spawn;
 use crossbeam_channel::bounded;
 use std::collections::HashMap;
@@ -25,13 +25,24 @@
 /// Each buffer that is shared by all clients may use this fraction of the memory.
 const BUFFER_MEMORY_DIVISOR: usize = 8;
 
+/// Why the server could not be started.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The store could not be started.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// A socket or a thread could not be had.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+}
+
 /// Serves until a shutdown is requested; on the extended listener too, where there is one.
 pub fn serve(
     config: &Config,
     listener: TcpListener,
     extended: Option<ExtendedListenerConfig>,
     replicas: &StoreConfig,
-) -> std::io::Result<()> {
+) -> Result<(), ServeError> {
     let extended_listener = extended.as_ref().map(|listen| TcpListener::bind(listen.listen)).transpose()?;
     let clock = Clock::start();
     let (messages, inbox) = bounded(MESSAGE_QUEUE_CAPACITY);
@@ -56,9 +67,9 @@
 }
 
 /// Starts the store, which sends the recovered endpoint list to the event loop.
-fn start_store(config: &Config, replicas: &StoreConfig, messages: Messages) -> std::io::Result<Store> {
+fn start_store(config: &Config, replicas: &StoreConfig, messages: Messages) -> Result<Store, StoreError> {
     let recovered = move |state: State| drop(messages.try_send(Message::Stored(state.members)));
-    Ok(Store::start(replicas, config.seed, recovered)?)
+    Store::start(replicas, config.seed, recovered)
 }
 
 fn log_addresses(config: &Config, listen: SocketAddr, extended: Option<SocketAddr>) {
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -2,6 +2,7 @@
 
 use super::raft::ReplicaId;
 use std::io;
+use std::path::PathBuf;
 
 /// Why the store can't be started, read or changed.
 #[derive(Debug, thiserror::Error)]
@@ -9,12 +10,23 @@
     /// The configured id is not among the configured replicas.
     #[error("the store's replica {0} is not among those listed")]
     ReplicaNotListed(ReplicaId),
+    /// The data directory can't be used: it is not a directory, say, or nothing may be written there.
+    #[error("the store's data directory {}: {source}", path.display())]
+    DataDirectory {
+        /// The configured directory.
+        path: PathBuf,
+        /// Why it can't be used.
+        source: io::Error,
+    },
     /// A record that is not the last one of the log file is damaged.
     #[error("damaged at byte {offset}")]
     DamagedRecord {
         /// The offset of the record in the file.
         offset: usize,
     },
+    /// An earlier write to the log file failed, and the file has not been replaced yet.
+    #[error("the log file has not been replaced since a write failed")]
+    LogNotReplaced,
     /// A record or a message is not the JSON that was expected.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -31,12 +43,3 @@
         source: Option<Box<StoreError>>,
     },
 }
-
-impl From<StoreError> for io::Error {
-    fn from(error: StoreError) -> Self {
-        match error {
-            StoreError::Io(error) => error,
-            error => io::Error::other(error),
-        }
-    }
-}
--- a/src/store/file_operations.rs
+++ b/src/store/file_operations.rs
@@ -29,7 +29,12 @@
 
 impl FileOperations for SystemFiles {
     fn create_directory(&self, path: &Path) -> io::Result<()> {
-        std::fs::create_dir_all(path)
+        if path.is_dir() {
+            return Ok(());
+        }
+        std::fs::create_dir_all(path)?;
+        let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty());
+        self.sync_directory(parent.unwrap_or(Path::new(".")))
     }
 
     fn open_for_append(&self, path: &Path) -> io::Result<File> {
--- a/src/store/log_file.rs
+++ b/src/store/log_file.rs
@@ -1,106 +1,161 @@
 //! A replica's log file. Each record is on the disk before it counts. A record that is cut off at the end of
 //! the file, because the machine stopped while it was written, is dropped; damage elsewhere is an error.
+//!
+//! After a write or a sync that failed, nobody knows what the disk holds behind the last synced record. Then
+//! nothing is appended any more: only [`LogFile::replace`], with the complete contents, makes the log usable.
 
 use super::LOG_TARGET;
 use super::error::StoreError;
-use super::file_operations::{FileOperations, SystemFiles};
+use super::file_operations::FileOperations;
 use super::raft::{Entry, HardState, PersistedState, Snapshot};
 use super::record::{self, Record};
+use rustix::io::Errno;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fs::File;
+use std::io;
 use std::path::{Path, PathBuf};
 
 /// The file in the data directory.
 const FILE_NAME: &str = "log";
-/// The extension of the file that replaces it on compaction.
+/// The extension of the file that replaces it.
 const REPLACEMENT_EXTENSION: &str = "new";
 
-/// An open log file.
+/// A log file.
 pub struct LogFile {
     files: Box<dyn FileOperations>,
+    directory: PathBuf,
     path: PathBuf,
+    /// `None` after a failure, until the file is replaced.
+    synced: Option<SyncedFile>,
+}
+
+/// A log file all of whose records are on the disk.
+struct SyncedFile {
     file: File,
+    length: u64,
     /// The term and vote in the file.
     hard_state: HardState,
 }
 
+/// A log file that has been opened, and what it contained.
+pub struct OpenedLog<C, S> {
+    /// The file.
+    pub log_file: LogFile,
+    /// Its contents.
+    pub persisted: PersistedState<C, S>,
+    /// Why the file can't be written to for the time being; `None` if it can.
+    pub failure: Option<io::Error>,
+}
+
 impl LogFile {
-    /// Opens or creates the file in a data directory, and returns its contents.
+    /// Opens or creates the file in a data directory. It is an error if the file is damaged or the directory
+    /// can't be used, but not if the disk is full or fails to write: that may pass.
     pub fn open<C: DeserializeOwned, S: DeserializeOwned + Default>(
-        directory: &Path,
-    ) -> Result<(LogFile, PersistedState<C, S>), StoreError> {
-        Self::open_with(Box::new(SystemFiles), directory)
-    }
-
-    /// Opens or creates the file with these file operations.
-    fn open_with<C: DeserializeOwned, S: DeserializeOwned + Default>(
         files: Box<dyn FileOperations>,
         directory: &Path,
-    ) -> Result<(LogFile, PersistedState<C, S>), StoreError> {
-        files.create_directory(directory)?;
+    ) -> Result<OpenedLog<C, S>, StoreError> {
         let path = directory.join(FILE_NAME);
-        let file = files.open_for_append(&path)?;
-        let bytes = std::fs::read(&path)?;
+        let unusable = |source| StoreError::DataDirectory { path: directory.to_path_buf(), source };
+        let bytes = read_if_present(&path).map_err(unusable)?;
         let records = record::decode(&bytes)?;
-        if records.end < bytes.len() {
-            let dropped_bytes = bytes.len() - records.end;
+        let dropped_bytes = bytes.len() - records.end;
+        if dropped_bytes > 0 {
             tracing::warn!(target: LOG_TARGET, dropped_bytes, "dropped incomplete record at end of raft log");
-            files.truncate(&file, records.end as u64)?;
-            files.sync(&file)?;
         }
-        let persisted = replay(&records.payloads)?;
-        let hard_state = persisted.hard_state;
-        Ok((LogFile { files, path, file, hard_state }, persisted))
+        let persisted: PersistedState<C, S> = replay(&records.payloads)?;
+        let mut log_file = LogFile { files, directory: directory.to_path_buf(), path, synced: None };
+        let failure = match log_file.open_synced(records.end as u64, persisted.hard_state) {
+            Ok(()) => None,
+            Err(error) if may_pass(&error) => Some(error),
+            Err(error) => return Err(unusable(error)),
+        };
+        Ok(OpenedLog { log_file, persisted, failure })
+    }
+
+    /// Opens the file to append to it. Its first `length` bytes are complete records, which the last process
+    /// may have written without a sync.
+    fn open_synced(&mut self, length: u64, hard_state: HardState) -> io::Result<()> {
+        self.files.create_directory(&self.directory)?;
+        let file = self.files.open_for_append(&self.path)?;
+        self.files.truncate(&file, length)?;
+        self.files.sync(&file)?;
+        self.files.sync_directory(&self.directory)?;
+        self.synced = Some(SyncedFile { file, length, hard_state });
+        Ok(())
     }
 
     /// Appends term and vote, if they have changed, and entries; they are on the disk when this returns.
-    pub fn persist<C: Serialize + Clone>(
+    pub fn append<C: Serialize + Clone>(
         &mut self,
         hard_state: HardState,
         entries: &[Entry<C>],
     ) -> Result<(), StoreError> {
+        let mut synced = self.synced.take().ok_or(StoreError::LogNotReplaced)?;
         let mut bytes = Vec::new();
-        if hard_state != self.hard_state {
+        if hard_state != synced.hard_state {
             record::encode(&Record::<C, ()>::HardState(hard_state), &mut bytes)?;
-            self.hard_state = hard_state;
         }
         for entry in entries {
             record::encode(&Record::<C, ()>::Entry(entry.clone()), &mut bytes)?;
         }
-        self.files.write(&mut self.file, &bytes)?;
-        self.files.sync(&self.file)?;
+        if let Err(error) = self.write_and_sync(&mut synced.file, &bytes) {
+            // What may be half written is not left for the next process to read, as far as the disk allows.
+            let _ = self.files.truncate(&synced.file, synced.length);
+            return Err(error.into());
+        }
+        let length = synced.length + bytes.len() as u64;
+        self.synced = Some(SyncedFile { length, hard_state, ..synced });
         Ok(())
     }
 
-    /// Replaces all entries by a snapshot and the entries after it. On an error, the file is unchanged.
-    pub fn compact<C: Serialize, S: Serialize>(
+    /// Replaces the file atomically, whatever state it is in: after a crash, either the old or the new one
+    /// exists, and on an error, too.
+    pub fn replace<C: Serialize, S: Serialize>(
         &mut self,
-        snapshot: Snapshot<S>,
-        entries: Vec<Entry<C>>,
+        contents: PersistedState<C, S>,
     ) -> Result<(), StoreError> {
-        let mut bytes = Vec::new();
-        record::encode(&Record::<C, S>::HardState(self.hard_state), &mut bytes)?;
-        record::encode(&Record::<C, S>::Snapshot(snapshot), &mut bytes)?;
-        for entry in entries {
-            record::encode(&Record::<C, S>::Entry(entry), &mut bytes)?;
-        }
-        self.replace(&bytes)
-    }
-
-    /// Replaces the file atomically: after a crash, either the old or the new one exists.
-    fn replace(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
+        self.synced = None;
+        let hard_state = contents.hard_state;
+        let bytes = encode_all(contents)?;
+        self.files.create_directory(&self.directory)?;
         let replacement_path = self.path.with_extension(REPLACEMENT_EXTENSION);
         let mut replacement = self.files.create(&replacement_path)?;
-        self.files.write(&mut replacement, bytes)?;
-        self.files.sync(&replacement)?;
+        self.write_and_sync(&mut replacement, &bytes)?;
         self.files.rename(&replacement_path, &self.path)?;
-        if let Some(directory) = self.path.parent() {
-            self.files.sync_directory(directory)?;
-        }
-        self.file = self.files.open_for_append(&self.path)?;
+        self.files.sync_directory(&self.directory)?;
+        let file = self.files.open_for_append(&self.path)?;
+        self.synced = Some(SyncedFile { file, length: bytes.len() as u64, hard_state });
         Ok(())
     }
+
+    fn write_and_sync(&self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
+        self.files.write(file, bytes)?;
+        self.files.sync(file)
+    }
+}
+
+/// The contents of a file; empty if there is none.
+fn read_if_present(path: &Path) -> io::Result<Vec<u8>> {
+    match std::fs::read(path) {
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
+        result => result,
+    }
+}
+
+/// Whether a write may succeed later though nothing is changed in the configuration.
+fn may_pass(error: &io::Error) -> bool {
+    matches!(Errno::from_io_error(error), Some(Errno::NOSPC | Errno::DQUOT | Errno::IO))
+}
+
+fn encode_all<C: Serialize, S: Serialize>(contents: PersistedState<C, S>) -> Result<Vec<u8>, StoreError> {
+    let mut bytes = Vec::new();
+    record::encode(&Record::<C, S>::HardState(contents.hard_state), &mut bytes)?;
+    record::encode(&Record::<C, S>::Snapshot(contents.snapshot), &mut bytes)?;
+    for entry in contents.entries {
+        record::encode(&Record::<C, S>::Entry(entry), &mut bytes)?;
+    }
+    Ok(bytes)
 }
 
 /// The state that results from the records.
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,8 +7,11 @@
 mod client;
 mod config;
 mod error;
+#[cfg(test)]
+mod faulty_files;
 mod file_operations;
 mod log_file;
+mod persistent_log;
 mod protocol;
 mod raft;
 mod record;
--- a/src/store/protocol.rs
+++ b/src/store/protocol.rs
@@ -39,6 +39,9 @@
     /// Whether the change that this answers is committed.
     #[serde(rename = "done")]
     pub put_committed: bool,
+    /// Why the replica can't write to its log at present; absent while it can.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub log_error: Option<String>,
     /// Its state.
     pub state: State,
 }
--- a/src/store/raft/mod.rs
+++ b/src/store/raft/mod.rs
@@ -2,12 +2,15 @@
 //!
 //! [`RaftNode::step`] is a pure function of the node's state, the time and an input. The caller carries the
 //! outputs out in order, and persists what [`Output::Persist`] and [`Output::Compact`] name before it
-//! continues with the next.
+//! continues with the next. After a step with one of these two it reports [`Input::Persisted`]. If its
+//! storage fails, it drops the rest of the outputs and reports [`Input::StorageFailed`]: until
+//! [`Input::StorageRecovered`], the replica follows silently.
 
 mod election;
 mod log;
 mod messages;
 mod replication;
+mod storage;
 
 pub use messages::{Entry, HardState, Index, Message, PersistedState, ReplicaId, Snapshot, Term};
 
@@ -34,6 +37,12 @@
     Message(Message<C, S>),
     /// A command to commit; dropped where this replica is not the leader.
     Propose(C),
+    /// What the last [`Output::Persist`] or [`Output::Compact`] named is on the disk.
+    Persisted,
+    /// An output could not be persisted: what the disk holds is older than this node's state.
+    StorageFailed,
+    /// The disk holds all of [`RaftNode::persistent_state`] again.
+    StorageRecovered,
 }
 
 /// An output that the caller has to carry out.
@@ -41,8 +50,8 @@
 pub enum Output<C, S> {
     /// Persist term and vote, and entries that replace all from the first one's index on.
     Persist { hard_state: HardState, entries: Vec<Entry<C>> },
-    /// Persist a snapshot and the entries after it, in place of all entries before.
-    Compact { snapshot: Snapshot<S>, entries: Vec<Entry<C>> },
+    /// Persist this in place of all that was persisted before.
+    Compact { contents: PersistedState<C, S> },
     /// Send a message to a replica.
     Send { to: ReplicaId, message: Message<C, S> },
     /// An entry was committed and applied to the state machine.
@@ -104,6 +113,10 @@
     outputs: Vec<Output<M::Command, M>>,
     /// Hard state and the entries from this index on are to be persisted ahead of all other outputs.
     unpersisted_from: Option<Index>,
+    /// The last own entry that is on the disk.
+    persisted_index: Index,
+    /// Whether this replica can persist; while it can't, it neither votes nor acknowledges entries.
+    storage_available: bool,
 }
 
 impl<M: StateMachine> RaftNode<M> {
@@ -116,6 +129,7 @@
         now: Micros,
     ) -> Self {
         let PersistedState { hard_state, snapshot, entries } = persisted;
+        let log = Log::new(snapshot, entries);
         let others = replicas.iter().filter(|replica| **replica != id);
         let mut node = RaftNode {
             id,
@@ -124,18 +138,21 @@
             leader: None,
             leader_heard_at: 0,
             peers: others.map(|peer| (*peer, Peer::new(1))).collect(),
-            state_machine: snapshot.state.clone(),
-            commit_index: snapshot.last_included_index,
-            last_applied: snapshot.last_included_index,
-            log: Log::new(snapshot, entries),
+            state_machine: log.snapshot().state.clone(),
+            commit_index: log.snapshot().last_included_index,
+            last_applied: log.snapshot().last_included_index,
+            persisted_index: log.last_index(),
+            log,
             next_deadline: now,
             // Replicas with the same seed must not start their elections at the same time forever.
             random: RandomSource::new(seed ^ u64::from(id) << u32::BITS),
             outputs: Vec::new(),
             unpersisted_from: None,
+            storage_available: true,
         };
-        // A replica without peers has no leader to wait for.
-        if !node.peers.is_empty() {
+        if node.peers.is_empty() {
+            node.commit_persisted_entries();
+        } else {
             node.reset_election_timer(now);
         }
         node
@@ -166,16 +183,32 @@
         self.next_deadline
     }
 
+    /// All that must be on the disk for what this replica has sent so far, and for what it may send next.
+    pub fn persistent_state(&self) -> PersistedState<M::Command, M> {
+        PersistedState {
+            hard_state: self.hard_state,
+            snapshot: self.log.snapshot().clone(),
+            entries: self.log.entries_from(self.log.snapshot().last_included_index + 1).to_vec(),
+        }
+    }
+
     /// Handles one input.
     pub fn step(&mut self, now: Micros, input: Input<M::Command, M>) -> Vec<Output<M::Command, M>> {
         match input {
             Input::Tick => self.on_tick(now),
             Input::Propose(command) => self.on_propose(now, command),
             Input::Message(message) => self.on_message(now, message),
+            Input::Persisted => self.on_persisted(),
+            Input::StorageFailed => self.on_storage_failed(now),
+            Input::StorageRecovered => self.on_storage_recovered(now),
         }
         self.persist_before_other_outputs();
         self.compact_log();
-        std::mem::take(&mut self.outputs)
+        let mut outputs = std::mem::take(&mut self.outputs);
+        if !self.storage_available {
+            outputs.retain(|output| matches!(output, Output::Applied { .. }));
+        }
+        outputs
     }
 
     fn on_tick(&mut self, now: Micros) {
@@ -184,8 +217,10 @@
         }
         if self.is_leader() {
             self.broadcast_append_entries(now);
-        } else {
+        } else if self.storage_available {
             self.start_election(now);
+        } else {
+            self.lose_leader(now);
         }
     }
 
@@ -198,7 +233,7 @@
 
     fn on_message(&mut self, now: Micros, message: Message<M::Command, M>) {
         let Message { from, term, body } = message;
-        if !self.peers.contains_key(&from) {
+        if !self.peers.contains_key(&from) || !self.may_handle(&body) {
             return;
         }
         if matches!(body, MessageBody::RequestVote(_)) && self.follows_other_leader(now, from) {
@@ -265,9 +300,8 @@
             last_included_term: self.log.term_at(self.last_applied).unwrap_or(snapshot_term),
             state: self.state_machine.clone(),
         };
-        self.log.compact(snapshot.clone());
-        let entries = self.log.entries_from(self.last_applied + 1).to_vec();
-        self.outputs.push(Output::Compact { snapshot, entries });
+        self.log.compact(snapshot);
+        self.outputs.push(Output::Compact { contents: self.persistent_state() });
     }
 }
 
--- a/src/store/raft/replication.rs
+++ b/src/store/raft/replication.rs
@@ -90,8 +90,8 @@
             self.state_machine = snapshot.state.clone();
             self.commit_index = index;
             self.last_applied = index;
-            self.log.install(snapshot.clone());
-            self.outputs.push(Output::Compact { snapshot, entries: Vec::new() });
+            self.log.install(snapshot);
+            self.outputs.push(Output::Compact { contents: self.persistent_state() });
         }
         self.reply_to_leader(leader, true, index);
     }
@@ -122,7 +122,7 @@
     }
 
     /// A leader commits an entry of its own term once a quorum has it, and all entries before it.
-    fn advance_commit_index(&mut self) {
+    pub(super) fn advance_commit_index(&mut self) {
         let replicated = self.index_at_quorum();
         let own_term = self.log.term_at(replicated) == Some(self.hard_state.term);
         if replicated > self.commit_index && own_term {
@@ -131,16 +131,16 @@
         self.apply_committed();
     }
 
-    /// The last entry that a quorum has, this leader included.
+    /// The last entry that a quorum has on the disk, this leader included.
     fn index_at_quorum(&self) -> Index {
         let mut indexes: Vec<Index> = self.peers.values().map(|peer| peer.match_index).collect();
-        indexes.push(self.log.last_index());
+        indexes.push(self.persisted_index);
         indexes.sort_unstable_by_key(|index| std::cmp::Reverse(*index));
         indexes[self.quorum() - 1]
     }
 
     /// Applies the committed entries that are not applied yet.
-    fn apply_committed(&mut self) {
+    pub(super) fn apply_committed(&mut self) {
         while self.last_applied < self.commit_index {
             let next = self.log.entries_from(self.last_applied + 1).first();
             let Some(entry) = next.cloned() else { return };
--- a/src/store/raft/tests.rs
+++ b/src/store/raft/tests.rs
@@ -33,10 +33,13 @@
         while let Some((to, input)) = pending.pop() {
             for output in self.nodes[to].step(self.now, input) {
                 match output {
-                    Output::Persist { hard_state, entries } => self.persist(to, hard_state, entries),
-                    Output::Compact { snapshot, entries } => {
-                        self.persisted[to].snapshot = snapshot;
-                        self.persisted[to].entries = entries;
+                    Output::Persist { hard_state, entries } => {
+                        self.persist(to, hard_state, entries);
+                        pending.push((to, Input::Persisted));
+                    }
+                    Output::Compact { contents } => {
+                        self.persisted[to] = contents;
+                        pending.push((to, Input::Persisted));
                     }
                     Output::Send { to: peer, message } => {
                         if !self.partitioned[to] && !self.partitioned[peer as usize] {
@@ -164,6 +167,9 @@
     let outputs = single.step(0, Input::Tick);
     assert!(matches!(outputs[0], Output::Persist { .. }), "{outputs:?}");
     assert!(single.is_leader());
+    single.step(0, Input::Persisted);
     single.step(0, Input::Propose(7));
+    assert!(single.state_machine().0.is_empty(), "not committed before it is on the disk");
+    single.step(0, Input::Persisted);
     assert_eq!(single.state_machine().0, [7], "a single replica is its own quorum");
 }
--- a/src/store/service.rs
+++ b/src/store/service.rs
@@ -3,13 +3,16 @@
 use super::LOG_TARGET;
 use super::config::StoreConfig;
 use super::error::StoreError;
-use super::log_file::LogFile;
+use super::file_operations::{FileOperations, SystemFiles};
+use super::log_file::{LogFile, OpenedLog};
+use super::persistent_log::{PersistFailed, PersistentLog};
 use super::protocol::{Frame, PeerMessage, ServiceRequest, Status};
 use super::raft::{
-    Entry, HardState, Index, Input, Output, PersistedState, RaftNode, RaftStatus, ReplicaId, Snapshot, Term,
+    HardState, Index, Input, Output, PersistedState, RaftNode, RaftStatus, ReplicaId, Snapshot, Term,
 };
 use super::state::{Change, State};
 use super::transport;
+use crate::Micros;
 use crate::clock::Clock;
 use crate::threads::spawn;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
@@ -34,28 +37,11 @@
         seed: u64,
         on_recovered: impl FnOnce(State) + Send + 'static,
     ) -> Result<Store, StoreError> {
-        let clock = Clock::start();
-        let (log_file, persisted) = open_log(config)?;
         config.check()?;
-        let ids: Vec<_> = config.replicas.iter().map(|replica| replica.id).collect();
-        let raft = RaftNode::new(config.id, &ids, persisted, seed, clock.now());
         let (requests, inbox) = bounded(QUEUE_CAPACITY);
-        let mut service = Service {
-            id: config.id,
-            recovery: Recovery::of_log(raft.last_log_index(), on_recovered),
-            raft,
-            log_file,
-            peers: start_transport(config, &requests)?,
-            clock,
-            proposals: VecDeque::new(),
-            pending_puts: Vec::new(),
-        };
-        spawn("store", move || {
-            if let Err(error) = service.run(&inbox) {
-                // Nothing may be promised to others before it is on the disk: this replica stops sending.
-                tracing::error!(target: LOG_TARGET, %error, "store service stopped");
-            }
-        })?;
+        let mut service = Service::new(config, Box::new(SystemFiles), seed, on_recovered)?;
+        service.peers = start_transport(config, &requests)?;
+        spawn("store", move || service.run(&inbox))?;
         Ok(Store { requests })
     }
 
@@ -65,17 +51,27 @@
     }
 }
 
-fn open_log(config: &StoreConfig) -> Result<(Option<LogFile>, PersistedState<Change, State>), StoreError> {
+/// The log of a replica, and what it contained.
+fn open_log(
+    config: &StoreConfig,
+    files: Box<dyn FileOperations>,
+    clock: Clock,
+    seed: u64,
+) -> Result<(PersistentLog, PersistedState<Change, State>), StoreError> {
     let Some(directory) = &config.data_directory else {
         let empty = PersistedState {
             hard_state: HardState::default(),
             snapshot: Snapshot::default(),
             entries: Vec::new(),
         };
-        return Ok((None, empty));
+        return Ok((PersistentLog::new(None, clock, seed), empty));
     };
-    let (log_file, persisted) = LogFile::open(directory)?;
-    Ok((Some(log_file), persisted))
+    let OpenedLog { log_file, persisted, failure } = LogFile::open(files, directory)?;
+    let mut log = PersistentLog::new(Some(log_file), clock, seed);
+    if let Some(error) = failure {
+        log.fail(&error.into());
+    }
+    Ok((log, persisted))
 }
 
 /// Listens at this replica's address, and returns the channels to the other replicas.
@@ -123,8 +119,7 @@
 struct Service {
     id: ReplicaId,
     raft: RaftNode<State>,
-    /// `None` for a replica in memory.
-    log_file: Option<LogFile>,
+    log: PersistentLog,
     peers: HashMap<ReplicaId, Sender<Frame>>,
     clock: Clock,
     /// The local proxy's changes that wait for a leader.
@@ -135,50 +130,91 @@
 }
 
 impl Service {
+    /// A replica without connections to its peers.
+    fn new(
+        config: &StoreConfig,
+        files: Box<dyn FileOperations>,
+        seed: u64,
+        on_recovered: impl FnOnce(State) + Send + 'static,
+    ) -> Result<Service, StoreError> {
+        let clock = Clock::start();
+        let (log, persisted) = open_log(config, files, clock, seed)?;
+        let ids: Vec<_> = config.replicas.iter().map(|replica| replica.id).collect();
+        let raft = RaftNode::new(config.id, &ids, persisted, seed, clock.now());
+        let mut service = Service {
+            id: config.id,
+            recovery: Recovery::of_log(raft.last_log_index(), on_recovered),
+            raft,
+            log,
+            peers: HashMap::new(),
+            clock,
+            proposals: VecDeque::new(),
+            pending_puts: Vec::new(),
+        };
+        if service.log.failure().is_some() {
+            service.step(Input::StorageFailed);
+        }
+        service.notify_if_recovered();
+        Ok(service)
+    }
+
     /// Serves requests until all their senders are dropped.
-    fn run(&mut self, inbox: &Receiver<ServiceRequest>) -> Result<(), StoreError> {
+    fn run(&mut self, inbox: &Receiver<ServiceRequest>) {
         loop {
-            match inbox.recv_deadline(self.clock.instant(self.raft.next_deadline())) {
-                Ok(request) => self.handle(request)?,
-                Err(RecvTimeoutError::Timeout) => self.step(Input::Tick)?,
-                Err(RecvTimeoutError::Disconnected) => return Ok(()),
+            match inbox.recv_deadline(self.clock.instant(self.next_deadline())) {
+                Ok(request) => self.handle(request),
+                Err(RecvTimeoutError::Timeout) => self.step(Input::Tick),
+                Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.propose_waiting()?;
+            self.replace_failed_log_if_due();
+            self.propose_waiting();
         }
     }
 
-    fn handle(&mut self, request: ServiceRequest) -> Result<(), StoreError> {
+    fn next_deadline(&self) -> Micros {
+        let raft = self.raft.next_deadline();
+        self.log.retry_at().map_or(raft, |retry_at| raft.min(retry_at))
+    }
+
+    /// Writes all that is in memory to the disk; from then on this replica votes and acknowledges again.
+    fn replace_failed_log_if_due(&mut self) {
+        let due = self.log.retry_at().is_some_and(|retry_at| retry_at <= self.clock.now());
+        if due && self.log.replace(self.raft.persistent_state()).is_ok() {
+            self.step(Input::StorageRecovered);
+        }
+    }
+
+    fn handle(&mut self, request: ServiceRequest) {
         match request {
-            ServiceRequest::PeerMessage(message) => self.step(Input::Message(message))?,
+            ServiceRequest::PeerMessage(message) => self.step(Input::Message(message)),
             ServiceRequest::Propose(change) => {
                 if self.proposals.len() < QUEUE_CAPACITY {
                     self.proposals.push_back(change);
                 }
             }
-            ServiceRequest::ProposeForwarded(change) => self.step(Input::Propose(change))?,
-            ServiceRequest::Put { change, reply } => self.put(change, reply)?,
+            ServiceRequest::ProposeForwarded(change) => self.step(Input::Propose(change)),
+            ServiceRequest::Put { change, reply } => self.put(change, reply),
             ServiceRequest::Status { reply } => self.reply(&reply, false),
         }
-        Ok(())
     }
 
-    fn put(&mut self, change: Change, reply: Sender<Status>) -> Result<(), StoreError> {
+    fn put(&mut self, change: Change, reply: Sender<Status>) {
         if !self.raft.is_leader() {
             self.reply(&reply, false);
-            return Ok(());
+            return;
         }
         let index = self.raft.last_log_index() + 1;
         let term = self.raft.status().term;
         self.pending_puts.push(PendingPut { index, term, reply });
-        self.step(Input::Propose(change))
+        self.step(Input::Propose(change));
     }
 
     /// Commits the local proxy's changes, or forwards them to the leader.
-    fn propose_waiting(&mut self) -> Result<(), StoreError> {
+    fn propose_waiting(&mut self) {
         while self.raft.is_leader()
             && let Some(change) = self.proposals.pop_front()
         {
-            self.step(Input::Propose(change))?;
+            self.step(Input::Propose(change));
         }
         let leader = self.raft.status().leader;
         if let Some(leader) = leader.and_then(|leader| self.peers.get(&leader)) {
@@ -186,34 +222,57 @@
                 let _ = leader.try_send(Frame::Forward(change));
             }
         }
-        Ok(())
     }
 
     /// Passes an input to the raft node, and carries out all outputs.
-    fn step(&mut self, input: Input<Change, State>) -> Result<(), StoreError> {
+    fn step(&mut self, input: Input<Change, State>) {
         let was_leader = self.raft.is_leader();
-        for output in self.raft.step(self.clock.now(), input) {
-            match output {
-                Output::Persist { hard_state, entries } => self.persist(hard_state, &entries)?,
-                Output::Compact { snapshot, entries } => self.compact(snapshot, entries)?,
-                Output::Send { to, message } => self.send(to, message),
-                Output::Applied { index, term } => self.resolve_puts(index, term),
+        let mut next = Some(input);
+        while let Some(input) = next {
+            let failed = matches!(input, Input::StorageFailed);
+            let outputs = self.raft.step(self.clock.now(), input);
+            if failed {
+                self.reject_pending_puts();
             }
+            next = self.carry_out(outputs);
         }
         self.notify_if_recovered();
         if was_leader != self.raft.is_leader() {
             let RaftStatus { term, leader, .. } = self.raft.status();
             tracing::info!(target: LOG_TARGET, term, ?leader, "raft leader changed");
         }
-        Ok(())
     }
 
-    fn persist(&mut self, hard_state: HardState, entries: &[Entry<Change>]) -> Result<(), StoreError> {
-        self.log_file.as_mut().map_or(Ok(()), |log_file| log_file.persist(hard_state, entries))
+    /// Carries out outputs in their order, and returns the input that follows from them. Where the log
+    /// fails, the rest is dropped: nothing may be promised to others before it is on the disk.
+    fn carry_out(&mut self, outputs: Vec<Output<Change, State>>) -> Option<Input<Change, State>> {
+        let mut next = None;
+        for output in outputs {
+            match self.carry_out_one(output) {
+                Ok(persisted) => next = next.or(persisted),
+                Err(PersistFailed) => return Some(Input::StorageFailed),
+            }
+        }
+        next
     }
 
-    fn compact(&mut self, snapshot: Snapshot<State>, entries: Vec<Entry<Change>>) -> Result<(), StoreError> {
-        self.log_file.as_mut().map_or(Ok(()), |log_file| log_file.compact(snapshot, entries))
+    fn carry_out_one(
+        &mut self,
+        output: Output<Change, State>,
+    ) -> Result<Option<Input<Change, State>>, PersistFailed> {
+        match output {
+            Output::Persist { hard_state, entries } => self.log.append(hard_state, &entries)?,
+            Output::Compact { contents } => self.log.replace(contents)?,
+            Output::Send { to, message } => {
+                self.send(to, message);
+                return Ok(None);
+            }
+            Output::Applied { index, term } => {
+                self.resolve_puts(index, term);
+                return Ok(None);
+            }
+        }
+        Ok(Some(Input::Persisted))
     }
 
     fn send(&self, to: ReplicaId, message: PeerMessage) {
@@ -230,6 +289,13 @@
         }
     }
 
+    /// Answers that the puts are not committed: their entries may or may not be kept.
+    fn reject_pending_puts(&mut self) {
+        for put in std::mem::take(&mut self.pending_puts) {
+            self.reply(&put.reply, false);
+        }
+    }
+
     fn notify_if_recovered(&mut self) {
         let commit_index = self.raft.status().commit_index;
         if let Some(recovery) = self.recovery.take_if(|recovery| recovery.last_log_index <= commit_index) {
@@ -241,7 +307,11 @@
     fn reply(&self, reply: &Sender<Status>, put_committed: bool) {
         let RaftStatus { term, leader, commit_index } = self.raft.status();
         let state = self.raft.state_machine().clone();
-        let status = Status { id: self.id, term, leader, commit_index, put_committed, state };
+        let log_error = self.log.failure().map(String::from);
+        let status = Status { id: self.id, term, leader, commit_index, put_committed, log_error, state };
         let _ = reply.try_send(status);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/tests/proxy/daemon.rs
+++ b/tests/proxy/daemon.rs
@@ -1,9 +1,11 @@
 //! The log and the store of the process.
 
 use crate::support::*;
+use serde_json::Value;
 use std::io::Read;
 use std::net::{TcpListener, UdpSocket};
-use std::process::Command;
+use std::path::PathBuf;
+use std::process::{Command, Output};
 use std::time::Instant;
 
 /// The message without its time, host, process and sequence number.
@@ -63,40 +65,94 @@
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
 }
 
+/// A store of one replica on the disk.
+struct StoreFile {
+    data: PathBuf,
+    /// The deploy file.
+    text: String,
+}
+
+impl StoreFile {
+    fn new(network: u8) -> StoreFile {
+        // No other process uses this address, so the port stays free until the replica binds it.
+        let pid = std::process::id();
+        let host = format!("127.{network}.{}.{}:0", pid >> 8 & 255, pid & 255);
+        let free = TcpListener::bind(host).unwrap().local_addr().unwrap();
+        let data = std::env::temp_dir().join(format!("liftrelay-data-{network}-{pid}"));
+        let text = format!("id = 7\ndata = {data:?}\n[[replica]]\nid = 7\naddress = \"{free}\"\n");
+        StoreFile { data, text }
+    }
+}
+
+impl Drop for StoreFile {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.data);
+    }
+}
+
+/// What the store's command line prints for the replica of a proxy.
+fn run_store(proxy: &Proxy, arguments: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_liftrelay"));
+    command.args(["store", "--file"]).arg(proxy.file()).args(arguments).output().unwrap()
+}
+
+/// Waits until the status of a proxy's replica meets a condition.
+fn wait_for_store_status(proxy: &Proxy, condition: impl Fn(&Value) -> bool) {
+    let start = Instant::now();
+    loop {
+        let output = run_store(proxy, &["status"]).stdout;
+        let status: Value = serde_json::from_slice(&output).unwrap_or_default();
+        if condition(&status) {
+            return;
+        }
+        assert!(start.elapsed() < TEST_TIMEOUT, "{status}");
+    }
+}
+
 #[test]
 fn store_keeps_settings_endpoint_list_and_prepared_statements() {
-    let primary = MockMember::start(true);
-    // No other process uses this address, so the port stays free until the replica binds it.
-    let pid = std::process::id();
-    let host = format!("127.90.{}.{}:0", pid >> 8 & 255, pid & 255);
-    let free = TcpListener::bind(host).unwrap().local_addr().unwrap();
-    let data = std::env::temp_dir().join(format!("liftrelay-data-{pid}"));
-    let file = format!("id = 7\ndata = {data:?}\n[[replica]]\nid = 7\naddress = \"{free}\"\n");
+    let (primary, store) = (MockMember::start(true), StoreFile::new(90));
     let shell = "exec \"$0\" serve --postgres \"$1\" --store \"$2\"";
-    let proxy = Proxy::start_with_shell(&[&primary], shell, &file);
+    let proxy = Proxy::start_with_shell(&[&primary], shell, &store.text);
     let mut client = proxy.connect_extended();
     client.send(&extended_messages("P r SELECT payload FROM entries WHERE ref = $1 /* c=any,d=900 */ | S"));
     assert_eq!(client.read_reply(), "1 Z");
-    let path = proxy.file();
-    let start = Instant::now();
-    loop {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_liftrelay"));
-        let out = command.args(["store", "--file"]).arg(&path).arg("status").output().unwrap();
-        let output: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
-        let state = &output["state"];
+    wait_for_store_status(&proxy, |status| {
+        let state = &status["state"];
         let listed = state["members"]["targets"][0]["uid"] == "s-0";
         let configured = state["settings"]["proxy"]["request_classes"][0]["name"] == "own";
         let prepared =
             state["statements"][0]["sql"].as_str().is_some_and(|s| s.starts_with("SELECT payload"));
-        if listed && configured && prepared {
-            break;
-        }
-        assert!(start.elapsed() < TEST_TIMEOUT, "{output}");
-    }
+        listed && configured && prepared
+    });
     // Killed and restarted while discovery is down, it still knows its members.
     drop(proxy);
-    let proxy = Proxy::start_with_shell(&[], shell, &file);
+    let proxy = Proxy::start_with_shell(&[], shell, &store.text);
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
+}
+
+#[test]
+fn clients_are_served_while_the_disk_of_the_store_fails_and_after_a_restart_on_it() {
+    let (primary, store, faults) = (MockMember::start(true), StoreFile::new(89), Faults::none());
+    let shell = faults.preload_in_shell("exec \"$0\" serve --store \"$2\"");
+    let proxy = Proxy::start_with_shell(&[&primary], &shell, &store.text);
+    wait_for_store_status(&proxy, |status| status["state"]["members"]["targets"][0]["uid"] == "s-0");
+    assert!(run_store(&proxy, &["put", "before", "1"]).status.success());
+    let data = store.data.display();
+    faults.set(&format!("write path={data} short=7 count=1\nwrite path={data} error=ENOSPC"));
+    let start = Instant::now();
+    assert!(!run_store(&proxy, &["put", "during", "2"]).status.success());
+    assert!(start.elapsed() < TEST_TIMEOUT);
+    wait_for_store_status(&proxy, |status| status["log_error"].is_string());
+    assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
+    // Killed and restarted on the same disk while discovery is down, it still knows its members.
     drop(proxy);
-    std::fs::remove_dir_all(data).unwrap();
+    let proxy = Proxy::start_with_shell(&[], &shell, &store.text);
+    assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
+    wait_for_store_status(&proxy, |status| {
+        status["log_error"].is_string() && status["state"]["settings"]["before"] == 1
+    });
+    faults.clear();
+    wait_for_store_status(&proxy, |status| status["log_error"].is_null() && status["leader"] == 7);
+    assert!(run_store(&proxy, &["put", "after", "3"]).status.success());
 }
--- a/tests/proxy/platform/configuration.rs
+++ b/tests/proxy/platform/configuration.rs
@@ -33,4 +33,10 @@
         assert_eq!(out.status.code(), Some(2), "{text}");
         assert!(text.lines().count() == 1 && text.contains(expected), "{text}");
     }
+    std::fs::write(proxy.file(), "id = 1\ndata = '/dev/null/data'").unwrap();
+    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_liftrelay"));
+    let out = command.args(["serve", "--store"]).arg(proxy.file()).env("GW_CONFIG", &good).output().unwrap();
+    let text = String::from_utf8(out.stderr).unwrap();
+    assert_eq!(out.status.code(), Some(2), "{text}");
+    assert!(text.lines().count() == 1 && text.contains("Not a directory"), "{text}");
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,8 +1,15 @@
-//! The store as three processes: a leader that is killed, a minority, a replica that catches up.
+//! The store as three processes: a leader that is killed, a minority, a replica that catches up, a disk that
+//! fails.
 
 #![allow(missing_docs)]
 
+#[allow(dead_code, reason = "the tests of the proxy use the rest")]
+#[path = "proxy/support/faults.rs"]
+mod faults;
+
+use faults::Faults;
 use serde_json::Value;
+use std::fs::File;
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
@@ -15,10 +22,16 @@
 struct Cluster {
     directory: PathBuf,
     replicas: Vec<Option<Child>>,
+    /// The faults of all replicas' system calls.
+    faults: Option<Faults>,
 }
 
 impl Cluster {
     fn start(name: &str) -> Cluster {
+        Cluster::start_with_faults(name, None)
+    }
+
+    fn start_with_faults(name: &str, faults: Option<Faults>) -> Cluster {
         let directory = std::env::temp_dir().join(format!("liftrelay-store-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&directory);
         std::fs::create_dir_all(&directory).unwrap();
@@ -37,7 +50,7 @@
             std::fs::write(directory.join(format!("{id}.toml")), text).unwrap();
         }
         drop(listeners);
-        let mut cluster = Cluster { directory, replicas: vec![None, None, None] };
+        let mut cluster = Cluster { directory, replicas: vec![None, None, None], faults };
         (1..=3).for_each(|id| cluster.start_replica(id));
         cluster
     }
@@ -50,7 +63,37 @@
     }
 
     fn start_replica(&mut self, id: usize) {
-        self.replicas[id - 1] = Some(self.command(id, &["run"]).spawn().unwrap());
+        let mut command = self.command(id, &["run"]);
+        if let Some(faults) = &self.faults {
+            faults.preload(&mut command);
+        }
+        command.stderr(File::options().create(true).append(true).open(self.log_path(id)).unwrap());
+        self.replicas[id - 1] = Some(command.spawn().unwrap());
+    }
+
+    /// The file of a replica's standard error.
+    fn log_path(&self, id: usize) -> PathBuf {
+        self.directory.join(format!("{id}.log"))
+    }
+
+    /// The lines that a replica has logged with this text.
+    fn logged(&self, id: usize, text: &str) -> Vec<String> {
+        let log = std::fs::read_to_string(self.log_path(id)).unwrap();
+        log.lines().filter(|line| line.contains(text)).map(String::from).collect()
+    }
+
+    /// The status of a running replica once a condition holds for it.
+    fn wait_for_status(&self, id: usize, what: &str, condition: impl Fn(&Value) -> bool) {
+        self.wait_until(what, |statuses| {
+            statuses.iter().any(|status| status["id"] == id && condition(status))
+        });
+    }
+
+    /// Lets all writes to a replica's disk fail, in place of all faults before.
+    fn fail_disk(&self, id: usize) {
+        let path = self.directory.join(format!("data-{id}"));
+        let script = format!("write path={0} error=ENOSPC\nfdatasync path={0} error=EIO", path.display());
+        self.faults.as_ref().unwrap().set(&script);
     }
 
     fn kill(&mut self, id: usize) {
@@ -163,3 +206,55 @@
         cluster.wait_until_all_have(&format!("n{n}"), n);
     }
 }
+
+#[test]
+fn a_replica_whose_disk_fails_is_replaced_as_leader_and_takes_part_again_once_the_disk_is_back() {
+    let mut cluster = Cluster::start_with_faults("disk", Some(Faults::none()));
+    let failing = cluster.wait_for_leader();
+    assert!(cluster.put("a", 1).status.success());
+    cluster.fail_disk(failing);
+    assert!(!cluster.put("b", 2).status.success(), "the leader can't persist it");
+    let moved = |status: &Value| status["leader"].as_u64().is_some_and(|leader| leader != failing as u64);
+    cluster.wait_until("another leader", |statuses| statuses.len() == 3 && statuses.iter().all(moved));
+    assert!(cluster.put("c", 3).status.success(), "the two others are a quorum");
+    cluster.wait_until_all_have("c", 3);
+    cluster.wait_for_status(failing, "its error", |status| status["log_error"].is_string());
+    assert_eq!(cluster.logged(failing, "raft log can't be written").len(), 1);
+    // Restarted while the disk fails, it is there again, and still does not count.
+    cluster.kill(failing);
+    cluster.start_replica(failing);
+    cluster.wait_for_status(failing, "its error", |status| status["log_error"].is_string());
+    assert!(cluster.put("d", 4).status.success());
+    let other = (1..=3).find(|id| *id != failing).unwrap();
+    cluster.kill(other);
+    assert!(!cluster.put("e", 5).status.success(), "one disk of three is no quorum");
+    cluster.faults.as_ref().unwrap().clear();
+    cluster.wait_for_status(failing, "its recovery", |status| status["log_error"].is_null());
+    cluster.wait_for_leader();
+    assert!(cluster.put("f", 6).status.success());
+    assert_eq!(cluster.logged(failing, "raft log is written again").len(), 1);
+    // What was confirmed by this replica and one other alone is there after a kill of both.
+    cluster.start_replica(other);
+    (1..=3).for_each(|id| cluster.kill(id));
+    (1..=3).for_each(|id| cluster.start_replica(id));
+    cluster.wait_for_leader();
+    for (name, value) in [("a", 1), ("c", 3), ("d", 4), ("f", 6)] {
+        cluster.wait_until_all_have(name, value);
+    }
+}
+
+#[test]
+fn a_data_directory_that_cannot_be_used_is_a_bad_configuration() {
+    let directory = std::env::temp_dir().join(format!("liftrelay-store-unusable-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    std::fs::write(directory.join("file"), "").unwrap();
+    let data = directory.join("file/data");
+    std::fs::write(directory.join("store.toml"), format!("id = 1\ndata = {data:?}\n")).unwrap();
+    let mut command = Command::new(PROGRAM);
+    let output =
+        command.args(["store", "--file"]).arg(directory.join("store.toml")).arg("run").output().unwrap();
+    let text = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(2), "{text}");
+    assert!(text.lines().count() == 1 && text.contains("Not a directory"), "{text}");
+    std::fs::remove_dir_all(&directory).unwrap();
+}
