--- a/src/store/raft/election.rs
+++ b/src/store/raft/election.rs
@@ -1,13 +1,15 @@
 //! Leader election: terms, votes and the election timer.
 
 use super::messages::{HardState, MessageBody, ReplicaId, RequestVote, RequestVoteReply, Term};
-use super::{ELECTION_TIMEOUT, RaftNode, Role, StateMachine};
+use super::{ELECTION_TIMEOUT, MAX_ELECTION_BACKOFF, RaftNode, Role, StateMachine};
 use crate::Micros;
 
 impl<M: StateMachine> RaftNode<M> {
-    /// Sets the next election to a random time between one and two election timeouts from now.
+    /// Sets the next election to a random time between one and two election timeouts from now; later after
+    /// elections without a result.
     pub(super) fn reset_election_timer(&mut self, now: Micros) {
-        self.next_deadline = now + ELECTION_TIMEOUT + self.election_jitter();
+        let backoff = self.elections_without_leader.min(MAX_ELECTION_BACKOFF);
+        self.next_deadline = now + ((ELECTION_TIMEOUT + self.election_jitter()) << backoff);
     }
 
     /// The random part of an election timeout.
@@ -30,6 +32,7 @@
         self.role = Role::Follower;
         self.leader = Some(leader);
         self.leader_heard_at = now;
+        self.elections_without_leader = 0;
         self.reset_election_timer(now);
     }
 
@@ -48,6 +51,7 @@
         self.leader = None;
         self.mark_hard_state_unpersisted();
         self.reset_election_timer(now);
+        self.elections_without_leader = self.elections_without_leader.saturating_add(1);
         for peer in self.peers.values_mut() {
             peer.vote_granted = false;
         }
@@ -105,6 +109,7 @@
     fn become_leader(&mut self, now: Micros) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
+        self.elections_without_leader = 0;
         let next_index = self.log.last_index() + 1;
         for peer in self.peers.values_mut() {
             peer.next_index = next_index;
--- a/src/store/raft/mod.rs
+++ b/src/store/raft/mod.rs
@@ -22,6 +22,10 @@
 
 /// The election timeout: a follower without a heartbeat for this long, up to twice that, starts an election.
 const ELECTION_TIMEOUT: Micros = 300_000;
+/// Each election without a result doubles the next election timeout, up to this many times. A vote takes two
+/// syncs one after the other, of the candidate and of the voter: on disks that are slower than the timeout,
+/// the next election must not start before it is there.
+const MAX_ELECTION_BACKOFF: u32 = 3;
 /// The heartbeat interval of a leader.
 const HEARTBEAT_INTERVAL: Micros = 75_000;
 /// The most entries in one message.
@@ -101,6 +105,8 @@
     role: Role,
     leader: Option<ReplicaId>,
     leader_heard_at: Micros,
+    /// The elections that this replica has started since it last knew a leader.
+    elections_without_leader: u32,
     peers: BTreeMap<ReplicaId, Peer>,
     log: Log<M::Command, M>,
     /// The state after all entries up to `last_applied`.
@@ -137,6 +143,7 @@
             role: Role::Follower,
             leader: None,
             leader_heard_at: 0,
+            elections_without_leader: 0,
             peers: others.map(|peer| (*peer, Peer::new(1))).collect(),
             state_machine: log.snapshot().state.clone(),
             commit_index: log.snapshot().last_included_index,
@@ -311,5 +318,7 @@
     }
 }
 
+#[cfg(test)]
+mod slow_disk_tests;
 #[cfg(test)]
 mod tests;
