--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -72,6 +72,21 @@
         }
     }
 
+    /// One update that has the effect of this one and then another.
+    pub fn followed_by(mut self, update: EndpointList) -> EndpointList {
+        if self.complete || update.complete {
+            self.merge(update);
+            return self;
+        }
+        self.revision = update.revision;
+        // Entries that remove an endpoint stay: the list to which the changes are applied has it still.
+        for changed in update.endpoints {
+            self.endpoints.retain(|endpoint| endpoint.uid != changed.uid);
+            self.endpoints.push(changed);
+        }
+        self
+    }
+
     /// The entries in the core's form. Entries whose address can't be parsed are left out.
     pub fn members(&self) -> Vec<ListedMember> {
         self.endpoints.iter().filter_map(EndpointRecord::member).collect()
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -12,6 +12,7 @@
 mod file_operations;
 mod log_file;
 mod persistent_log;
+mod proposals;
 mod protocol;
 mod raft;
 mod record;
--- a/src/store/service.rs
+++ b/src/store/service.rs
@@ -6,6 +6,7 @@
 use super::file_operations::{FileOperations, SystemFiles};
 use super::log_file::{LogFile, OpenedLog};
 use super::persistent_log::{PersistFailed, PersistentLog};
+use super::proposals::Proposals;
 use super::protocol::{Frame, PeerMessage, ServiceRequest, Status};
 use super::raft::{
     HardState, Index, Input, Output, PersistedState, RaftNode, RaftStatus, ReplicaId, Snapshot, Term,
@@ -16,11 +17,11 @@
 use crate::clock::Clock;
 use crate::threads::spawn;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 use std::net::TcpListener;
 
-/// The most queued requests, frames to a peer and proposals, each. Further proposals and frames are
-/// dropped; Raft sends its messages again.
+/// The most queued requests, frames to a peer and proposals, each. Further requests of the proxy and frames
+/// are dropped; Raft sends its messages again.
 const QUEUE_CAPACITY: usize = 256;
 
 /// The proxy's handle to its replica.
@@ -123,7 +124,7 @@
     peers: HashMap<ReplicaId, Sender<Frame>>,
     clock: Clock,
     /// The local proxy's changes that wait for a leader.
-    proposals: VecDeque<Change>,
+    proposals: Proposals,
     pending_puts: Vec<PendingPut>,
     /// `None` once the state is recovered.
     recovery: Option<Recovery>,
@@ -148,7 +149,7 @@
             log,
             peers: HashMap::new(),
             clock,
-            proposals: VecDeque::new(),
+            proposals: Proposals::new(QUEUE_CAPACITY),
             pending_puts: Vec::new(),
         };
         if service.log.failure().is_some() {
@@ -187,11 +188,7 @@
     fn handle(&mut self, request: ServiceRequest) {
         match request {
             ServiceRequest::PeerMessage(message) => self.step(Input::Message(message)),
-            ServiceRequest::Propose(change) => {
-                if self.proposals.len() < QUEUE_CAPACITY {
-                    self.proposals.push_back(change);
-                }
-            }
+            ServiceRequest::Propose(change) => self.proposals.push(change),
             ServiceRequest::ProposeForwarded(change) => self.step(Input::Propose(change)),
             ServiceRequest::Put { change, reply } => self.put(change, reply),
             ServiceRequest::Status { reply } => self.reply(&reply, false),
@@ -212,13 +209,13 @@
     /// Commits the local proxy's changes, or forwards them to the leader.
     fn propose_waiting(&mut self) {
         while self.raft.is_leader()
-            && let Some(change) = self.proposals.pop_front()
+            && let Some(change) = self.proposals.pop()
         {
             self.step(Input::Propose(change));
         }
         let leader = self.raft.status().leader;
         if let Some(leader) = leader.and_then(|leader| self.peers.get(&leader)) {
-            for change in self.proposals.drain(..) {
+            while let Some(change) = self.proposals.pop() {
                 let _ = leader.try_send(Frame::Forward(change));
             }
         }
--- a/src/store/service/tests.rs
+++ b/src/store/service/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::store::config::Replica;
 use crate::store::faulty_files::FaultyFiles;
+use crate::store::state::Statement;
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -310,3 +311,45 @@
     replica.files.repair();
     assert!(replica.receive_kind("Vote")["term"].as_u64().unwrap() > term);
 }
+
+/// A change of one endpoint in the list, as discovery sends it.
+fn endpoint_change(revision: u64, uid: &str, state: &str) -> Change {
+    let target = json!({ "uid": uid, "endpoint": "127.0.0.1:1", "state": state });
+    Change::Members(serde_json::from_value(json!({ "rev": revision, "targets": [target] })).unwrap())
+}
+
+#[test]
+fn the_latest_of_all_proposals_made_while_the_disk_fails_is_kept() {
+    let directory = empty_directory("proposals");
+    let files = FaultyFiles::default();
+    let mut replica = SingleReplica::start(&directory, &files);
+    for revision in 1..=3 {
+        let uid = format!("uid-{revision}");
+        replica.service.handle(ServiceRequest::Propose(endpoint_change(revision, &uid, "SERVING")));
+    }
+    replica.service.step(Input::Tick);
+    replica.service.propose_waiting();
+    files.fail();
+    assert!(!replica.put("name", 1));
+    let statement = |n| Change::Prepared(Statement { sql: format!("SELECT {n}"), types: Vec::new() });
+    for n in 0..QUEUE_CAPACITY as u64 + 10 {
+        replica.service.handle(ServiceRequest::Propose(statement(n)));
+    }
+    replica.service.handle(ServiceRequest::Propose(endpoint_change(4, "uid-2", "DELETED")));
+    for revision in 5..500 {
+        let state = if revision % 2 == 0 { "SERVING" } else { "DRAINING" };
+        replica.service.handle(ServiceRequest::Propose(endpoint_change(revision, "uid-3", state)));
+    }
+    files.repair();
+    replica.retry();
+    replica.service.step(Input::Tick);
+    replica.service.propose_waiting();
+    let state = serde_json::to_value(replica.service.raft.state_machine()).unwrap();
+    let endpoints = state["members"]["targets"].as_array().unwrap();
+    let states: Vec<_> = endpoints.iter().map(|endpoint| (&endpoint["uid"], &endpoint["state"])).collect();
+    assert_eq!(states, [(&json!("uid-1"), &json!("SERVING")), (&json!("uid-3"), &json!("DRAINING"))]);
+    assert_eq!(state["members"]["rev"], 499);
+    let last = state["statements"].as_array().unwrap().last().unwrap();
+    assert_eq!(last["sql"], format!("SELECT {}", QUEUE_CAPACITY + 9));
+    std::fs::remove_dir_all(&directory).unwrap();
+}
