--- a/src/store/raft/election.rs
+++ b/src/store/raft/election.rs
@@ -114,6 +114,7 @@
         for peer in self.peers.values_mut() {
             peer.next_index = next_index;
             peer.match_index = 0;
+            peer.unanswered_sends = 0;
         }
         // Entries of earlier terms are committed only together with an entry of this one.
         self.append_entry(None);
--- a/src/store/raft/mod.rs
+++ b/src/store/raft/mod.rs
@@ -28,6 +28,8 @@
 const MAX_ELECTION_BACKOFF: u32 = 3;
 /// The heartbeat interval of a leader.
 const HEARTBEAT_INTERVAL: Micros = 75_000;
+/// The delay before entries are sent to a silent follower again doubles up to this many times, to 2.4 s.
+const MAX_RESEND_BACKOFF: u32 = 5;
 /// The most entries in one message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 128;
 /// The log is compacted once it has more applied entries than this.
@@ -94,6 +96,10 @@
     next_index: Index,
     /// Leader: the last entry known to be replicated there.
     match_index: Index,
+    /// Leader: how many times entries were sent since its last answer.
+    unanswered_sends: u32,
+    /// Leader: when entries are sent again without an answer.
+    resend_at: Micros,
     /// Candidate: whether it voted for this replica in the current term.
     vote_granted: bool,
 }
@@ -253,7 +259,9 @@
         match body {
             MessageBody::RequestVote(request) => self.on_request_vote(now, from, stale, request),
             MessageBody::RequestVoteReply(reply) if !stale => self.on_request_vote_reply(now, from, reply),
-            MessageBody::AppendEntriesReply(reply) if !stale => self.on_append_entries_reply(from, reply),
+            MessageBody::AppendEntriesReply(reply) if !stale => {
+                self.on_append_entries_reply(now, from, reply)
+            }
             MessageBody::RequestVoteReply(_) | MessageBody::AppendEntriesReply(_) => {}
             MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot(_) if stale => {
                 self.reply_to_leader(from, false, self.log.last_index());
@@ -314,7 +322,18 @@
 
 impl Peer {
     fn new(next_index: Index) -> Self {
-        Peer { next_index, match_index: 0, vote_granted: false }
+        Peer { next_index, match_index: 0, unanswered_sends: 0, resend_at: 0, vote_granted: false }
+    }
+
+    /// Whether entries may be sent now. To a peer that doesn't answer, which may be silent since its disk
+    /// fails, they are sent again after a delay that doubles each time.
+    fn may_send_entries(&mut self, now: Micros) -> bool {
+        if self.unanswered_sends > 0 && now < self.resend_at {
+            return false;
+        }
+        self.resend_at = now + (HEARTBEAT_INTERVAL << self.unanswered_sends.min(MAX_RESEND_BACKOFF));
+        self.unanswered_sends = self.unanswered_sends.saturating_add(1);
+        true
     }
 }
 
--- a/src/store/raft/replication.rs
+++ b/src/store/raft/replication.rs
@@ -17,20 +17,23 @@
     pub(super) fn broadcast_append_entries(&mut self, now: Micros) {
         self.next_deadline = now + HEARTBEAT_INTERVAL;
         for peer in self.peer_ids() {
-            self.send_append_entries(peer);
+            self.send_append_entries(now, peer);
         }
         self.advance_commit_index();
     }
 
-    fn send_append_entries(&mut self, to: ReplicaId) {
-        let Some(next_index) = self.peers.get(&to).map(|peer| peer.next_index) else { return };
-        let prev_log_index = next_index - 1;
+    /// Sends a follower its missing entries or the snapshot that precedes them; only a heartbeat to one that is
+    /// silent.
+    fn send_append_entries(&mut self, now: Micros, to: ReplicaId) {
+        let last_index = self.log.last_index();
+        let Some(peer) = self.peers.get_mut(&to) else { return };
+        let prev_log_index = peer.next_index - 1;
+        let sends_entries = prev_log_index < last_index && peer.may_send_entries(now);
         let Some(prev_log_term) = self.log.term_at(prev_log_index) else {
-            let snapshot = self.log.snapshot().clone();
-            self.send(to, MessageBody::InstallSnapshot(InstallSnapshot { snapshot }));
-            return;
+            return self.send_snapshot(to, sends_entries);
         };
-        let entries = self.log.entries_from(next_index).iter().take(MAX_ENTRIES_PER_MESSAGE);
+        let max_entries = if sends_entries { MAX_ENTRIES_PER_MESSAGE } else { 0 };
+        let entries = self.log.entries_from(prev_log_index + 1).iter().take(max_entries);
         let request = AppendEntries {
             prev_log_index,
             prev_log_term,
@@ -40,6 +43,22 @@
         self.send(to, MessageBody::AppendEntries(request));
     }
 
+    /// Sends the snapshot, or a heartbeat that follows it.
+    fn send_snapshot(&mut self, to: ReplicaId, complete: bool) {
+        let snapshot = self.log.snapshot();
+        let body = if complete {
+            MessageBody::InstallSnapshot(InstallSnapshot { snapshot: snapshot.clone() })
+        } else {
+            MessageBody::AppendEntries(AppendEntries {
+                prev_log_index: snapshot.last_included_index,
+                prev_log_term: snapshot.last_included_term,
+                entries: Vec::new(),
+                leader_commit: self.commit_index,
+            })
+        };
+        self.send(to, body);
+    }
+
     pub(super) fn on_append_entries(
         &mut self,
         now: Micros,
@@ -101,11 +120,17 @@
         self.send(leader, MessageBody::AppendEntriesReply(reply));
     }
 
-    pub(super) fn on_append_entries_reply(&mut self, from: ReplicaId, reply: AppendEntriesReply) {
+    pub(super) fn on_append_entries_reply(
+        &mut self,
+        now: Micros,
+        from: ReplicaId,
+        reply: AppendEntriesReply,
+    ) {
         if !self.is_leader() {
             return;
         }
         let Some(peer) = self.peers.get_mut(&from) else { return };
+        peer.unanswered_sends = 0;
         if reply.success {
             peer.match_index = peer.match_index.max(reply.last_agreed_index);
             peer.next_index = peer.next_index.max(peer.match_index + 1);
@@ -117,7 +142,7 @@
         let behind = peer.next_index <= self.log.last_index();
         self.advance_commit_index();
         if behind {
-            self.send_append_entries(from);
+            self.send_append_entries(now, from);
         }
     }
 
--- a/src/store/raft/tests.rs
+++ b/src/store/raft/tests.rs
@@ -1,4 +1,4 @@
-use super::messages::{RequestVote, RequestVoteReply};
+use super::messages::{AppendEntriesReply, RequestVote, RequestVoteReply};
 use super::*;
 
 /// A state machine that keeps every command.
@@ -173,3 +173,40 @@
     single.step(0, Input::Persisted);
     assert_eq!(single.state_machine().0, [7], "a single replica is its own quorum");
 }
+
+#[test]
+fn a_silent_follower_is_sent_entries_ever_more_rarely_and_all_of_them_once_it_answers() {
+    let mut leader: RaftNode<CommandHistory> = RaftNode::new(0, &[0, 1, 2], PersistedState::default(), 1, 0);
+    let mut now = 0;
+    let message = |term, body| Input::Message(Message { from: 2, term, body });
+    while !leader.is_leader() {
+        now += HEARTBEAT_INTERVAL;
+        leader.step(now, Input::Tick);
+        let granted = MessageBody::RequestVoteReply(RequestVoteReply { vote_granted: true });
+        leader.step(now, message(leader.status().term, granted));
+    }
+    (0..100).for_each(|command| drop(leader.step(now, Input::Propose(command))));
+    let sent_to_follower = |outputs: Vec<Output<u64, CommandHistory>>| -> Option<Vec<Entry<u64>>> {
+        outputs.into_iter().find_map(|output| match output {
+            Output::Send { to: 2, message: Message { body: MessageBody::AppendEntries(append), .. } } => {
+                Some(append.entries)
+            }
+            _ => None,
+        })
+    };
+    let (mut heartbeats, mut with_entries) = (0, 0);
+    for _ in 0..100 {
+        now += HEARTBEAT_INTERVAL;
+        if let Some(entries) = sent_to_follower(leader.step(now, Input::Tick)) {
+            heartbeats += 1;
+            with_entries += usize::from(!entries.is_empty());
+        }
+    }
+    assert_eq!(heartbeats, 100, "the follower hears from its leader all the same");
+    assert!((3..15).contains(&with_entries), "{with_entries} times all entries");
+    let last_sent = leader.last_log_index();
+    let reply = AppendEntriesReply { success: true, last_agreed_index: 1 };
+    let reply = message(leader.status().term, MessageBody::AppendEntriesReply(reply));
+    let entries = sent_to_follower(leader.step(now, reply)).unwrap();
+    assert_eq!(entries.last().map(|entry| entry.index), Some(last_sent), "at once when it answers");
+}
