--- a/src/net/client_listener.rs
+++ b/src/net/client_listener.rs
@@ -1,15 +1,9 @@
 //! The listening socket for clients.
 
 use crate::config::{Config, LISTEN_FD_VARIABLE};
+use crate::sockets::bind;
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
-use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
-use std::time::{Duration, Instant};
-
-/// How long the previous process may keep the clients' address bound.
-const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The delay between two attempts to bind it.
-const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Why there is no listening socket.
 #[derive(Debug, thiserror::Error)]
@@ -42,21 +36,7 @@
 pub fn client_listener(config: &Config) -> Result<TcpListener, ListenError> {
     match config.listen_fd {
         Some(descriptor) => inherit(descriptor),
-        None => bind(config.listen),
-    }
-}
-
-fn bind(address: SocketAddr) -> Result<TcpListener, ListenError> {
-    let deadline = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
-    loop {
-        match TcpListener::bind(address) {
-            Ok(listener) => return Ok(listener),
-            // Guards against a failed start where the previous process is still shutting down.
-            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
-                std::thread::sleep(BIND_RETRY_DELAY);
-            }
-            Err(source) => return Err(ListenError::Bind { address, source }),
-        }
+        None => bind(config.listen).map_err(|source| ListenError::Bind { address: config.listen, source }),
     }
 }
 
--- a/src/store/raft/replication.rs
+++ b/src/store/raft/replication.rs
@@ -22,7 +22,7 @@
         self.advance_commit_index();
     }
 
-    /// Sends a follower its missing entries or the snapshot that precedes them; only a heartbeat to one that is
+    /// Sends a follower its missing entries, or the snapshot that precedes them; a heartbeat to one that is
     /// silent.
     fn send_append_entries(&mut self, now: Micros, to: ReplicaId) {
         let last_index = self.log.last_index();
--- a/src/store/service.rs
+++ b/src/store/service.rs
@@ -15,10 +15,10 @@
 use super::transport;
 use crate::Micros;
 use crate::clock::Clock;
+use crate::sockets::bind;
 use crate::threads::spawn;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use std::collections::HashMap;
-use std::net::TcpListener;
 
 /// The most queued requests, frames to a peer and proposals, each. Further requests of the proxy and frames
 /// are dropped; Raft sends its messages again.
@@ -84,7 +84,7 @@
     for replica in &config.replicas {
         let address = replica.address;
         if replica.id == config.id {
-            transport::listen(TcpListener::bind(address)?, requests.clone())?;
+            transport::listen(bind(address)?, requests.clone())?;
         } else {
             let (sender, frames) = bounded(QUEUE_CAPACITY);
             spawn("store-peer", move || transport::send_frames(address, &frames))?;
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -76,6 +76,12 @@
         self.directory.join(format!("{id}.log"))
     }
 
+    /// All that the replicas have logged.
+    fn logs(&self) -> String {
+        let log = |id| std::fs::read_to_string(self.log_path(id)).unwrap_or_default();
+        (1..=3).map(|id| format!("replica {id}:\n{}", log(id))).collect()
+    }
+
     /// The lines that a replica has logged with this text.
     fn logged(&self, id: usize, text: &str) -> Vec<String> {
         let log = std::fs::read_to_string(self.log_path(id)).unwrap();
@@ -116,7 +122,7 @@
             if condition(&statuses) {
                 return statuses;
             }
-            assert!(start.elapsed() < TEST_TIMEOUT, "{what} does not come: {statuses:?}");
+            assert!(start.elapsed() < TEST_TIMEOUT, "{what} does not come: {statuses:?}\n{}", self.logs());
         }
     }
 
@@ -258,3 +264,17 @@
     assert!(text.lines().count() == 1 && text.contains("Not a directory"), "{text}");
     std::fs::remove_dir_all(&directory).unwrap();
 }
+
+#[test]
+fn a_replica_waits_for_its_address_while_the_last_process_still_has_it() {
+    let mut cluster = Cluster::start("address");
+    cluster.wait_for_leader();
+    cluster.kill(1);
+    let config: toml::Table =
+        std::fs::read_to_string(cluster.directory.join("1.toml")).unwrap().parse().unwrap();
+    let holder = TcpListener::bind(config["replica"][0]["address"].as_str().unwrap()).unwrap();
+    cluster.start_replica(1);
+    std::thread::sleep(Duration::from_millis(300));
+    drop(holder);
+    cluster.wait_for_leader();
+}
