--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -37,6 +37,12 @@
         if listed { Ok(()) } else { Err(StoreError::ReplicaNotListed(self.id)) }
     }
 
+    /// The address at which this replica accepts connections, if it does.
+    pub fn own_address(&self) -> Option<SocketAddr> {
+        let own = self.replicas.iter().find(|replica| replica.id == self.id);
+        own.map(|replica| replica.address)
+    }
+
     /// A single replica that persists nothing across a restart.
     pub fn single_in_memory() -> Self {
         StoreConfig { id: 1, data_directory: None, replicas: Vec::new() }
--- a/src/store/service.rs
+++ b/src/store/service.rs
@@ -39,9 +39,14 @@
         on_recovered: impl FnOnce(State) + Send + 'static,
     ) -> Result<Store, StoreError> {
         config.check()?;
-        let (requests, inbox) = bounded(QUEUE_CAPACITY);
+        // The process that has the address may still write to the log: it is opened after that.
+        let listener = config.own_address().map(bind).transpose()?;
         let mut service = Service::new(config, Box::new(SystemFiles), seed, on_recovered)?;
-        service.peers = start_transport(config, &requests)?;
+        let (requests, inbox) = bounded(QUEUE_CAPACITY);
+        if let Some(listener) = listener {
+            transport::listen(listener, requests.clone())?;
+        }
+        service.peers = start_senders(config)?;
         spawn("store", move || service.run(&inbox))?;
         Ok(Store { requests })
     }
@@ -75,21 +80,14 @@
     Ok((log, persisted))
 }
 
-/// Listens at this replica's address, and returns the channels to the other replicas.
-fn start_transport(
-    config: &StoreConfig,
-    requests: &Sender<ServiceRequest>,
-) -> Result<HashMap<ReplicaId, Sender<Frame>>, StoreError> {
+/// Starts the threads that send frames to the other replicas, and returns the channels to them.
+fn start_senders(config: &StoreConfig) -> Result<HashMap<ReplicaId, Sender<Frame>>, StoreError> {
     let mut peers = HashMap::new();
-    for replica in &config.replicas {
+    for replica in config.replicas.iter().filter(|replica| replica.id != config.id) {
         let address = replica.address;
-        if replica.id == config.id {
-            transport::listen(bind(address)?, requests.clone())?;
-        } else {
-            let (sender, frames) = bounded(QUEUE_CAPACITY);
-            spawn("store-peer", move || transport::send_frames(address, &frames))?;
-            peers.insert(replica.id, sender);
-        }
+        let (sender, frames) = bounded(QUEUE_CAPACITY);
+        spawn("store-peer", move || transport::send_frames(address, &frames))?;
+        peers.insert(replica.id, sender);
     }
     Ok(peers)
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -266,15 +266,24 @@
 }
 
 #[test]
-fn a_replica_waits_for_its_address_while_the_last_process_still_has_it() {
+fn a_replica_waits_for_its_address_and_reads_its_log_once_the_last_process_has_ended() {
     let mut cluster = Cluster::start("address");
     cluster.wait_for_leader();
-    cluster.kill(1);
-    let config: toml::Table =
-        std::fs::read_to_string(cluster.directory.join("1.toml")).unwrap().parse().unwrap();
+    assert!(cluster.put("a", 1).status.success());
+    cluster.wait_until_all_have("a", 1);
+    (1..=3).for_each(|id| cluster.kill(id));
+    let config = std::fs::read_to_string(cluster.directory.join("1.toml")).unwrap();
+    let config: toml::Table = config.parse().unwrap();
     let holder = TcpListener::bind(config["replica"][0]["address"].as_str().unwrap()).unwrap();
+    // What the last process writes at its end.
+    let [log, later_log] = ["data-1/log", "later"].map(|name| cluster.directory.join(name));
+    std::fs::rename(&log, &later_log).unwrap();
     cluster.start_replica(1);
     std::thread::sleep(Duration::from_millis(300));
+    std::fs::rename(&later_log, &log).unwrap();
     drop(holder);
-    cluster.wait_for_leader();
+    // The other one has lost its disk: the value is in the first one's log alone.
+    std::fs::remove_dir_all(cluster.directory.join("data-2")).unwrap();
+    cluster.start_replica(2);
+    cluster.wait_until_all_have("a", 1);
 }
