--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -11,8 +11,8 @@
 const KILL_MARGIN: Micros = 700_000;
 /// Connections are closed between requests from this long before SIGKILL on.
 const CLOSE_IDLE_BEFORE_KILL: Micros = 900_000;
-/// Requests that are still pending fail this long before SIGKILL, and reading from clients stops: what would be read
-/// later could only be rejected, and is left to the client to send elsewhere.
+/// Requests that are still pending fail this long before SIGKILL, and reading from clients stops: what would
+/// be read later could only be rejected, and is left to the client to send elsewhere.
 const FAIL_PENDING_BEFORE_KILL: Micros = 250_000;
 /// Waiting stops this long before SIGKILL.
 const STOP_WAITING_BEFORE_KILL: Micros = FAIL_PENDING_BEFORE_KILL / 4;
@@ -21,8 +21,8 @@
 /// Clients go on opening connections for 0.4 s after SIGTERM: until a little later, none is closed between
 /// requests.
 const MIN_SERVING_TIME: Micros = 450_000;
-/// New connections are answered for this long after SIGTERM, even if there are no clients, unless requests must
-/// fail before.
+/// New connections are answered for this long after SIGTERM, even if there are no clients, unless requests
+/// must fail before.
 const MAX_SERVING_TIME_WITHOUT_CLIENTS: Micros = 900_000;
 /// New connections are accepted for this long after SIGTERM where the next process accepts them as well.
 const SHARED_ACCEPT_TIME: Micros = 500_000;
