--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -67,3 +67,20 @@
         assert!((base * 3 / 4..=base * 5 / 4).contains(&delay), "attempt {attempt}: {delay} ms");
     }
 }
+
+#[test]
+fn the_time_limit_of_a_call_grows_after_one_that_hung_and_is_reset_only_by_something_received() {
+    let ends = [CallEnd::Hung, CallEnd::Failed, CallEnd::Hung, CallEnd::Received];
+    for (kind, expected) in [
+        (DiscoveryKind::LocalAgent, [1000, 2000, 2000, 2000, 1000]),
+        (DiscoveryKind::SharedService, [2500, 3500, 3500, 3500, 2500]),
+    ] {
+        let mut timeout = CallTimeout::new(kind);
+        let mut limits = vec![timeout.current().as_millis()];
+        for end in ends {
+            timeout.record(end);
+            limits.push(timeout.current().as_millis());
+        }
+        assert_eq!(limits, expected, "{kind:?}");
+    }
+}
--- a/src/server/endpoint_watch.rs
+++ b/src/server/endpoint_watch.rs
@@ -5,13 +5,14 @@
 use crate::config::{Config, ConfigError};
 use crate::core::Input;
 use crate::endpoint_list::EndpointList;
-use crate::net::discovery::{EventSink, ReceiverClosed, Watch, WatchEvent, WatchId};
+use crate::net::discovery::{DiscoveryKind, EventSink, ReceiverClosed, Watch, WatchEvent, WatchId};
 use crate::store::Change;
 use std::net::SocketAddr;
 
 /// The watches on the endpoint list.
 pub(super) struct EndpointWatches {
     current: Watch,
+    kind: DiscoveryKind,
     /// The previous watch, until the current one has received its first event.
     previous_watch: Option<Watch>,
     /// The revision of the list in use; the highest possible once discovery has sent one.
@@ -22,13 +23,14 @@
     /// Starts the first watch, after this revision.
     pub(super) fn start(
         address: SocketAddr,
+        kind: DiscoveryKind,
         known_revision: u64,
         seed: u64,
         messages: Messages,
     ) -> std::io::Result<Self> {
         let events = event_sink(messages);
-        let current = Watch::start(0, address, Some(known_revision), seed, events)?;
-        Ok(EndpointWatches { current, previous_watch: None, known_revision })
+        let current = Watch::start(0, address, kind, Some(known_revision), seed, events)?;
+        Ok(EndpointWatches { current, kind, previous_watch: None, known_revision })
     }
 
     /// Whether an event of this watch counts. Guards against late events of a watch that has ended.
@@ -55,7 +57,7 @@
     fn replace(&mut self, address: SocketAddr, seed: u64, messages: Messages) -> std::io::Result<()> {
         let events = event_sink(messages);
         // The members stay as they are until the new address has sent its complete list.
-        let watch = Watch::start(self.current.id + 1, address, None, seed, events)?;
+        let watch = Watch::start(self.current.id + 1, address, self.kind, None, seed, events)?;
         tracing::info!(target: LOG_TARGET, discovery = %address, "discovery address changed");
         let replaced = std::mem::replace(&mut self.current, watch);
         // Guards against missing updates from the old address before the new one has sent any. A watch
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -6,12 +6,14 @@
 use super::service::MAX_STARTUP_WAIT;
 use super::shutdown::Shutdown;
 use super::{LOG_TARGET, Message, Messages, Server, signals};
+use crate::Settings;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::core::{Core, Input};
 use crate::front::postgres::{ExtendedListenerConfig, Postgres};
 use crate::net::admin::{self, CallSink, LoopUnavailable};
 use crate::net::client::{self, ClientListener, ClientReactor, ReactorEvent, ReactorLimits};
+use crate::net::discovery::DiscoveryKind;
 use crate::net::member::{MemberEvents, WorkerPool};
 use crate::store::{Change, State, Store, StoreConfig};
 use crate::threads::spawn;
@@ -77,6 +79,11 @@
     }
 }
 
+/// Who answers calls to discovery, according to the settings.
+fn discovery_kind(settings: &Settings) -> DiscoveryKind {
+    if settings.list_on_request { DiscoveryKind::SharedService } else { DiscoveryKind::LocalAgent }
+}
+
 /// Passes operators' requests to the event loop.
 fn admin_calls(messages: Messages) -> CallSink {
     Arc::new(move |call, timeout| {
@@ -147,6 +154,7 @@
             ready_at: Some(clock.now() + MAX_STARTUP_WAIT),
             endpoint_watches: EndpointWatches::start(
                 config.discovery,
+                discovery_kind(&config.settings),
                 config.known_endpoints.revision,
                 config.seed,
                 messages.clone(),
--- a/tests/proxy/races/discovery.rs
+++ b/tests/proxy/races/discovery.rs
@@ -31,6 +31,24 @@
     }
 }
 
+/// Guards against calls that are given up while a crowded discovery works through those ahead of them: each
+/// still takes its turn, the next one joins the end of the queue, and drains are never heard of.
+#[test]
+fn call_that_waits_for_its_turn_at_a_shared_discovery_is_not_given_up_early() {
+    let member = MockMember::start(true);
+    let edit = r#"s/"request_classes"/"discovery":"on_request",&/"#;
+    let shell = format!("sed -i '{edit}' \"$GW_CONFIG\"; exec \"$0\" serve");
+    let proxy = Proxy::start_with_shell(&[&member], &shell, "");
+    let shared_discovery = ScriptedDiscovery::start();
+    proxy.reload(&configuration_at(shared_discovery.address));
+    let (_waiting, _) = shared_discovery.accept_request();
+    let start = Instant::now();
+    let (_repeated, _) = shared_discovery.accept_request();
+    let waited = start.elapsed();
+    assert!(waited > Duration::from_millis(2500), "given up after {waited:?}");
+    assert!(waited < Duration::from_millis(3500), "repeated after {waited:?} only");
+}
+
 /// Guards against missing a drain that the old address sends while the new one is silent, and against a new
 /// address that is given up too late: what it has counts 4 s after SIGHUP.
 #[test]
