--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -25,11 +25,14 @@
 pub enum JobSpec<W> {
     /// Send an attempt and wait for its response.
     Attempt {
+        /// The request that it serves.
+        request: RequestId,
         /// The work to send.
         work: Arc<W>,
-        /// How long this proxy waits for the response.
+        /// How long this proxy waits for the response, from the step that starts the attempt. The member is
+        /// told what is left of it when the attempt is written.
         timeout: Micros,
-        /// The attempt must be started within this time from now, or not at all.
+        /// The attempt must be started within this time from that step, or not at all.
         start_within: Micros,
         /// Verify first that the connection to the member is still alive.
         verify_connection: bool,
@@ -106,7 +109,8 @@
         /// When the proxy shuts down.
         deadline: Micros,
     },
-    /// The time that [`Core::next_timer_at`](super::Core::next_timer_at) returned has been reached.
+    /// The time that [`Core::next_timer_at`](super::Core::next_timer_at) returned has been reached. To be
+    /// repeated while a timer is due.
     TimerDue,
 }
 
