--- a/tests/proxy/races/discovery.rs
+++ b/tests/proxy/races/discovery.rs
@@ -77,6 +77,37 @@
     proxy.discovery.wait_for_closed_watch();
 }
 
+/// Guards against missing a drain while one configuration follows another: the address that last sent a list
+/// counts until another has sent its own, however many were named in between and are silent.
+#[test]
+fn drain_update_is_applied_while_several_reloads_follow_each_other() {
+    let (primary, replica, next) =
+        (MockMember::start(true), MockMember::start(false), MockMember::start(true));
+    let proxy = Proxy::start(&[&primary, &replica]);
+    let silent: Vec<_> = (0..3).map(|_| ScriptedDiscovery::start()).collect();
+    let mut hung = Vec::new();
+    for discovery in &silent {
+        proxy.reload(&configuration_at(discovery.address));
+        hung.push(discovery.accept_request());
+    }
+    proxy.discovery.push(&endpoint_update(2, &endpoint_entry(1, &replica, "DRAINING")));
+    let pushed = Instant::now();
+    let mut client = proxy.connect();
+    while pushed.elapsed() < Duration::from_millis(400) {
+        client.query(&read_query(1));
+    }
+    let before = replica.executed_count();
+    for id in 2..10 {
+        assert_eq!(client.query(&read_query(id)), SERVED);
+    }
+    assert_eq!(replica.executed_count(), before, "the replica drains");
+    let last = silent.last().unwrap();
+    let _watch = last.answer_until_watch(&serving_list(3, &[(7, &next)]));
+    proxy.discovery.wait_for_closed_watch();
+    assert_eq!(client.query(&write_query(20, 900)), SERVED);
+    assert_eq!(next.executed_count(), 1, "the last address counts");
+}
+
 /// Guards against losing a watch over an entry that is broken into lines, and against taking the end of a
 /// connection for the end of the list that it sent.
 #[test]
