--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -3,7 +3,7 @@
 
 use super::ListedMember;
 use crate::{EndpointId, EndpointState, Micros};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// The id of a connection to a member; ids are never reused.
@@ -36,6 +36,8 @@
     last_id: ConnectionId,
     connections: BTreeMap<ConnectionId, Connection>,
     members: BTreeMap<EndpointId, MemberPool>,
+    /// The members that are absent from the endpoint list, in the order in which they left it.
+    gone: BTreeSet<(Micros, EndpointId)>,
 }
 
 /// The connection that a job is given.
@@ -73,7 +75,8 @@
 impl Pool {
     /// An empty pool of at most `capacity` connections.
     pub fn new(capacity: usize) -> Self {
-        Pool { capacity, last_id: 0, connections: BTreeMap::new(), members: BTreeMap::new() }
+        let (connections, members) = (BTreeMap::new(), BTreeMap::new());
+        Pool { capacity, last_id: 0, connections, members, gone: BTreeSet::new() }
     }
 
     /// Applies an update of the endpoint list. Returns the idle connections to close: those to members that
@@ -84,21 +87,54 @@
         full: bool,
         listed: &[ListedMember],
     ) -> Vec<ConnectionId> {
+        let mut states = BTreeMap::new();
         for ListedMember { entry, address } in listed {
+            states.entry(entry.endpoint).or_insert(entry.state);
             self.members.entry(entry.endpoint).or_default().address = Some(*address);
         }
+        if full {
+            for endpoint in self.members.keys() {
+                states.entry(*endpoint).or_insert(EndpointState::Removed);
+            }
+        }
         let mut to_close = Vec::new();
-        for (endpoint, member) in &mut self.members {
-            let listed = listed.iter().find(|listed| listed.entry.endpoint == *endpoint);
-            let state = listed.map(|listed| listed.entry.state);
-            let out_of_service = state.map_or(full, |state| state != EndpointState::Ready);
-            to_close.extend(member.remove_unusable(out_of_service, &self.connections));
-            member.track_absence(now, full, state);
+        for (endpoint, state) in states {
+            to_close.extend(self.apply_state(now, endpoint, state));
         }
-        self.members.retain(|_, member| !member.is_forgotten(now));
+        self.forget_gone_members(now);
         to_close
     }
 
+    /// Applies the state that the list gives a member. Returns its idle connections that can't be used then.
+    fn apply_state(
+        &mut self,
+        now: Micros,
+        endpoint: EndpointId,
+        state: EndpointState,
+    ) -> impl Iterator<Item = ConnectionId> {
+        let member = self.members.entry(endpoint).or_default();
+        if state != EndpointState::Removed {
+            if let Some(since) = member.gone_since.take() {
+                self.gone.remove(&(since, endpoint));
+            }
+        } else if member.gone_since.is_none() {
+            member.gone_since = Some(now);
+            self.gone.insert((now, endpoint));
+        }
+        member.remove_unusable(state != EndpointState::Ready, &self.connections).into_iter()
+    }
+
+    /// Guards against growth without bound, as new members always get new ids. Removed members are kept for a
+    /// while because a list may be wrong.
+    fn forget_gone_members(&mut self, now: Micros) {
+        while let Some((since, endpoint)) = self.gone.first().copied()
+            && now >= since + FORGET_GONE_AFTER
+        {
+            self.gone.pop_first();
+            self.members.remove(&endpoint);
+        }
+    }
+
     /// Checks out the most recently used idle connection to a member, or a new one if there is capacity.
     pub fn check_out(&mut self, endpoint: EndpointId) -> Checkout {
         let Some(member) = self.members.get_mut(&endpoint) else {
@@ -203,20 +239,7 @@
         let is_current = |id: &ConnectionId| connections.get(id).is_some_and(|c| Some(c.address) == address);
         self.idle.extract_if(.., |id| out_of_service || !is_current(id)).collect()
     }
-
-    /// Records since when the member has been absent; `state` is its entry in the update, if it has one.
-    fn track_absence(&mut self, now: Micros, full: bool, state: Option<EndpointState>) {
-        match state {
-            Some(EndpointState::Removed) => self.gone_since = self.gone_since.or(Some(now)),
-            Some(EndpointState::Ready | EndpointState::Draining) => self.gone_since = None,
-            None if full => self.gone_since = self.gone_since.or(Some(now)),
-            None => {}
-        }
-    }
-
-    /// Guards against growth without bound, as new members always get new ids. Removed members are kept for a
-    /// while because a list may be wrong.
-    fn is_forgotten(&self, now: Micros) -> bool {
-        self.gone_since.is_some_and(|since| now >= since + FORGET_GONE_AFTER)
-    }
 }
+
+#[cfg(test)]
+mod tests;
