--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -13,7 +13,7 @@
 impl Router {
     /// Departure: where only draining binds, an endpoint that is listed as removed is used while it answers.
     /// Guards against lists that are wrong, stale or empty; costs an attempt where the list is right.
-    pub(super) fn is_usable(&self, index: EndpointIndex) -> bool {
+    pub(crate) fn is_usable(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         let may_be_in_service = self.may_serve_though_removed(index) && !endpoint.down;
         endpoint.state == EndpointState::Ready
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -82,7 +82,8 @@
 
     pub(crate) fn on_endpoint_update(&mut self, full: bool, entries: Vec<EndpointEntry>) {
         if full {
-            self.topology.remove_unlisted(&entries);
+            let removed = self.topology.remove_unlisted(&entries);
+            removed.into_iter().for_each(|index| self.count_endpoint(index));
         }
         let is_first_list = self.topology.endpoint_count() == 0;
         let mut newly_hinted = Vec::new();
@@ -92,14 +93,20 @@
             if self.topology.apply_entry(index, &entry, self.now) {
                 newly_hinted.push(entry.group);
             }
+            self.count_endpoint(index);
         }
-        let usable: Vec<_> = self.topology.indices().filter(|index| self.is_usable(*index)).collect();
-        self.usable_endpoints = usable.len() as f64;
-        self.warm_endpoints = usable.iter().filter(|index| !self.is_warming_up(**index)).count() as f64;
+        self.usable_endpoints = self.usable_counts.usable() as f64;
+        self.warm_endpoints = self.usable_counts.warm(self.now) as f64;
         newly_hinted.into_iter().for_each(|group| self.resume_held(Some(group), true));
         self.resume_held(None, false);
     }
 
+    /// Counts an endpoint as usable or not; called after each event that may have changed that.
+    fn count_endpoint(&mut self, index: EndpointIndex) {
+        let warm_at = self.is_usable(index).then(|| self.warm_at(index));
+        self.usable_counts.record(index, warm_at);
+    }
+
     fn add_endpoint(&mut self, entry: &EndpointEntry, is_first_list: bool) -> EndpointIndex {
         let index = self.topology.allocate(entry.endpoint, self.now);
         let probe_spread = probing::INTERVAL_MIN * Micros::from(self.settings.instances);
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -64,6 +64,7 @@
             self.topology[index].record_contact(self.now);
             let is_usable = self.is_usable(index);
             self.topology.record_report(index, report, is_usable, self.now);
+            self.count_endpoint(index);
         }
         self.resume_held_in_group(group, primary_before);
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -13,13 +13,22 @@
 
 impl Router {
     /// Warming up by the list, down, or back so recently that the list may not report it yet.
-    pub(super) fn is_warming_up(&self, index: EndpointIndex) -> bool {
+    pub(crate) fn is_warming_up(&self, index: EndpointIndex) -> bool {
+        self.now < self.warm_at(index)
+    }
+
+    /// Until then it is warming up; the end of time for one that is down.
+    pub(super) fn warm_at(&self, index: EndpointIndex) -> Micros {
         let endpoint = &self.topology[index];
-        let warm_at = endpoint.started_at + self.settings.slow_start_duration;
+        if endpoint.down {
+            return Micros::MAX;
+        }
         let is_back = endpoint.recovered_at > endpoint.started_at;
-        endpoint.down
-            || (endpoint.started_at > 0 && self.now < warm_at)
-            || (is_back && self.now < endpoint.recovered_at + RESTART_REPORT_DELAY)
+        let reported_at = if is_back { endpoint.recovered_at + RESTART_REPORT_DELAY } else { 0 };
+        let is_start_known = endpoint.started_at > 0;
+        let started =
+            if is_start_known { endpoint.started_at + self.settings.slow_start_duration } else { 0 };
+        started.max(reported_at)
     }
 
     /// Departure: an endpoint that warms up gets a share of what a warm one serves for this router. A budget
--- a/src/router.rs
+++ b/src/router.rs
@@ -4,7 +4,7 @@
 use crate::model::*;
 use crate::policy;
 use crate::random::RandomSource;
-use crate::state::{PendingRequest, SessionCommits, Topology};
+use crate::state::{PendingRequest, SessionCommits, Topology, UsableCounts};
 use std::collections::BTreeMap;
 
 /// Decides where each request is sent. There is one per process; routers share nothing.
@@ -30,8 +30,10 @@
     /// Of attempts at all endpoints.
     pub(crate) failure_rate: FailureRate,
 
+    pub(crate) usable_counts: UsableCounts,
+    /// The usable endpoints at the last update of the list.
     pub(crate) usable_endpoints: f64,
-    /// The usable endpoints that are not warming up.
+    /// Those of them that were not warming up.
     pub(crate) warm_endpoints: f64,
     pub(crate) retry_budget: f64,
     pub(crate) trial_budget: f64,
@@ -76,3 +78,6 @@
         self.topology.counts()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -8,6 +8,7 @@
 mod per_role;
 mod session_commits;
 mod topology;
+mod usable_counts;
 
 #[cfg(test)]
 mod tests;
@@ -19,3 +20,4 @@
 pub(crate) use per_role::PerRole;
 pub(crate) use session_commits::SessionCommits;
 pub(crate) use topology::Topology;
+pub(crate) use usable_counts::UsableCounts;
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -79,14 +79,15 @@
         EndpointCounts { listed: listed.clone().count(), avoided: listed.filter(is_avoided).count() }
     }
 
-    /// Marks endpoints that are missing from a complete list as removed.
-    pub(crate) fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
+    /// Marks endpoints that are missing from a complete list as removed, and returns them.
+    pub(crate) fn remove_unlisted(&mut self, entries: &[EndpointEntry]) -> Vec<EndpointIndex> {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
-        for index in self.endpoints.indices() {
-            if !listed.contains(&self.endpoints[index].id) {
-                self.endpoints.set_state(index, EndpointState::Removed);
-            }
+        let mut unlisted: Vec<_> = self.endpoints.indices().collect();
+        unlisted.retain(|index| !listed.contains(&self.endpoints[*index].id));
+        for index in &unlisted {
+            self.endpoints.set_state(*index, EndpointState::Removed);
         }
+        unlisted
     }
 
     /// Assigns a slot to a new endpoint; the caller fills it by [`Topology::add`].
