--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,7 +15,8 @@
 
 use crate::estimators::{DecayingRate, FailureRate};
 use crate::state::{
-    Endpoint, EndpointIndex, Failure, OutstandingAttempt, PendingRequest, PerRole, SlowStartBudget,
+    Endpoint, EndpointIndex, Failure, OutstandingAttempt, PendingRequest, PerRole, ProbeTimes,
+    SlowStartBudget,
 };
 use crate::{Router, model::*};
 
@@ -83,17 +84,19 @@
     pub(crate) fn on_endpoint_update(&mut self, full: bool, entries: Vec<EndpointEntry>) {
         if full {
             let removed = self.topology.remove_unlisted(&entries);
-            removed.into_iter().for_each(|index| self.count_endpoint(index));
+            removed.into_iter().for_each(|index| self.update_indexes(index));
         }
         let is_first_list = self.topology.endpoint_count() == 0;
         let mut newly_hinted = Vec::new();
         for entry in entries {
             let known = self.topology.find(entry.endpoint);
             let index = known.unwrap_or_else(|| self.add_endpoint(&entry, is_first_list));
+            let former_group = self.topology[index].group;
             if self.topology.apply_entry(index, &entry, self.now) {
                 newly_hinted.push(entry.group);
             }
-            self.count_endpoint(index);
+            self.update_indexes(index);
+            self.update_leadership(former_group);
         }
         self.usable_endpoints = self.usable_counts.usable() as f64;
         self.warm_endpoints = self.usable_counts.warm(self.now) as f64;
@@ -101,14 +104,18 @@
         self.resume_held(None, false);
     }
 
-    /// Counts an endpoint as usable or not; called after each event that may have changed that.
-    fn count_endpoint(&mut self, index: EndpointIndex) {
+    /// Updates what is known of all endpoints together; called after each event that may have changed this one.
+    fn update_indexes(&mut self, index: EndpointIndex) {
         let warm_at = self.is_usable(index).then(|| self.warm_at(index));
         self.usable_counts.record(index, warm_at);
+        self.schedule_probe(index);
+        self.probe_schedule.record_down(index, self.topology[index].down);
+        self.update_leadership(self.topology[index].group);
     }
 
     fn add_endpoint(&mut self, entry: &EndpointEntry, is_first_list: bool) -> EndpointIndex {
-        let index = self.topology.allocate(entry.endpoint, self.now);
+        let (index, former_group) = self.topology.allocate(entry.endpoint, self.now);
+        former_group.into_iter().for_each(|group| self.update_leadership(group));
         let probe_spread = probing::INTERVAL_MIN * Micros::from(self.settings.instances);
         let next_probe_at = self.now + self.random.below(probe_spread);
         let last_send_number = self.random.below(FIRST_SEND_NUMBER);
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -14,7 +14,7 @@
         let is_usable = self.is_usable(index);
         self.topology.record_response(index, &result, is_usable, self.now);
         self.record_outcome(index, attempt, &result);
-        self.count_endpoint(index);
+        self.update_indexes(index);
         self.continue_request(index, attempt, &result, unloaded);
         self.resume_held_in_group(group, primary_before);
     }
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -1,6 +1,7 @@
 //! Health checks (probes): asking endpoints for their role and position.
 
 use super::*;
+use std::collections::BTreeSet;
 
 const PROBE_SHARE: f64 = 0.5; // Probes for each request, ...
 pub(super) const INTERVAL_MIN: Micros = 250_000; // ... and the least interval between two of an endpoint.
@@ -11,36 +12,73 @@
         if !self.settings.probes {
             return;
         }
-        let rate = PROBE_SHARE * self.traffic.arrivals.at(self.now);
-        let usual = (self.topology.endpoint_count() as f64 / rate.max(0.001) * 1e6) as Micros;
-        for index in self.topology.indices() {
-            if !self.may_probe(index) {
-                continue;
-            }
-            let urgency = if self.is_probe_urgent(index) { URGENCY } else { 1 };
-            let interval = (usual / urgency).max(INTERVAL_MIN / urgency);
-            let endpoint = &mut self.topology[index];
-            if urgency == 1 && self.now < endpoint.replication.observed_at() + interval {
-                continue; // Recent answers have shown the same.
-            }
+        let usual = self.probe_interval();
+        for index in self.probe_candidates(usual) {
+            let Some(interval) = self.due_probe_interval(index, usual) else { continue };
             let jitter = self.random.below(interval / 4);
-            endpoint.next_probe_at = self.now + interval - interval / 8 + jitter;
+            self.topology[index].next_probe_at = self.now + interval - interval / 8 + jitter;
+            self.schedule_probe(index);
             self.probe(index);
         }
     }
 
-    fn may_probe(&self, index: EndpointIndex) -> bool {
+    /// The usual interval between two probes of an endpoint.
+    pub(crate) fn probe_interval(&self) -> Micros {
+        let rate = PROBE_SHARE * self.traffic.arrivals.at(self.now);
+        (self.topology.endpoint_count() as f64 / rate.max(0.001) * 1e6) as Micros
+    }
+
+    /// The endpoints that may be due for a probe, in order.
+    fn probe_candidates(&mut self, usual: Micros) -> BTreeSet<EndpointIndex> {
+        let observed_before = self.now.checked_sub(usual.max(INTERVAL_MIN));
+        let mut candidates = self.probe_schedule.due(self.now, observed_before);
+        candidates.extend(self.probe_schedule.down());
+        for group in self.probe_schedule.unled_groups() {
+            candidates.extend(self.topology.members(group));
+        }
+        candidates
+    }
+
+    /// The interval between two probes of an endpoint, if one is due now.
+    pub(crate) fn due_probe_interval(&self, index: EndpointIndex, usual: Micros) -> Option<Micros> {
+        let endpoint = &self.topology[index];
+        if !self.may_answer_probe(index) || endpoint.probe_in_flight || self.now < endpoint.next_probe_at {
+            return None;
+        }
+        let urgency = if self.is_probe_urgent(index) { URGENCY } else { 1 };
+        let interval = (usual / urgency).max(INTERVAL_MIN / urgency);
+        // Recent answers have shown the same.
+        let is_needless = urgency == 1 && self.now < endpoint.replication.observed_at() + interval;
+        (!is_needless).then_some(interval)
+    }
+
+    fn may_answer_probe(&self, index: EndpointIndex) -> bool {
+        self.topology[index].state == EndpointState::Ready || self.may_serve_though_removed(index)
+    }
+
+    /// Updates when the next probe of an endpoint is due.
+    pub(super) fn schedule_probe(&mut self, index: EndpointIndex) {
         let endpoint = &self.topology[index];
-        let may_answer = endpoint.state == EndpointState::Ready || self.may_serve_though_removed(index);
-        may_answer && !endpoint.probe_in_flight && self.now >= endpoint.next_probe_at
+        let (not_before, observed_at) = (endpoint.next_probe_at, endpoint.replication.observed_at());
+        let times = ProbeTimes { not_before, observed_at };
+        let may_answer = self.may_answer_probe(index);
+        self.probe_schedule.record(index, may_answer.then_some(times));
     }
 
     /// A group counts as led also where only the list names its primary. Guards against all routers that have
     /// just started probing at a high rate.
+    fn is_led(&self, group: GroupId) -> bool {
+        self.topology.presumed_primary(group).is_some_and(|primary| self.is_healthy(primary))
+    }
+
+    /// Updates whether a group is led.
+    pub(super) fn update_leadership(&mut self, group: GroupId) {
+        let is_led = self.is_led(group);
+        self.probe_schedule.record_led(group, is_led);
+    }
+
     fn is_probe_urgent(&self, index: EndpointIndex) -> bool {
-        let endpoint = &self.topology[index];
-        let primary = self.topology.presumed_primary(endpoint.group);
-        endpoint.down || !primary.is_some_and(|primary| self.is_healthy(primary))
+        self.topology[index].down || !self.is_led(self.topology[index].group)
     }
 
     /// Probes an endpoint, unless a probe is under way.
@@ -64,7 +102,7 @@
             self.topology[index].record_contact(self.now);
             let is_usable = self.is_usable(index);
             self.topology.record_report(index, report, is_usable, self.now);
-            self.count_endpoint(index);
+            self.update_indexes(index);
         }
         self.resume_held_in_group(group, primary_before);
     }
--- a/src/router.rs
+++ b/src/router.rs
@@ -4,7 +4,7 @@
 use crate::model::*;
 use crate::policy;
 use crate::random::RandomSource;
-use crate::state::{PendingRequest, SessionCommits, Topology, UsableCounts};
+use crate::state::{PendingRequest, ProbeSchedule, SessionCommits, Topology, UsableCounts};
 use std::collections::BTreeMap;
 
 /// Decides where each request is sent. There is one per process; routers share nothing.
@@ -30,6 +30,7 @@
     /// Of attempts at all endpoints.
     pub(crate) failure_rate: FailureRate,
 
+    pub(crate) probe_schedule: ProbeSchedule,
     pub(crate) usable_counts: UsableCounts,
     /// The usable endpoints at the last update of the list.
     pub(crate) usable_endpoints: f64,
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -3,9 +3,10 @@
 use super::*;
 
 const MS: Micros = 1000;
-const START: Micros = 1_000_000 * MS;
+const START: Micros = 1_700_000_000_000 * MS;
 
-fn settings() -> Settings {
+/// The more routers there are, the less often each of them probes.
+fn settings(instances: u32) -> Settings {
     let class = Class {
         requirement: Requirement::Any,
         idempotency: Idempotency::Idempotent,
@@ -15,6 +16,7 @@
         late_value: 0.5,
     };
     Settings {
+        instances,
         resolution: 5 * MS,
         classes: vec![class],
         slow_start_duration: 3000 * MS,
@@ -51,8 +53,8 @@
 impl Host {
     fn new(members: u64) -> Self {
         let random = RandomSource::new(members);
-        let mut host =
-            Host { router: Router::new(settings(), 7, START), now: START, random, actions: Vec::new() };
+        let router = Router::new(settings(members as u32), 7, START);
+        let mut host = Host { router, now: START, random, actions: Vec::new() };
         let endpoints = (0..members).map(|id| entry(id, EndpointState::Ready, 0)).collect();
         host.handle(update(true, endpoints));
         host
@@ -62,15 +64,22 @@
         self.router.handle(self.now, event, &mut self.actions);
     }
 
-    /// An entry of the endpoint with this id, changed at random.
+    /// An entry of the endpoint with this id, changed at random, seldom to another group.
     fn changed_entry(&mut self, id: u64) -> EndpointEntry {
+        let group_of = if self.random.below(8) == 0 { id + 5 } else { id };
         let state = match self.random.below(4) {
             0 => EndpointState::Draining,
             1 => EndpointState::Removed,
             _ => EndpointState::Ready,
         };
         let started_at = if self.random.below(2) == 0 { 0 } else { self.now - self.random.below(4000 * MS) };
-        entry(id, state, started_at)
+        EndpointEntry { endpoint: EndpointId(id), ..entry(group_of, state, started_at) }
+    }
+
+    /// What an endpoint reports: the first of five is the primary.
+    fn report(&self, id: EndpointId) -> LoadReport {
+        let role = if id.0.is_multiple_of(5) { Role::Primary } else { Role::Replica };
+        LoadReport { role: Some(role), position: Some(self.now) }
     }
 
     /// The event that ends what an action began, if it is one that ends.
@@ -86,12 +95,12 @@
                     elapsed: 20 * MS,
                     metadata: ResponseMetadata::default(),
                     finished: true,
-                    report: LoadReport::default(),
+                    report: self.report(endpoint),
                 }))
             }
             Action::Probe(endpoint) => {
                 let answered = self.random.below(3) > 0;
-                Some(Event::Probed { endpoint, answered, report: LoadReport::default() })
+                Some(Event::Probed { endpoint, answered, report: self.report(endpoint) })
             }
             _ => None,
         }
@@ -104,10 +113,27 @@
         let warm = usable.iter().filter(|index| !router.is_warming_up(**index)).count();
         (usable.len() as f64, warm as f64)
     }
+
+    /// The endpoints that are due for a probe, by looking at all.
+    fn due_probes(&self) -> Vec<Action> {
+        let router = &self.router;
+        let usual = router.probe_interval();
+        let due =
+            router.topology.indices().filter(|index| router.due_probe_interval(*index, usual).is_some());
+        due.map(|index| Action::Probe(router.topology[index].id)).collect()
+    }
+
+    /// Lets the periodic work run; returns the endpoints that it probes.
+    fn tick(&mut self) -> Vec<Action> {
+        let before = self.actions.len();
+        self.handle(Event::TimerFired(0));
+        let is_probe = |action: &&Action| matches!(action, Action::Probe(_));
+        self.actions[before..].iter().filter(is_probe).cloned().collect()
+    }
 }
 
 #[test]
-fn the_counts_of_usable_endpoints_are_those_of_a_scan() {
+fn usable_endpoints_and_due_probes_are_those_of_a_scan() {
     let mut host = Host::new(40);
     for request in 1..4000 {
         host.now += host.random.below(20 * MS);
@@ -117,14 +143,18 @@
             remaining: 500 * MS,
             ..Request::default()
         }));
-        host.handle(Event::TimerFired(0));
+        let due = host.due_probes();
+        assert_eq!(host.tick(), due, "after request {request}");
         for action in std::mem::take(&mut host.actions) {
             host.now += host.random.below(5 * MS);
             if let Some(event) = host.end_of(action) {
                 host.handle(event);
             }
         }
-        let changed = host.random.below(60);
+        let is_long_pause = host.random.below(400) == 0;
+        host.now += if is_long_pause { 11_000 * MS } else { 0 };
+        // New endpoints take the place of others in the course of time.
+        let changed = u64::from(request) / 100 + host.random.below(60);
         let change = host.changed_entry(changed);
         let is_complete = host.random.below(50) == 0;
         host.handle(update(is_complete, vec![change]));
@@ -132,3 +162,44 @@
         assert_eq!(counted, host.scan(), "after request {request}");
     }
 }
+
+/// How often a router with so many endpoints looks at one of them in the course of these steps.
+fn lookups(members: u64, steps: impl Fn(&mut Host)) -> usize {
+    let mut host = Host::new(members);
+    let before = host.router.topology.lookups();
+    steps(&mut host);
+    host.router.topology.lookups() - before
+}
+
+/// Guards against work that grows with the endpoints that there are, not with those that change or are used.
+#[test]
+fn an_update_a_tick_and_a_request_look_at_few_endpoints_of_any_number() {
+    let steps = |host: &mut Host| {
+        for id in 0..20 {
+            host.now += 20 * MS;
+            host.handle(update(false, vec![entry(5 * id + 1, EndpointState::Draining, 0)]));
+            host.handle(update(false, vec![entry(10_000 + id, EndpointState::Ready, host.now)]));
+            host.handle(Event::Request(Request { id: id as RequestId, group: 9, ..Request::default() }));
+            host.tick();
+        }
+    };
+    let (usual, large) = (lookups(200, steps), lookups(3200, steps));
+    assert!(large <= usual, "{large} lookups with 3,200 endpoints, {usual} with 200");
+}
+
+/// Guards against comparing each endpoint with each entry of a complete list.
+#[test]
+fn a_complete_list_looks_at_each_endpoint_a_few_times() {
+    let complete = |count: u64| {
+        lookups(count, |host| {
+            host.handle(update(true, (0..count).map(|id| entry(id, EndpointState::Ready, 0)).collect()));
+            host.handle(update(true, Vec::new()));
+            host.handle(update(
+                true,
+                (count..2 * count).map(|id| entry(id, EndpointState::Ready, 0)).collect(),
+            ));
+        })
+    };
+    let (usual, large) = (complete(200), complete(3200));
+    assert!(large <= 17 * usual, "{large} lookups with 3,200 endpoints, {usual} with 200");
+}
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -19,6 +19,9 @@
     by_id: BTreeMap<EndpointId, EndpointIndex>,
     /// The slots of removed endpoints, in order.
     removed: BTreeSet<EndpointIndex>,
+    /// How often an endpoint was looked at.
+    #[cfg(test)]
+    lookups: std::cell::Cell<usize>,
 }
 
 impl EndpointTable {
@@ -57,6 +60,12 @@
         }
     }
 
+    /// How often an endpoint was looked at so far.
+    #[cfg(test)]
+    pub(crate) fn lookups(&self) -> usize {
+        self.lookups.get()
+    }
+
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
@@ -74,12 +83,16 @@
     type Output = Endpoint;
 
     fn index(&self, index: EndpointIndex) -> &Endpoint {
+        #[cfg(test)]
+        self.lookups.set(self.lookups.get() + 1);
         &self.slots[index.0]
     }
 }
 
 impl IndexMut<EndpointIndex> for EndpointTable {
     fn index_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        #[cfg(test)]
+        self.lookups.set(self.lookups.get() + 1);
         &mut self.slots[index.0]
     }
 }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -93,7 +93,7 @@
         primary_hint: true,
         started_at: 0,
     };
-    let index = topology.allocate(EndpointId(1), 0);
+    let (index, _) = topology.allocate(EndpointId(1), 0);
     topology.add(index, Endpoint::new(&listed(7)));
     assert!(topology.apply_entry(index, &listed(7), 0));
     topology.record_role(index, Role::Primary, SECOND, true);
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -24,10 +24,18 @@
         self.endpoints.find(id)
     }
 
+    /// All slots; only tests look at all of them.
+    #[cfg(test)]
     pub(crate) fn indices(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
         self.endpoints.indices()
     }
 
+    /// How often an endpoint was looked at so far.
+    #[cfg(test)]
+    pub(crate) fn lookups(&self) -> usize {
+        self.endpoints.lookups()
+    }
+
     /// The number of endpoints, including removed ones.
     pub(crate) fn endpoint_count(&self) -> usize {
         self.endpoints.len()
@@ -90,13 +98,15 @@
         unlisted
     }
 
-    /// Assigns a slot to a new endpoint; the caller fills it by [`Topology::add`].
-    pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> EndpointIndex {
+    /// Assigns a slot to a new endpoint, and returns the group of the one that is dropped for it, if one is. The
+    /// caller fills the slot by [`Topology::add`].
+    pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<GroupId>) {
         let (index, dropped) = self.endpoints.allocate(id, now);
-        if let Some(group) = dropped.and_then(|dropped| self.groups.get_mut(&dropped.group)) {
+        let former_group = dropped.map(|dropped| dropped.group);
+        if let Some(group) = former_group.and_then(|group| self.groups.get_mut(&group)) {
             group.remove(index);
         }
-        index
+        (index, former_group)
     }
 
     /// Fills a slot, and adds the endpoint to its group.
