--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -2,6 +2,7 @@
 
 mod client;
 mod discovery;
+mod faults;
 mod fleet;
 mod fleet_limits;
 mod member;
@@ -14,6 +15,7 @@
     MockDiscovery, ScriptedDiscovery, chunk, endpoint_entry, endpoint_entry_in_group, endpoint_update,
     full_list, serving_list,
 };
+pub use faults::Faults;
 pub use fleet::Fleet;
 pub use fleet_limits::COST_LIMITS;
 pub use member::{MemberBehavior, MemberEvent, MockMember};
