--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -4,6 +4,7 @@
 use crate::stable_hash::stable_hash;
 use crate::{EndpointEntry, EndpointId, EndpointState};
 use serde::{Deserialize, Serialize};
+use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// State of an entry in a partial list that removes the endpoint.
@@ -31,6 +32,9 @@
     /// The entries.
     #[serde(default, rename = "targets")]
     pub endpoints: Vec<EndpointRecord>,
+    /// The place of each entry by its `uid`, from the first change on.
+    #[serde(skip)]
+    places: HashMap<String, usize>,
 }
 
 /// An entry of an [`EndpointList`].
@@ -64,14 +68,36 @@
             return;
         }
         self.revision = update.revision;
+        if self.places.len() != self.endpoints.len() {
+            self.places.clear();
+            std::mem::take(&mut self.endpoints).into_iter().for_each(|endpoint| self.put(endpoint));
+        }
         for changed in update.endpoints {
-            self.endpoints.retain(|endpoint| endpoint.uid != changed.uid);
-            if changed.state != STATE_DELETED {
-                self.endpoints.push(changed);
+            if changed.state == STATE_DELETED {
+                self.remove(&changed.uid);
+            } else {
+                self.put(changed);
             }
         }
     }
 
+    fn put(&mut self, endpoint: EndpointRecord) {
+        if let Some(place) = self.places.get(&endpoint.uid) {
+            self.endpoints[*place] = endpoint;
+        } else {
+            self.places.insert(endpoint.uid.clone(), self.endpoints.len());
+            self.endpoints.push(endpoint);
+        }
+    }
+
+    fn remove(&mut self, uid: &str) {
+        let Some(place) = self.places.remove(uid) else { return };
+        self.endpoints.swap_remove(place);
+        if let Some(moved) = self.endpoints.get(place) {
+            self.places.insert(moved.uid.clone(), place);
+        }
+    }
+
     /// The entries in the core's form. Entries whose address can't be parsed are left out.
     pub fn members(&self) -> Vec<ListedMember> {
         self.endpoints.iter().filter_map(EndpointRecord::member).collect()
--- a/src/endpoint_list/tests.rs
+++ b/src/endpoint_list/tests.rs
@@ -30,6 +30,24 @@
     assert!(known.complete && known.endpoints.is_empty());
 }
 
+#[test]
+fn changes_reach_their_entry_wherever_others_have_been_removed() {
+    let states = |list: &EndpointList| {
+        let described = list.endpoints.iter().map(|e| format!("{} {}", e.uid, e.state));
+        described.collect::<std::collections::BTreeSet<_>>().into_iter().collect::<Vec<_>>()
+    };
+    let entry =
+        |uid: &str, state: &str| format!(r#"{{"uid":"{uid}","endpoint":"127.0.0.1:1","state":"{state}"}}"#);
+    let change = |entries: &[String]| list(&format!(r#"{{"rev":2,"targets":[{}]}}"#, entries.join(",")));
+    let complete = ["a", "b", "c", "b"].map(|uid| entry(uid, "SERVING")).join(",");
+    let mut known = list(&format!(r#"{{"rev":1,"all":true,"targets":[{complete}]}}"#));
+    known.merge(change(&[entry("a", "DELETED"), entry("x", "DELETED"), entry("d", "SERVING")]));
+    known.merge(change(&[entry("c", "DRAINING"), entry("b", "DRAINING"), entry("d", "DELETED")]));
+    assert_eq!(states(&known), ["b DRAINING", "c DRAINING"]);
+    known.merge(change(&[entry("b", "DELETED"), entry("c", "SERVING"), entry("a", "SERVING")]));
+    assert_eq!(states(&known), ["a SERVING", "c SERVING"]);
+}
+
 #[test]
 fn only_endpoints_that_are_gone_may_lack_an_address() {
     let listed = list(
