--- a/src/net/discovery/http_response.rs
+++ b/src/net/discovery/http_response.rs
@@ -11,7 +11,7 @@
 /// The most headers that are read.
 const MAX_HEADERS: usize = 32;
 /// The most bytes in one read from the socket.
-const READ_BYTES: usize = 4096;
+const READ_BYTES: usize = 16 * 1024;
 /// The shortest time limit of a read.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 const STATUS_OK: u16 = 200;
@@ -128,21 +128,22 @@
 
     /// Reads once, until the deadline at the latest; `false` at the end of the stream.
     fn fill(&mut self, deadline: Instant) -> Result<bool, DiscoveryError> {
-        let mut chunk = [0; READ_BYTES];
         let mut stream = self.stream;
-        let length = loop {
+        let filled = self.buffer.len();
+        self.buffer.resize(filled + READ_BYTES, 0);
+        let read = loop {
             // Bytes that have arrived are read even if the deadline passed only because the process was
             // stopped.
             let left = deadline.saturating_duration_since(Instant::now()).max(MIN_READ_TIMEOUT);
             stream.set_read_timeout(Some(left))?;
-            match stream.read(&mut chunk) {
+            match stream.read(&mut self.buffer[filled..]) {
                 // Guards against treating a pause of the process (SIGSTOP, SIGCONT) as the end of the
                 // watch: the system does not resume a read with a time limit.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                other => break other?,
+                other => break other,
             }
         };
-        self.buffer.extend_from_slice(&chunk[..length]);
-        Ok(length > 0)
+        self.buffer.truncate(filled + read.as_ref().copied().unwrap_or(0));
+        Ok(read? > 0)
     }
 }
