--- a/benches/fleet_cost.rs
+++ b/benches/fleet_cost.rs
@@ -16,8 +16,8 @@
 const LARGE_PROXIES: usize = 900;
 /// Members and proxies grow alike.
 const USUAL_PROXIES: usize = LARGE_PROXIES * USUAL_MEMBERS / LARGE_MEMBERS;
-const REQUESTS: u32 = 240;
-const DURATION: Duration = Duration::from_secs(12);
+const REQUESTS: u32 = 600;
+const DURATION: Duration = Duration::from_secs(30);
 
 fn main() -> ExitCode {
     let play = |members, proxies| Fleet { members, proxies, requests: REQUESTS, duration: DURATION }.play();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -87,10 +87,11 @@
             removed.into_iter().for_each(|index| self.update_indexes(index));
         }
         let is_first_list = self.topology.endpoint_count() == 0;
+        let endpoint_count = self.topology.endpoint_count().max(entries.len());
         let mut newly_hinted = Vec::new();
         for entry in entries {
             let known = self.topology.find(entry.endpoint);
-            let index = known.unwrap_or_else(|| self.add_endpoint(&entry, is_first_list));
+            let index = known.unwrap_or_else(|| self.add_endpoint(&entry, is_first_list, endpoint_count));
             let former_group = self.topology[index].group;
             if self.topology.apply_entry(index, &entry, self.now) {
                 newly_hinted.push(entry.group);
@@ -113,11 +114,16 @@
         self.update_leadership(self.topology[index].group);
     }
 
-    fn add_endpoint(&mut self, entry: &EndpointEntry, is_first_list: bool) -> EndpointIndex {
+    /// Adds an endpoint; there are about so many.
+    fn add_endpoint(
+        &mut self,
+        entry: &EndpointEntry,
+        is_first_list: bool,
+        endpoint_count: usize,
+    ) -> EndpointIndex {
         let (index, former_group) = self.topology.allocate(entry.endpoint, self.now);
         former_group.into_iter().for_each(|group| self.update_leadership(group));
-        let probe_spread = probing::INTERVAL_MIN * Micros::from(self.settings.instances);
-        let next_probe_at = self.now + self.random.below(probe_spread);
+        let next_probe_at = self.now + self.random.below(self.first_probe_spread(endpoint_count));
         let last_send_number = self.random.below(FIRST_SEND_NUMBER);
         // A trial comes first where it costs no time: where trials reach all endpoints in a second. Only a
         // start that the list reports lets a new one be used at once: slow start bounds its load.
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -5,6 +5,7 @@
 
 const PROBE_SHARE: f64 = 0.5; // Probes for each request, ...
 pub(super) const INTERVAL_MIN: Micros = 250_000; // ... and the least interval between two of an endpoint.
+const PROBED_AT_START: u64 = 200; // Of so many endpoints, all get their first probe at the usual rate.
 const URGENCY: Micros = 4; // Probe rate factor at endpoints that are down and in groups not led.
 
 impl Router {
@@ -22,6 +23,16 @@
         }
     }
 
+    /// The time over which the first probes of so many endpoints are spread: all routers together probe an
+    /// endpoint once in the least interval. Departure: in a larger fleet less often, so that a router makes as
+    /// many first probes as elsewhere for a smaller part of the endpoints. Guards against a connection to each of
+    /// thousands of endpoints from each router, which uses few of them.
+    pub(super) fn first_probe_spread(&self, endpoint_count: usize) -> Micros {
+        let endpoint_count = endpoint_count as u64;
+        let by_routers = INTERVAL_MIN * Micros::from(self.settings.instances);
+        by_routers * endpoint_count.max(PROBED_AT_START) / PROBED_AT_START
+    }
+
     /// The usual interval between two probes of an endpoint.
     pub(crate) fn probe_interval(&self) -> Micros {
         let rate = PROBE_SHARE * self.traffic.arrivals.at(self.now);
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 const MS: Micros = 1000;
+const ENDPOINTS_PER_ROUTER: u32 = 4;
 const START: Micros = 1_700_000_000_000 * MS;
 
 /// The more routers there are, the less often each of them probes.
@@ -53,7 +54,7 @@
 impl Host {
     fn new(members: u64) -> Self {
         let random = RandomSource::new(members);
-        let router = Router::new(settings(members as u32), 7, START);
+        let router = Router::new(settings(members as u32 / ENDPOINTS_PER_ROUTER), 7, START);
         let mut host = Host { router, now: START, random, actions: Vec::new() };
         let endpoints = (0..members).map(|id| entry(id, EndpointState::Ready, 0)).collect();
         host.handle(update(true, endpoints));
@@ -203,3 +204,18 @@
     let (usual, large) = (complete(200), complete(3200));
     assert!(large <= 17 * usual, "{large} lookups with 3,200 endpoints, {usual} with 200");
 }
+
+/// Guards against connections for probes to thousands of endpoints, most of which the router never uses.
+#[test]
+fn a_router_makes_no_more_first_probes_where_there_are_more_endpoints() {
+    let probes_in_a_minute = |members| {
+        let mut host = Host::new(members);
+        (0..60_000 / 20).fold(0, |probes, _| {
+            host.now += 20 * MS;
+            probes + host.tick().len()
+        })
+    };
+    let (usual, large) = (probes_in_a_minute(200), probes_in_a_minute(3200));
+    assert_eq!(usual, 200, "each endpoint is probed");
+    assert!(0 < large && large <= usual, "{large} first probes with 3,200 endpoints");
+}
