--- a/src/net/discovery/call_timeout.rs
+++ b/src/net/discovery/call_timeout.rs
@@ -9,7 +9,8 @@
 pub enum DiscoveryKind {
     /// An agent on the proxy's machine. It answers at once, or is silent while discovery is down.
     LocalAgent,
-    /// One service for all proxies. It works through their calls in turn, and ends a call that waited too long.
+    /// One service for all proxies. It works through their calls in turn, and ends a call that waited too
+    /// long.
     SharedService,
 }
 
@@ -36,7 +37,8 @@
     let second_delay = backoff::INITIAL_DELAY.as_millis() * 2 * 5 / 4;
     let longest_delay = backoff::MAX_DELAY.as_millis() * 5 / 4;
     let silence = SILENCE_TIMEOUT.as_millis();
-    // The worst case for the agent: a silent watch, a connection that is never established, a call that hangs.
+    // The worst case for the agent: a silent watch, a connection that is never established, a call that
+    // hangs.
     let hung_connection = CONNECT_TIMEOUT.as_millis() + second_delay;
     let hung_call = LOCAL_AGENT.initial.as_millis() + longest_delay;
     assert!(silence + first_delay + hung_connection + hung_call < UPDATE_BUDGET_MS);
