--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -9,9 +9,6 @@
 const PROBE_TIMEOUT: Micros = 250_000;
 /// The shortest timeout of an attempt, however close the deadline of its request is.
 const MIN_ATTEMPT_TIMEOUT: Micros = 1_000;
-/// Positions may be this far ahead of the clock: commits are rounded up, and clocks are read at different
-/// moments.
-const MAX_POSITION_LEAD: Micros = 250_000;
 /// A reused connection that is reset this soon had been dropped by the network while it was idle.
 const STALE_RESET_LIMIT: Micros = 10_000;
 
@@ -169,9 +166,8 @@
     }
 
     /// Handles the result of a job, which may arrive after a cancellation has ended the job.
-    pub(super) fn finish_job(&mut self, now: Micros, id: JobId, mut result: JobResult<A>) {
+    pub(super) fn finish_job(&mut self, now: Micros, id: JobId, result: JobResult<A>) {
         let Some(job) = self.jobs.remove(&id) else { return };
-        drop_impossible_positions(now, &mut result);
         match job.purpose {
             JobPurpose::Attempt { request, attempt } => {
                 self.finish_attempt(now, &job, request, attempt, result);
@@ -231,13 +227,6 @@
     }
 }
 
-/// Guards against a position that no member can have reached yet: it would count as fresh forever.
-fn drop_impossible_positions<A>(now: Micros, result: &mut JobResult<A>) {
-    let is_possible = |position: &Micros| *position <= now + MAX_POSITION_LEAD;
-    result.metadata.position = result.metadata.position.filter(is_possible);
-    result.report.position = result.report.position.filter(is_possible);
-}
-
 fn never_sent(request: RequestId, attempt: u32, endpoint: EndpointId) -> Event {
     Event::AttemptEnded(AttemptResult {
         request,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -54,7 +54,7 @@
         timers.set(now + EVICTION_INTERVAL, TimerEvent::EvictIdle);
         Core {
             counters: Counters::new(settings.classes.len()),
-            router: Router::new(settings.clone(), seed, now),
+            router: Router::with_unknown_clock(settings.clone(), seed, now),
             settings,
             requests: BTreeMap::new(),
             jobs: BTreeMap::new(),
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -175,6 +175,21 @@
     assert_eq!(unsent_cancellations(&effects), [read.job]);
 }
 
+/// Guards against a proxy whose clock was an hour behind when it started: positions ahead of it were dropped.
+#[test]
+fn bounded_read_goes_to_a_fresh_replica_though_the_proxys_clock_is_an_hour_behind() {
+    const HOUR: Micros = 3_600_000 * MS;
+    let mut core = core(true);
+    let first = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
+    let rejected = first.finished(Outcome::NotServable, Role::Replica, START + HOUR - 150 * MS);
+    let second = StartedAttempt::only_one_in(&core.step(START, rejected));
+    core.step(START + MS, second.finished(Outcome::Ok, Role::Primary, START + HOUR));
+
+    let read = start_request(&mut core, START + 10 * MS, 2, BOUNDED_READ);
+    assert_eq!(read.connection, first.connection, "the replica's data is 160 ms old");
+    assert!((36 * MS..=40 * MS).contains(&read.start_within), "{}", read.start_within);
+}
+
 #[test]
 fn keyed_retry_must_start_within_the_key_window_of_the_first_attempt() {
     let mut core = core(true);
--- a/src/estimators/mod.rs
+++ b/src/estimators/mod.rs
@@ -2,6 +2,7 @@
 //! no decisions.
 
 mod failure_rate;
+mod group_clock;
 mod latency_baseline;
 mod queueing_delay;
 mod rate;
@@ -12,6 +13,7 @@
 mod tests;
 
 pub(crate) use failure_rate::FailureRate;
+pub(crate) use group_clock::{GroupClock, PrimaryPosition};
 pub(crate) use latency_baseline::LatencyBaselines;
 pub(crate) use queueing_delay::{GroupQueueingDelay, QueueingDelay};
 pub(crate) use rate::DecayingRate;
--- a/src/estimators/tests.rs
+++ b/src/estimators/tests.rs
@@ -59,12 +59,13 @@
 #[test]
 fn a_replication_position_never_goes_back_and_its_lag_fades() {
     let mut replication = ReplicationEstimate::default();
-    replication.record(9 * SECOND, 10 * SECOND);
-    replication.record(8 * SECOND, 10 * SECOND);
-    assert_eq!(replication.known_position(), 9 * SECOND);
-    assert_eq!(replication.estimated_position(10 * SECOND), 9 * SECOND);
-    assert!(replication.estimated_position(20 * SECOND) > 19 * SECOND);
-    replication.record_missing(5 * SECOND, 10 * SECOND);
-    assert_eq!(replication.known_position(), 9 * SECOND);
+    let clock = GroupClock::Host;
+    replication.record(9 * SECOND, clock, 10 * SECOND);
+    replication.record(8 * SECOND, clock, 10 * SECOND);
+    assert_eq!(replication.known_position(clock, 10 * SECOND), 9 * SECOND);
+    assert_eq!(replication.estimated_position(clock, 10 * SECOND), 9 * SECOND);
+    assert!(replication.estimated_position(clock, 20 * SECOND) > 19 * SECOND);
+    replication.record_missing(5 * SECOND, clock, 10 * SECOND);
+    assert_eq!(replication.known_position(clock, 10 * SECOND), 9 * SECOND);
     assert_eq!(replication.observed_at(), 10 * SECOND);
 }
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -130,7 +130,8 @@
         group: parsed.group,
         session: parsed.session,
         tenant: 0,
-        time_since_write: required_position.map(|position| now.saturating_sub(position)),
+        time_since_write: None,
+        min_position: required_position,
         remaining: timeout.saturating_sub(now.saturating_sub(read_at)),
         is_retry: parsed.is_retry,
     };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,7 +36,7 @@
 //! // A write goes to the hinted member, and its answer shows that it is the primary.
 //! let ask = |id, class| Request {
 //!     id, class, group: 1, session: 9, tenant: 0,
-//!     time_since_write: None, remaining: 800_000, is_retry: false,
+//!     time_since_write: None, min_position: None, remaining: 800_000, is_retry: false,
 //! };
 //! actions.clear();
 //! router.handle(5_000, Event::Request(ask(1, 1)), &mut actions);
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -87,6 +87,8 @@
     pub tenant: usize,
     /// How long ago the session's last write was committed, where the client provides it.
     pub time_since_write: Option<Micros>,
+    /// The position that it must see, where the client provides it.
+    pub min_position: Option<Micros>,
     /// How long the client still waits.
     pub remaining: Micros,
     /// Whether this is a retry by the client.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -77,7 +77,7 @@
         self.next_tick_at = self.now + self.tick_interval();
         self.resume_held(None, false);
         self.start_probes();
-        self.commits.prune(|group, position| self.topology.all_members_have(group, position));
+        self.commits.prune(|group, position| self.topology.all_members_have(group, position, self.now));
     }
 
     pub(crate) fn on_endpoint_update(&mut self, full: bool, entries: Vec<EndpointEntry>) {
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -12,7 +12,10 @@
         let unloaded = self.unloaded(attempt.class); // Before this attempt's time is recorded.
         self.topology[index].record_outcome(result.outcome, self.now);
         let is_usable = self.is_usable(index);
-        self.topology.record_response(index, &result, is_usable, self.now);
+        // A keyed write that had run before is answered with the time of its first run.
+        let is_keyed = matches!(self.settings.classes[attempt.class].idempotency, Idempotency::Keyed { .. });
+        let position_after = (!is_keyed).then_some(attempt.sent_at);
+        self.topology.record_response(index, &result, position_after, is_usable, self.now);
         self.record_outcome(index, attempt, &result);
         self.continue_request(index, attempt, &result, unloaded);
         self.resume_held_in_group(group, primary_before);
@@ -53,12 +56,14 @@
     fn record_not_servable(&mut self, index: EndpointIndex, attempt: OutstandingAttempt) {
         let required = match self.settings.classes[attempt.class].requirement {
             Requirement::Write => return self.topology.record_write_rejected(index, self.now),
-            Requirement::BoundedStaleness(bound) => attempt.sent_at.saturating_sub(bound),
+            Requirement::BoundedStaleness(bound) => {
+                self.topology.present(self.topology[index].group, attempt.sent_at).saturating_sub(bound)
+            }
             _ => self.requests.get(&attempt.request).map_or(0, |pending| pending.required_position),
         };
         // The requirements of a completed request are no longer known.
         if required > 0 {
-            self.topology[index].replication.record_missing(required, self.now);
+            self.topology.record_missing(index, required, self.now);
         }
     }
 
@@ -76,8 +81,9 @@
         pending.in_flight = None;
         let is_commit = outcome == Outcome::Ok && class.requirement == Requirement::Write;
         if is_commit && self.settings.remember_commits && session != 0 {
-            let position = result.metadata.position.unwrap_or(self.now);
-            self.commits.record(session, self.topology[index].group, position);
+            let group = self.topology[index].group;
+            let position = result.metadata.position.unwrap_or(self.topology.present(group, self.now));
+            self.commits.record(session, group, position);
         }
         if outcome.may_have_run() {
             pending.record_run(attempt.sent_at);
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -71,7 +71,10 @@
         let pending = &self.requests[&id];
         let required = self.required_position(pending);
         let may_be_stale = required > 0 && self.settings.endpoints_serve_stale();
-        if !may_be_stale || !self.settings.probes || pending.probed.is_some() {
+        // Departure: only the primary's answer shows the time on the group's clock. Guards against probes that
+        // can't show how old the data is.
+        let is_clock_known = self.topology.clock(pending.request.group).present(self.now).is_some();
+        if !may_be_stale || !is_clock_known || !self.settings.probes || pending.probed.is_some() {
             return false;
         }
         let may_be_fresh = |member: &EndpointIndex| {
@@ -79,7 +82,7 @@
             let is_well =
                 !endpoint.ejected && !endpoint.probe_unanswered && self.has_capacity(pending, *member);
             let is_replica = self.topology.role(*member) == Role::Replica;
-            is_replica && is_well && endpoint.replication.estimated_position(self.now) >= required
+            is_replica && is_well && self.estimated_position(*member) >= required
         };
         let candidates: Vec<_> = open.iter().copied().filter(may_be_fresh).collect();
         let first = candidates.iter().copied().min_by_key(|member| {
@@ -94,12 +97,19 @@
     }
 
     fn required_position(&self, pending: &PendingRequest) -> Micros {
-        pending.required_position_at(self.now, &self.settings.classes[pending.request.class])
+        let present = self.topology.present(pending.request.group, self.now);
+        pending.required_position_at(present, &self.settings.classes[pending.request.class])
     }
 
     fn expected_position(&self, index: EndpointIndex) -> Micros {
         let behavior = self.settings.stale_read_behavior;
-        self.topology[index].replication.expected_position(behavior, self.now)
+        let clock = self.topology.clock_of(index);
+        self.topology[index].replication.expected_position(behavior, clock, self.now)
+    }
+
+    fn estimated_position(&self, index: EndpointIndex) -> Micros {
+        let clock = self.topology.clock_of(index);
+        self.topology[index].replication.estimated_position(clock, self.now)
     }
 
     /// Its answer is fresh enough, or it rejects the read. Trials keep to this like all sends.
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -32,7 +32,8 @@
             }
         }
         let id = request.id;
-        let required_position = self.commits.required_position(&request, &self.settings, self.now);
+        let present = self.topology.present(request.group, self.now);
+        let required_position = self.commits.required_position(&request, &self.settings, present);
         let pending = PendingRequest::new(request, class, self.now);
         self.requests.insert(id, PendingRequest { priority, required_position, shed_draw, ..pending });
         self.advance(id);
@@ -118,8 +119,9 @@
             (Requirement::Any | Requirement::Write, _) => Micros::MAX,
             (_, Role::Primary) => ANSWER_VALIDITY / 2,
             (Requirement::BoundedStaleness(bound), Role::Replica) => {
-                let position = self.topology[index].replication.known_position();
-                (position + bound).saturating_sub(self.now)
+                let clock = self.topology.clock_of(index);
+                let position = self.topology[index].replication.known_position(clock, self.now);
+                (position + bound).saturating_sub(clock.present(self.now).unwrap_or(Micros::MAX))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -15,10 +15,11 @@
     /// Warming up by the list, down, or back so recently that the list may not report it yet.
     pub(super) fn is_warming_up(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
-        let warm_at = endpoint.started_at + self.settings.slow_start_duration;
-        let is_back = endpoint.recovered_at > endpoint.started_at;
+        let started_at = self.topology.started_at(index);
+        let warm_at = started_at + self.settings.slow_start_duration;
+        let is_back = endpoint.recovered_at > started_at;
         endpoint.down
-            || (endpoint.started_at > 0 && self.now < warm_at)
+            || (started_at > 0 && self.now < warm_at)
             || (is_back && self.now < endpoint.recovered_at + RESTART_REPORT_DELAY)
     }
 
@@ -69,14 +70,15 @@
         let most = most.max(if role == Role::Primary { self.unloaded(class) } else { 0.0 });
         let endpoint = &self.topology[index];
         let budget = endpoint.slow_start[role];
-        let elapsed = self.now - budget.updated_at.max(endpoint.started_at);
+        let elapsed = self.now.saturating_sub(budget.updated_at.max(self.topology.started_at(index)));
         (budget.saved + rate * elapsed as f64 / 1e6).min(most)
     }
 
     /// The work per second that an endpoint may be sent while it warms up.
     fn slow_start_rate(&self, index: EndpointIndex, role: Role) -> f64 {
         let endpoint = &self.topology[index];
-        let since = if endpoint.down { self.now } else { endpoint.started_at.max(endpoint.recovered_at) };
+        let started_at = self.topology.started_at(index);
+        let since = if endpoint.down { self.now } else { started_at.max(endpoint.recovered_at) };
         let age = self.now.saturating_sub(since) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let least = self.settings.slow_start_capacity;
         let capacity = least + (1.0 - least) * age;
--- a/src/router.rs
+++ b/src/router.rs
@@ -55,6 +55,12 @@
         }
     }
 
+    /// The same, whose host's clock may differ from that of the members: positions are compared with what the
+    /// answers of primaries show of their groups' clocks.
+    pub fn with_unknown_clock(settings: Settings, seed: u64, now: Micros) -> Self {
+        Router { topology: Topology::with_unknown_clock(), ..Router::new(settings, seed, now) }
+    }
+
     /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
--- a/src/sim_adapter/events.rs
+++ b/src/sim_adapter/events.rs
@@ -146,7 +146,17 @@
     let options = fields.u16()?;
     let time_since_write = (since_write_ms > 0.0).then_some((since_write_ms * 1000.0) as u64);
     let is_retry = options & RETRY_OPTION != 0;
-    Ok(Request { id, class, group, session, tenant, time_since_write, remaining, is_retry })
+    Ok(Request {
+        id,
+        class,
+        group,
+        session,
+        tenant,
+        time_since_write,
+        min_position: None,
+        remaining,
+        is_retry,
+    })
 }
 
 fn decode_update(fields: &mut FieldReader<'_>, tables: &Tables) -> Result<Event, WireError> {
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -66,8 +66,10 @@
     pub(crate) confirmed: bool,
     /// The list names it as the primary.
     pub(crate) primary_hint: bool,
-    /// Its start as reported by the list, 0 for long ago.
+    /// Its start as reported by the list, on the members' clock; 0 for long ago.
     pub(crate) started_at: Micros,
+    /// When the list first reported that start.
+    pub(crate) start_listed_at: Micros,
 
     pub(crate) outstanding: Vec<OutstandingAttempt>,
     pub(crate) last_sent_at: Micros,
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -2,7 +2,7 @@
 
 use super::{EndpointIndex, PerRole};
 use crate::Micros;
-use crate::estimators::GroupQueueingDelay;
+use crate::estimators::{GroupClock, GroupQueueingDelay};
 
 /// A primary and its replicas.
 #[derive(Default)]
@@ -15,6 +15,8 @@
     /// No request starts a search for the primary before this time.
     pub(crate) next_search_at: Micros,
     pub(crate) queueing_delay: PerRole<GroupQueueingDelay>,
+    /// What its primaries' answers show of its clock, none before the first.
+    pub(crate) clock: Option<GroupClock>,
 }
 
 impl Group {
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -48,10 +48,10 @@
         PendingRequest { request, deadline, objective_at, useful_until, ..PendingRequest::default() }
     }
 
-    /// The position that an endpoint must have to serve it now, 0 for none.
-    pub(crate) fn required_position_at(&self, now: Micros, class: &Class) -> Micros {
+    /// The position that an endpoint must have to serve it when its group's clock reads `present`, 0 for none.
+    pub(crate) fn required_position_at(&self, present: Micros, class: &Class) -> Micros {
         match class.requirement {
-            Requirement::BoundedStaleness(bound) => now.saturating_sub(bound),
+            Requirement::BoundedStaleness(bound) => present.saturating_sub(bound),
             _ => self.required_position,
         }
     }
--- a/src/state/session_commits.rs
+++ b/src/state/session_commits.rs
@@ -28,13 +28,20 @@
         self.by_session.get(&session).map_or(0, |commit| commit.position)
     }
 
-    /// The position that an endpoint must have to serve a request, as known on its arrival; 0 for none.
-    pub(crate) fn required_position(&self, request: &Request, settings: &Settings, now: Micros) -> Micros {
+    /// The position that an endpoint must have to serve a request that arrives when its group's clock reads
+    /// `present`; 0 for none.
+    pub(crate) fn required_position(
+        &self,
+        request: &Request,
+        settings: &Settings,
+        present: Micros,
+    ) -> Micros {
         match settings.classes[request.class].requirement {
-            Requirement::Latest => now,
+            Requirement::Latest => present,
             Requirement::ReadYourWrites if settings.remember_commits => self.position(request.session),
             Requirement::ReadYourWrites => {
-                request.time_since_write.map_or(0, |elapsed| now.saturating_sub(elapsed))
+                let last_write = request.time_since_write.map(|elapsed| present.saturating_sub(elapsed));
+                request.min_position.or(last_write).unwrap_or(0)
             }
             Requirement::Write | Requirement::BoundedStaleness(_) | Requirement::Any => 0,
         }
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -2,10 +2,10 @@
 
 use super::endpoint_table::EndpointTable;
 use super::{Endpoint, EndpointIndex, Group, PerRole, SlowStartBudget};
-use crate::estimators::{FailureRate, QueueingDelay};
+use crate::estimators::{FailureRate, GroupClock, PrimaryPosition, QueueingDelay};
 use crate::{
     AttemptResult, EndpointCounts, EndpointEntry, EndpointId, EndpointState, GroupId, LoadReport, Micros,
-    Role,
+    ResponseMetadata, Role,
 };
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
@@ -17,9 +17,16 @@
     groups: BTreeMap<GroupId, Group>,
     /// Of attempts in all groups.
     queueing_delay: PerRole<QueueingDelay>,
+    /// The clock of groups whose primary has not answered yet.
+    default_clock: GroupClock,
 }
 
 impl Topology {
+    /// A topology whose host's clock may differ from that of the members.
+    pub(crate) fn with_unknown_clock() -> Self {
+        Topology { default_clock: GroupClock::Unknown, ..Topology::default() }
+    }
+
     pub(crate) fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.endpoints.find(id)
     }
@@ -105,12 +112,16 @@
         let endpoint = &mut self.endpoints[index];
         if entry.started_at != endpoint.started_at {
             endpoint.started_at = entry.started_at;
+            endpoint.start_listed_at = now;
             endpoint.slow_start = PerRole::uniform(SlowStartBudget::empty(now));
             endpoint.failure_rate = FailureRate::default();
             endpoint.ejected = false;
             endpoint.down = false;
             group.forget_primary(index);
         }
+        if endpoint.start_listed_at == 0 {
+            endpoint.start_listed_at = now;
+        }
         let newly_hinted = entry.primary_hint && !endpoint.primary_hint;
         if newly_hinted {
             group.next_search_at = now;
@@ -126,6 +137,52 @@
         newly_hinted
     }
 
+    /// What is known of a group's clock.
+    pub(crate) fn clock(&self, id: GroupId) -> GroupClock {
+        self.groups.get(&id).and_then(|group| group.clock).unwrap_or(self.default_clock)
+    }
+
+    /// What is known of the clock of an endpoint's group.
+    pub(crate) fn clock_of(&self, index: EndpointIndex) -> GroupClock {
+        self.clock(self[index].group)
+    }
+
+    /// The time on a group's clock; the time on the host's clock while that is not known.
+    pub(crate) fn present(&self, id: GroupId, now: Micros) -> Micros {
+        self.clock(id).present(now).unwrap_or(now)
+    }
+
+    /// When an endpoint started, on the host's clock; 0 for long ago. It counts as the latest that the clocks
+    /// allow: as soon as the list reported it, where no clock is known. Guards against a clock that is stepped
+    /// forward, by which an endpoint that warms up would look warm.
+    pub(crate) fn started_at(&self, index: EndpointIndex) -> Micros {
+        let endpoint = &self[index];
+        let is_long_ago = endpoint.started_at == 0;
+        if is_long_ago || matches!(self.default_clock, GroupClock::Host) {
+            return endpoint.started_at;
+        }
+        let clocks = [self.clock(endpoint.group), self.default_clock];
+        let starts = clocks.iter().filter_map(|clock| clock.host_time(endpoint.started_at));
+        starts.max().unwrap_or(Micros::MAX).min(endpoint.start_listed_at)
+    }
+
+    /// Updates the clock of a group by what its primary reported.
+    fn record_clock(&mut self, group: GroupId, evidence: PrimaryPosition) {
+        let before = self.clock(group);
+        if matches!(self.default_clock, GroupClock::Unknown) && evidence.confirms_host() {
+            self.default_clock = GroupClock::agreeing_with_host();
+        }
+        let now = evidence.received_at;
+        let Some(group) = self.groups.get_mut(&group) else { return };
+        let clock = before.updated_by(evidence);
+        group.clock = Some(clock);
+        if clock.present(now) != before.present(now) {
+            for &member in &group.members {
+                self.endpoints[member].replication.adapt_to_clock(clock, now);
+            }
+        }
+    }
+
     /// Records the role that an endpoint had at this time, if that is the newest evidence. Only an endpoint
     /// that may be used counts as the primary.
     pub(crate) fn record_role(&mut self, index: EndpointIndex, role: Role, seen_at: Micros, is_usable: bool) {
@@ -147,19 +204,27 @@
         }
     }
 
-    /// Records what a response reports about its endpoint.
+    /// Records what a response reports about its endpoint. Its position is none of before `sent_at`, if that
+    /// is known.
     pub(crate) fn record_response(
         &mut self,
         index: EndpointIndex,
         result: &AttemptResult,
+        sent_at: Option<Micros>,
         is_usable: bool,
         now: Micros,
     ) {
-        if let Some(role) = result.metadata.role {
+        let ResponseMetadata { role, position } = result.metadata;
+        if let Some(position) = position.filter(|_| role == Some(Role::Primary)) {
+            let endpoint = result.endpoint;
+            let evidence = PrimaryPosition { endpoint, position, sent_at, received_at: now };
+            self.record_clock(self[index].group, evidence);
+        }
+        if let Some(role) = role {
             self.record_role(index, role, now, is_usable);
         }
-        if let Some(position) = result.metadata.position {
-            self.endpoints[index].replication.record(position, now);
+        if let Some(position) = position {
+            self.record_position(index, position, now);
         }
         self.record_report(index, result.report, is_usable, now);
     }
@@ -173,12 +238,30 @@
         now: Micros,
     ) {
         let Some(position) = report.position else { return };
-        self.endpoints[index].replication.record(position, now);
+        let group = self[index].group;
+        if report.role == Some(Role::Primary) {
+            let endpoint = self[index].id;
+            let evidence = PrimaryPosition { endpoint, position, sent_at: None, received_at: now };
+            self.record_clock(group, evidence);
+        }
+        self.record_position(index, position, now);
         if let Some(role) = report.role {
-            self.record_role(index, role, position.min(now), is_usable);
+            let seen_at = self.clock(group).host_time(position).unwrap_or(now);
+            self.record_role(index, role, seen_at.min(now), is_usable);
         }
     }
 
+    fn record_position(&mut self, index: EndpointIndex, position: Micros, now: Micros) {
+        let clock = self.clock_of(index);
+        self.endpoints[index].replication.record(position, clock, now);
+    }
+
+    /// Records that an endpoint rejected a read that requires this position.
+    pub(crate) fn record_missing(&mut self, index: EndpointIndex, position: Micros, now: Micros) {
+        let clock = self.clock_of(index);
+        self.endpoints[index].replication.record_missing(position, clock, now);
+    }
+
     /// Records that an endpoint rejected a write: it is not the primary.
     pub(crate) fn record_write_rejected(&mut self, index: EndpointIndex, now: Micros) {
         let endpoint = &mut self.endpoints[index];
@@ -207,8 +290,9 @@
     }
 
     /// Whether all members of a group are known to have this position.
-    pub(crate) fn all_members_have(&self, group: GroupId, position: Micros) -> bool {
-        let has_it = |member: &EndpointIndex| self[*member].replication.known_position() >= position;
+    pub(crate) fn all_members_have(&self, group: GroupId, position: Micros, now: Micros) -> bool {
+        let known_position = |member| self[member].replication.known_position(self.clock(group), now);
+        let has_it = |member: &EndpointIndex| known_position(*member) >= position;
         self.groups[&group].members.iter().all(has_it)
     }
 }
--- /dev/null
+++ b/tests/policy/clock_steps.rs
@@ -0,0 +1,214 @@
+//! Clocks that are stepped: the router's own before it starts, and those of members while it runs. The
+//! router's time is monotonic throughout.
+
+use crate::harness::*;
+use liftrelay::*;
+
+const HOUR: i64 = 3_600_000_000;
+const STEPS: [i64; 2] = [HOUR, -HOUR];
+
+/// A router whose members read clocks of their own, and do not reject reads for which they are too far behind.
+struct SteppedGroup {
+    harness: RouterHarness,
+    /// How far the clock of the primary is ahead of the router's.
+    lead: i64,
+    last_request: u32,
+}
+
+impl SteppedGroup {
+    /// Endpoint 1 is the primary, of which the router knows only that it is; 2 and 3 are replicas.
+    fn new(lead: i64) -> Self {
+        let settings =
+            Settings { stale_read_behavior: StaleReadBehavior::Serve, probes: false, ..settings() };
+        let harness = RouterHarness::with_unknown_clock(settings, 3);
+        SteppedGroup { harness, lead, last_request: 0 }
+    }
+
+    /// The same, once the primary has answered two writes.
+    fn with_known_clock(lead: i64) -> Self {
+        let mut group = SteppedGroup::new(lead);
+        group.write_twice();
+        group
+    }
+
+    /// The time on the primary's clock.
+    fn clock(&self) -> Micros {
+        self.harness.now.saturating_add_signed(self.lead)
+    }
+
+    fn start(&mut self, request: Request) -> Option<u64> {
+        self.last_request += 1;
+        let request = Request { id: self.last_request, ..request };
+        sent_to(&self.harness.handle(Event::Request(request)))
+    }
+
+    /// Ends the last request, which endpoint `from` answers.
+    fn end(
+        &mut self,
+        attempt: u32,
+        from: u64,
+        outcome: Outcome,
+        role: Role,
+        position: Micros,
+    ) -> Option<u64> {
+        let result = attempt_result(self.last_request, attempt, from, outcome);
+        let metadata = ResponseMetadata { role: Some(role), position: Some(position) };
+        sent_to(&self.harness.handle(Event::AttemptEnded(AttemptResult { metadata, ..result })))
+    }
+
+    /// Two writes that the primary answers with this position, as seen from each.
+    fn write_twice_at(&mut self, position: impl Fn(&Self) -> Micros) {
+        for _ in 0..2 {
+            self.harness.advance(400 * MS);
+            let mut to = self.start(request(0, AT_MOST_ONCE));
+            self.harness.now += 20 * MS;
+            let mut attempt = 0;
+            while let Some(replica) = to.filter(|to| *to != 1) {
+                to = self.end(attempt, replica, Outcome::NotServable, Role::Replica, 1);
+                attempt += 1;
+            }
+            assert_eq!(to, Some(1), "the primary is found");
+            self.end(attempt, 1, Outcome::Ok, Role::Primary, position(self));
+        }
+    }
+
+    fn write_twice(&mut self) {
+        self.write_twice_at(SteppedGroup::clock);
+    }
+
+    /// The endpoint that serves a read of data that is at most 800 ms old.
+    fn bounded_read(&mut self) -> Option<u64> {
+        self.read(request(0, BOUNDED_STALENESS))
+    }
+
+    /// The endpoint that serves a read that has to see this position.
+    fn own_read(&mut self, position: Micros) -> Option<u64> {
+        self.read(Request { min_position: Some(position), ..request(0, READ_YOUR_WRITES) })
+    }
+
+    /// The client of the read leaves at once.
+    fn read(&mut self, read: Request) -> Option<u64> {
+        let to = self.start(read);
+        self.harness.handle(Event::ClientDisconnected(self.last_request));
+        if let Some(to) = to {
+            self.harness.end_attempt(self.last_request, 0, to, Outcome::Cancelled, None);
+        }
+        to
+    }
+
+    fn report(&mut self, endpoint: u64, position: Micros) {
+        self.harness.report(endpoint, Role::Replica, position);
+    }
+
+    /// Replica 2 is fresh and replica 3 lags: each read goes to an endpoint that has what it requires.
+    fn assert_reads_go_where_data_is_fresh(&mut self) {
+        let clock = self.clock();
+        self.report(2, clock - 100 * MS);
+        self.report(3, clock - 2000 * MS);
+        for _ in 0..4 {
+            assert_eq!(self.bounded_read(), Some(2));
+            assert_eq!(self.own_read(clock - 200 * MS), Some(2));
+            assert_eq!(self.own_read(clock - 50 * MS), Some(1), "only the primary has this commit");
+        }
+    }
+}
+
+#[test]
+fn reads_go_where_data_is_fresh_whatever_the_routers_own_clock_reads() {
+    for lead in [0, HOUR, -HOUR] {
+        SteppedGroup::with_known_clock(lead).assert_reads_go_where_data_is_fresh();
+    }
+}
+
+#[test]
+fn no_replica_counts_as_fresh_before_the_clock_of_its_group_is_known() {
+    let mut group = SteppedGroup::new(HOUR);
+    // What it has is ten minutes old; by the router's own clock it would be current.
+    group.report(2, group.clock() - 600_000 * MS);
+    for _ in 0..4 {
+        assert!(matches!(group.bounded_read(), None | Some(1)));
+        assert!(matches!(group.own_read(group.clock() - 60_000 * MS), None | Some(1)));
+    }
+}
+
+#[test]
+fn a_step_of_all_members_clocks_makes_no_replica_that_lags_look_fresh_or_a_fresh_one_stale() {
+    for step in STEPS {
+        let mut group = SteppedGroup::with_known_clock(0);
+        group.assert_reads_go_where_data_is_fresh();
+        group.lead = step;
+        group.harness.advance(2000 * MS);
+        for _ in 0..4 {
+            assert!(matches!(group.bounded_read(), None | Some(1)), "no replica has answered since");
+        }
+        group.write_twice();
+        group.assert_reads_go_where_data_is_fresh();
+    }
+}
+
+#[test]
+fn a_step_of_one_replicas_clock_does_not_change_what_the_others_serve() {
+    for step in STEPS {
+        let mut group = SteppedGroup::with_known_clock(0);
+        for _ in 0..4 {
+            group.harness.advance(300 * MS);
+            let clock = group.clock();
+            group.report(2, clock - 100 * MS);
+            group.report(3, (clock - 2000 * MS).saturating_add_signed(step));
+            assert_eq!(group.bounded_read(), Some(2));
+            assert_eq!(group.own_read(clock - 200 * MS), Some(2));
+        }
+        group.harness.now += HOUR as Micros;
+        group.write_twice();
+        assert_eq!(group.bounded_read(), Some(1), "the position of the future does not count later either");
+    }
+}
+
+/// Guards against a member that was stepped, or says wrongly that it is the primary.
+#[test]
+fn one_primary_that_was_stepped_makes_no_replica_that_lags_look_fresh() {
+    for step in STEPS {
+        let mut group = SteppedGroup::with_known_clock(0);
+        let clock = group.clock();
+        group.report(2, clock - 2000 * MS);
+        group.report(3, clock - 2000 * MS);
+        group.lead = step;
+        group.write_twice();
+        for _ in 0..4 {
+            assert!(matches!(group.bounded_read(), None | Some(1)));
+        }
+    }
+}
+
+/// Guards against the last position of a primary that was cut off, which tells nothing of the present.
+#[test]
+fn a_primary_whose_position_stands_still_makes_no_replica_look_fresh() {
+    let mut group = SteppedGroup::with_known_clock(0);
+    group.harness.advance(2000 * MS);
+    let stopped = group.clock() - 2000 * MS;
+    group.report(2, stopped);
+    group.write_twice_at(|_| stopped);
+    group.write_twice_at(|_| stopped);
+    assert_eq!(group.bounded_read(), Some(1));
+}
+
+#[test]
+fn a_start_in_the_list_is_recent_or_long_ago_whatever_the_routers_own_clock_reads() {
+    for lead in [0, HOUR, -HOUR] {
+        let reads_after_start = |age: Micros| {
+            let mut group = SteppedGroup::with_known_clock(lead);
+            let started_at = group.clock() - age;
+            group.harness.handle(Event::EndpointUpdate {
+                full: false,
+                endpoints: vec![EndpointEntry { started_at, ..endpoint_entry(3) }],
+            });
+            serve_reads(&mut group.harness, 1000..1010, 0, Outcome::Ok);
+            group.harness.log.clear();
+            serve_reads(&mut group.harness, 1010..1110, 0, Outcome::Ok);
+            send_count(&group.harness.log, 3)
+        };
+        let (cold, warm) = (reads_after_start(500 * MS), reads_after_start(100_000 * MS));
+        assert!(warm >= 30, "{warm} of 100 reads at a warm endpoint");
+        assert!(cold < warm / 2, "{cold} of 100 reads while it warms up, {warm} later");
+    }
+}
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -67,12 +67,17 @@
         session: 0,
         tenant: 0,
         time_since_write: None,
+        min_position: None,
         remaining: 2000 * MS,
         is_retry: false,
     }
 }
 
 const DEFAULT_SEED: u64 = 5;
+/// When harnesses start.
+const START: Micros = 1_000_000 * MS;
+/// The same where clocks are stepped back by an hour.
+const LATE_START: Micros = 10_000_000 * MS;
 
 #[derive(Clone, Copy)]
 struct Timer {
@@ -95,10 +100,18 @@
         RouterHarness::seeded(settings, endpoints, DEFAULT_SEED)
     }
 
+    /// The same, for a router whose host's clock may differ from that of the endpoints.
+    pub fn with_unknown_clock(settings: Settings, endpoints: u64) -> RouterHarness {
+        let router = Router::with_unknown_clock(settings, DEFAULT_SEED, LATE_START);
+        RouterHarness::driving(router, LATE_START, endpoints)
+    }
+
     fn seeded(settings: Settings, endpoints: u64, seed: u64) -> RouterHarness {
-        let now = 1_000_000 * MS;
-        let mut harness =
-            RouterHarness { router: Router::new(settings, seed, now), now, log: Vec::new(), timer: None };
+        RouterHarness::driving(Router::new(settings, seed, START), START, endpoints)
+    }
+
+    fn driving(router: Router, now: Micros, endpoints: u64) -> RouterHarness {
+        let mut harness = RouterHarness { router, now, log: Vec::new(), timer: None };
         harness.handle(Event::EndpointUpdate {
             full: true,
             endpoints: (1..=endpoints).map(endpoint_entry).collect(),
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,6 +1,7 @@
 //! The routing policy, through the public interface of a router.
 
 mod admission;
+mod clock_steps;
 mod endpoint_list;
 mod fleet;
 mod freshness;
