--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -69,7 +69,8 @@
         let may_run_again = |first_run_at| match self.settings.classes[pending.request.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed { window, .. } => {
-                ((self.now - first_run_at) as f64) < window as f64 * WINDOW_USED
+                let usable = (window as f64 * WINDOW_USED) as Micros;
+                self.now - first_run_at < usable.min(window - hold_up_margin(window))
             }
             Idempotency::AtMostOnce => false,
         };
@@ -121,7 +122,8 @@
             (Requirement::BoundedStaleness(bound), Role::Replica) => {
                 let clock = self.topology.clock_of(index);
                 let position = self.topology[index].replication.known_position(clock, self.now);
-                (position + bound).saturating_sub(clock.present(self.now).unwrap_or(Micros::MAX))
+                let present = clock.present(self.now).unwrap_or(Micros::MAX);
+                (position + bound).saturating_sub(present.saturating_add(hold_up_margin(bound)))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
         }
