--- a/src/estimators/group_clock.rs
+++ b/src/estimators/group_clock.rs
@@ -39,8 +39,18 @@
     }
 }
 
-/// What is known of a group's clock. An estimate that is too high makes replicas look staler than they are, so
-/// it is raised at once and lowered only on confirmed evidence.
+/// How far a group's clock is ahead of the host's; negative where it is behind. An estimate that is too high
+/// makes replicas look staler than they are, so it is raised at once and lowered only on confirmed evidence.
+#[derive(Clone, Copy)]
+pub(crate) struct ClockOffset {
+    offset: i64,
+    /// A primary's answer has shown that it is not higher.
+    is_bounded: bool,
+    /// Evidence of a lower offset that is not confirmed yet.
+    lower: Option<PrimaryPosition>,
+}
+
+/// What is known of a group's clock.
 #[derive(Clone, Copy, Default)]
 pub(crate) enum GroupClock {
     /// The host's own clock, which is known to agree with all members'.
@@ -48,22 +58,22 @@
     Host,
     /// Nothing is known: how old a position is can't be told.
     Unknown,
-    /// It runs this far ahead of the host's clock.
-    Offset {
-        /// The difference, negative where it runs behind.
-        offset: i64,
-        /// Evidence of a lower offset that is not confirmed yet.
-        lower: Option<PrimaryPosition>,
-    },
+    /// It differs from the host's clock.
+    Offset(ClockOffset),
 }
 
 impl GroupClock {
+    /// The clock of a group whose primary has not answered, once the host's clock has been found right.
+    pub(crate) fn agreeing_with_host() -> Self {
+        GroupClock::Offset(ClockOffset::bounded(0))
+    }
+
     /// The time on the group's clock, if known.
     pub(crate) fn present(&self, now: Micros) -> Option<Micros> {
         match self {
             GroupClock::Host => Some(now),
             GroupClock::Unknown => None,
-            GroupClock::Offset { offset, .. } => Some(now.saturating_add_signed(*offset)),
+            GroupClock::Offset(ahead) => Some(now.saturating_add_signed(ahead.offset)),
         }
     }
 
@@ -72,13 +82,36 @@
         match self {
             GroupClock::Host => Some(time),
             GroupClock::Unknown => None,
-            GroupClock::Offset { offset, .. } => Some(time.saturating_add_signed(-*offset)),
+            GroupClock::Offset(ahead) => Some(time.saturating_add_signed(-ahead.offset)),
         }
     }
 
-    /// The clock that agrees with the host's, as far as its primary has told no other.
-    pub(crate) fn agreeing_with_host() -> Self {
-        GroupClock::Offset { offset: 0, lower: None }
+    /// The latest time on the host's clock at which the group's clock may read this, if known.
+    pub(crate) fn latest_host_time(&self, time: Micros) -> Option<Micros> {
+        match self {
+            GroupClock::Host => Some(time),
+            GroupClock::Unknown => None,
+            GroupClock::Offset(ahead) => ahead.least().map(|least| time.saturating_add_signed(-least)),
+        }
+    }
+
+    /// How far it is ahead of the host's clock, in microseconds, if known.
+    pub(crate) fn offset(&self) -> Option<i64> {
+        match self {
+            GroupClock::Host => Some(0),
+            GroupClock::Unknown => None,
+            GroupClock::Offset(ahead) => Some(ahead.offset),
+        }
+    }
+
+    /// Whether it reads another time than this one by more than skew explains; false while this one is unknown,
+    /// as the host's clock is the first estimate, unless it turns out to be wrong.
+    pub(crate) fn is_step_from(&self, before: GroupClock) -> bool {
+        let former = before.offset().unwrap_or(0);
+        match self.offset() {
+            None => before.offset().is_some(),
+            Some(offset) => (offset - former).abs() > MAX_SKEW,
+        }
     }
 
     /// The highest position that a member of the group can have, if known.
@@ -94,48 +127,60 @@
         match self {
             GroupClock::Host => GroupClock::Host,
             // The host's clock is the first estimate: evidence shows whether it is behind or ahead.
-            GroupClock::Unknown => updated(0, None, evidence),
-            GroupClock::Offset { offset, lower } => updated(offset, lower, evidence),
+            GroupClock::Unknown => {
+                ClockOffset { offset: 0, is_bounded: false, lower: None }.updated_by(evidence)
+            }
+            GroupClock::Offset(ahead) => ahead.updated_by(evidence),
         }
     }
 }
 
-/// The clock with this offset, or the one that the evidence requires.
-fn updated(offset: i64, lower: Option<PrimaryPosition>, evidence: PrimaryPosition) -> GroupClock {
-    let (least, greatest) = (evidence.least_offset(), evidence.greatest_offset());
-    if least > offset + MAX_SKEW {
-        return greatest.map_or(GroupClock::Unknown, |offset| GroupClock::Offset { offset, lower: None });
+impl ClockOffset {
+    /// An offset that is known not to be higher.
+    fn bounded(offset: i64) -> Self {
+        ClockOffset { offset, is_bounded: true, lower: None }
     }
-    if least > offset + ROUNDING {
-        return GroupClock::Offset { offset: least, lower: None };
-    }
-    match greatest {
-        None => GroupClock::Offset { offset, lower },
-        Some(greatest) if greatest >= offset => GroupClock::Offset { offset, lower: None },
-        Some(greatest) => lowered(offset, lower, evidence, greatest),
+
+    /// The least offset that evidence allows, if there is any.
+    fn least(&self) -> Option<i64> {
+        let unconfirmed = self.lower.and_then(|lower| lower.greatest_offset());
+        unconfirmed.or(self.is_bounded.then_some(self.offset))
     }
-}
 
-/// Lowers the offset if the same primary has shown it before and its clock has run since. Guards against the
-/// last position of a primary that was cut off, which would make replicas that lag look fresh.
-fn lowered(
-    offset: i64,
-    lower: Option<PrimaryPosition>,
-    evidence: PrimaryPosition,
-    greatest: i64,
-) -> GroupClock {
-    let restarted = GroupClock::Offset { offset, lower: Some(evidence) };
-    let Some(first) = lower.filter(|first| first.endpoint == evidence.endpoint) else { return restarted };
-    let elapsed = evidence.sent_at.unwrap_or(0).saturating_sub(first.received_at);
-    if elapsed < CONFIRMATION_TIME {
-        return GroupClock::Offset { offset, lower };
+    fn updated_by(self, evidence: PrimaryPosition) -> GroupClock {
+        let (least, greatest) = (evidence.least_offset(), evidence.greatest_offset());
+        if least > self.offset + MAX_SKEW {
+            let stepped = greatest.map(|greatest| GroupClock::Offset(ClockOffset::bounded(greatest)));
+            return stepped.unwrap_or(GroupClock::Unknown);
+        }
+        GroupClock::Offset(if least > self.offset + ROUNDING {
+            ClockOffset { offset: least, lower: None, ..self }
+        } else {
+            match greatest {
+                None => self,
+                Some(greatest) if greatest >= self.offset => ClockOffset::bounded(self.offset),
+                Some(greatest) => self.lowered_by(evidence, greatest),
+            }
+        })
     }
-    let advance = offset_between(evidence.position, first.position);
-    if advance + ROUNDING < elapsed as i64 {
-        return restarted;
+
+    /// Lowers the offset if the same primary has shown it before and its clock has run since. Guards against
+    /// the last position of a primary that was cut off, which would make replicas that lag look fresh.
+    fn lowered_by(self, evidence: PrimaryPosition, greatest: i64) -> Self {
+        let restarted = ClockOffset { lower: Some(evidence), ..self };
+        let Some(first) = self.lower.filter(|first| first.endpoint == evidence.endpoint) else {
+            return restarted;
+        };
+        let elapsed = evidence.sent_at.unwrap_or(0).saturating_sub(first.received_at);
+        if elapsed < CONFIRMATION_TIME {
+            return self;
+        }
+        let advance = offset_between(evidence.position, first.position);
+        if advance + ROUNDING < elapsed as i64 {
+            return restarted;
+        }
+        ClockOffset::bounded(greatest.max(first.greatest_offset().unwrap_or(greatest)))
     }
-    let confirmed = greatest.max(first.greatest_offset().unwrap_or(greatest));
-    GroupClock::Offset { offset: confirmed.min(offset), lower: None }
 }
 
 /// How far one time is ahead of another.
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -16,6 +16,7 @@
         let is_keyed = matches!(self.settings.classes[attempt.class].idempotency, Idempotency::Keyed { .. });
         let position_after = (!is_keyed).then_some(attempt.sent_at);
         self.topology.record_response(index, &result, position_after, is_usable, self.now);
+        self.log_clock_steps();
         self.record_outcome(index, attempt, &result);
         self.continue_request(index, attempt, &result, unloaded);
         self.resume_held_in_group(group, primary_before);
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -50,6 +50,11 @@
         endpoint.probe_in_flight = true;
     }
 
+    pub(super) fn log_clock_steps(&mut self) {
+        let steps = self.topology.take_clock_steps();
+        self.actions.extend(steps.iter().map(|step| Action::Log(step.to_string())));
+    }
+
     pub(crate) fn on_probed(&mut self, id: EndpointId, answered: bool, report: LoadReport) {
         let Some(index) = self.topology.find(id) else { return };
         let endpoint = &mut self.topology[index];
@@ -64,6 +69,7 @@
             self.topology[index].record_contact(self.now);
             let is_usable = self.is_usable(index);
             self.topology.record_report(index, report, is_usable, self.now);
+            self.log_clock_steps();
         }
         self.resume_held_in_group(group, primary_before);
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,6 +1,7 @@
 //! The router's state: its endpoints, their groups, the open requests, and the commits of sessions. Tables
 //! and records that the policy reads and updates; they decide nothing.
 
+mod clock_step;
 mod endpoint;
 mod endpoint_table;
 mod group;
@@ -12,6 +13,7 @@
 #[cfg(test)]
 mod tests;
 
+pub(crate) use clock_step::ClockStep;
 pub(crate) use endpoint::{Endpoint, Failure, OutstandingAttempt, SlowStartBudget};
 pub(crate) use endpoint_table::EndpointIndex;
 pub(crate) use group::Group;
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -1,7 +1,7 @@
 //! The endpoints and their groups, with the known roles, positions and queueing delays.
 
 use super::endpoint_table::EndpointTable;
-use super::{Endpoint, EndpointIndex, Group, PerRole, SlowStartBudget};
+use super::{ClockStep, Endpoint, EndpointIndex, Group, PerRole, SlowStartBudget};
 use crate::estimators::{FailureRate, GroupClock, PrimaryPosition, QueueingDelay, ReplicationEstimate};
 use crate::{
     AttemptResult, EndpointCounts, EndpointEntry, EndpointId, EndpointState, GroupId, LoadReport, Micros,
@@ -19,6 +19,10 @@
     queueing_delay: PerRole<QueueingDelay>,
     /// The clock of groups whose primary has not answered yet.
     default_clock: GroupClock,
+    /// Steps of groups' clocks that have not been logged yet.
+    clock_steps: Vec<ClockStep>,
+    /// When the first entry was listed, 0 before.
+    first_listed_at: Micros,
 }
 
 impl Topology {
@@ -144,6 +148,9 @@
         if endpoint.start_listed_at == 0 {
             endpoint.start_listed_at = now;
         }
+        if self.first_listed_at == 0 {
+            self.first_listed_at = now;
+        }
         let newly_hinted = entry.primary_hint && !endpoint.primary_hint;
         if newly_hinted {
             group.next_search_at = now;
@@ -174,8 +181,8 @@
     }
 
     /// When an endpoint started, on the host's clock; 0 for long ago. It counts as the latest that the clocks
-    /// allow: as soon as the list reported it, where no clock is known. Guards against a clock that is stepped
-    /// forward, by which an endpoint that warms up would look warm.
+    /// allow. Guards against a clock that is stepped forward, by which an endpoint that warms up would look
+    /// warm.
     pub(crate) fn started_at(&self, index: EndpointIndex) -> Micros {
         let endpoint = &self[index];
         let is_long_ago = endpoint.started_at == 0;
@@ -183,21 +190,34 @@
             return endpoint.started_at;
         }
         let clocks = [self.clock(endpoint.group), self.default_clock];
-        let starts = clocks.iter().filter_map(|clock| clock.host_time(endpoint.started_at));
-        starts.max().unwrap_or(Micros::MAX).min(endpoint.start_listed_at)
+        let starts = clocks.iter().filter_map(|clock| clock.latest_host_time(endpoint.started_at));
+        // Without evidence a start that was listed later than the first list is recent, and for others the
+        // host's clock is all there is.
+        let is_in_first_list = endpoint.start_listed_at == self.first_listed_at;
+        let presumed = if is_in_first_list { endpoint.started_at } else { endpoint.start_listed_at };
+        starts.max().unwrap_or(presumed).min(endpoint.start_listed_at)
+    }
+
+    /// Takes the steps of groups' clocks that have been noticed since the last call.
+    pub(crate) fn take_clock_steps(&mut self) -> Vec<ClockStep> {
+        std::mem::take(&mut self.clock_steps)
     }
 
     /// Updates the clock of a group by what its primary reported.
-    fn record_clock(&mut self, group: GroupId, evidence: PrimaryPosition) {
-        let before = self.clock(group);
+    fn record_clock(&mut self, id: GroupId, evidence: PrimaryPosition) {
+        let before = self.clock(id);
         if matches!(self.default_clock, GroupClock::Unknown) && evidence.confirms_host() {
             self.default_clock = GroupClock::agreeing_with_host();
         }
         let now = evidence.received_at;
-        let Some(group) = self.groups.get_mut(&group) else { return };
+        let Some(group) = self.groups.get_mut(&id) else { return };
         let clock = before.updated_by(evidence);
         group.clock = Some(clock);
-        if clock.present(now) != before.present(now) {
+        let is_step = clock.is_step_from(before);
+        if is_step {
+            self.clock_steps.push(ClockStep { group: id, offset: clock.offset() });
+        }
+        if is_step || before.present(now).is_none() {
             for &member in &group.members {
                 self.endpoints[member].replication.adapt_to_clock(clock, now);
             }
--- a/tests/policy/clock_steps.rs
+++ b/tests/policy/clock_steps.rs
@@ -120,6 +120,19 @@
     }
 }
 
+/// The estimate exceeds the step by what an answer takes at most.
+#[test]
+fn a_step_is_logged_once_with_its_span() {
+    for (lead, text) in [(HOUR, "+3600."), (-HOUR, "-3599.9")] {
+        let mut group = SteppedGroup::with_known_clock(lead);
+        (0..4).for_each(|_| group.write_twice());
+        let log = group.harness.log.iter();
+        let lines: Vec<_> = log.filter(|action| matches!(action, Action::Log(_))).collect();
+        let is_expected = |line: &Action| matches!(line, Action::Log(line) if line.contains(text));
+        assert!(lines.len() == 1 && is_expected(lines[0]), "{lines:?}");
+    }
+}
+
 #[test]
 fn no_replica_counts_as_fresh_before_the_clock_of_its_group_is_known() {
     let mut group = SteppedGroup::new(HOUR);
--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -2,6 +2,7 @@
 //! is forced and not left to chance; `docs/race-conditions.md` lists them.
 
 mod clients;
+mod clock_steps;
 mod deadlines;
 mod discovery;
 mod held_up;
