--- a/src/estimators/group_clock.rs
+++ b/src/estimators/group_clock.rs
@@ -7,7 +7,8 @@
 
 /// Positions and commits are rounded to whole milliseconds, in both directions.
 const ROUNDING: i64 = 2_000;
-/// A difference up to this is skew between clocks, or the age of a load report; beyond it, a clock was stepped.
+/// A difference up to this is skew between clocks, or the age of a load report; beyond it, a clock was
+/// stepped.
 const MAX_SKEW: i64 = 250_000;
 /// A primary's clock must be seen to run for this long before the estimate is lowered.
 const CONFIRMATION_TIME: Micros = 250_000;
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Whether it reads another time than this one by more than skew explains; false while this one is unknown,
-    /// as the host's clock is the first estimate, unless it turns out to be wrong.
+    /// Whether it differs from this earlier estimate by more than skew explains. Before the first estimate it
+    /// was taken to agree with the host's clock.
     pub(crate) fn is_step_from(&self, before: GroupClock) -> bool {
         let former = before.offset().unwrap_or(0);
         match self.offset() {
--- a/src/estimators/replication.rs
+++ b/src/estimators/replication.rs
@@ -6,7 +6,8 @@
 /// The time constant with which a lag that is not seen again fades: replicas catch up.
 const LAG_SPAN: f64 = 3_000_000.0;
 
-/// The replication position of an endpoint: a time on its group's clock up to which it has applied all commits.
+/// The replication position of an endpoint: a time on its group's clock up to which it has applied all
+/// commits.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ReplicationEstimate {
     position: Micros,
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -71,8 +71,8 @@
         let pending = &self.requests[&id];
         let required = self.required_position(pending);
         let may_be_stale = required > 0 && self.settings.endpoints_serve_stale();
-        // Departure: only the primary's answer shows the time on the group's clock. Guards against probes that
-        // can't show how old the data is.
+        // Departure: only the primary's answer shows the time on the group's clock. Guards against probes
+        // that can't show how old the data is.
         let is_clock_known = self.topology.clock(pending.request.group).present(self.now).is_some();
         if !may_be_stale || !is_clock_known || !self.settings.probes || pending.probed.is_some() {
             return false;
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -48,7 +48,8 @@
         PendingRequest { request, deadline, objective_at, useful_until, ..PendingRequest::default() }
     }
 
-    /// The position that an endpoint must have to serve it when its group's clock reads `present`, 0 for none.
+    /// The position that an endpoint must have to serve it when its group's clock reads `present`; 0 for
+    /// none.
     pub(crate) fn required_position_at(&self, present: Micros, class: &Class) -> Micros {
         match class.requirement {
             Requirement::BoundedStaleness(bound) => present.saturating_sub(bound),
