--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -121,6 +121,17 @@
         endpoint.probe_in_flight = true;
     }
 
+    /// Logs the steps of groups' clocks, and counts their members anew: a start may have been later or
+    /// earlier than it seemed.
+    pub(super) fn handle_clock_steps(&mut self) {
+        for step in self.topology.take_clock_steps() {
+            self.actions.push(Action::Log(step.to_string()));
+            for member in self.topology.members(step.group).to_vec() {
+                self.update_indexes(member);
+            }
+        }
+    }
+
     pub(crate) fn on_probed(&mut self, id: EndpointId, answered: bool, report: LoadReport) {
         let Some(index) = self.topology.find(id) else { return };
         let endpoint = &mut self.topology[index];
@@ -136,6 +147,7 @@
             let is_usable = self.is_usable(index);
             self.topology.record_report(index, report, is_usable, self.now);
             self.update_indexes(index);
+            self.handle_clock_steps();
         }
         self.resume_held_in_group(group, primary_before);
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -32,7 +32,8 @@
             }
         }
         let id = request.id;
-        let required_position = self.commits.required_position(&request, &self.settings, self.now);
+        let present = self.topology.present(request.group, self.now);
+        let required_position = self.commits.required_position(&request, &self.settings, present);
         let pending = PendingRequest::new(request, class, self.now);
         self.requests.insert(id, PendingRequest { priority, required_position, shed_draw, ..pending });
         self.advance(id);
@@ -119,8 +120,10 @@
             (Requirement::Any | Requirement::Write, _) => Micros::MAX,
             (_, Role::Primary) => ANSWER_VALIDITY / 2,
             (Requirement::BoundedStaleness(bound), Role::Replica) => {
-                let position = self.topology[index].replication.known_position();
-                (position + bound).saturating_sub(self.now + hold_up_margin(bound))
+                let clock = self.topology.clock_of(index);
+                let position = self.topology[index].replication.known_position(clock, self.now);
+                let present = clock.present(self.now).unwrap_or(Micros::MAX);
+                (position + bound).saturating_sub(present.saturating_add(hold_up_margin(bound)))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -23,12 +23,12 @@
         if endpoint.down {
             return Micros::MAX;
         }
-        let is_back = endpoint.recovered_at > endpoint.started_at;
+        let started_at = self.topology.started_at(index);
+        let is_back = endpoint.recovered_at > started_at;
         let reported_at = if is_back { endpoint.recovered_at + RESTART_REPORT_DELAY } else { 0 };
-        let is_start_known = endpoint.started_at > 0;
-        let started =
-            if is_start_known { endpoint.started_at + self.settings.slow_start_duration } else { 0 };
-        started.max(reported_at)
+        let is_start_known = started_at > 0;
+        let warm_at = if is_start_known { started_at + self.settings.slow_start_duration } else { 0 };
+        warm_at.max(reported_at)
     }
 
     /// Departure: an endpoint that warms up gets a share of what a warm one serves for this router. A budget
@@ -78,14 +78,15 @@
         let most = most.max(if role == Role::Primary { self.unloaded(class) } else { 0.0 });
         let endpoint = &self.topology[index];
         let budget = endpoint.slow_start[role];
-        let elapsed = self.now - budget.updated_at.max(endpoint.started_at);
+        let elapsed = self.now.saturating_sub(budget.updated_at.max(self.topology.started_at(index)));
         (budget.saved + rate * elapsed as f64 / 1e6).min(most)
     }
 
     /// The work per second that an endpoint may be sent while it warms up.
     fn slow_start_rate(&self, index: EndpointIndex, role: Role) -> f64 {
         let endpoint = &self.topology[index];
-        let since = if endpoint.down { self.now } else { endpoint.started_at.max(endpoint.recovered_at) };
+        let started_at = self.topology.started_at(index);
+        let since = if endpoint.down { self.now } else { started_at.max(endpoint.recovered_at) };
         let age = self.now.saturating_sub(since) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let least = self.settings.slow_start_capacity;
         let capacity = least + (1.0 - least) * age;
