--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -74,7 +74,8 @@
         let attempt = pending.attempts;
         pending.attempts += 1;
         // Guards against a second execution, whatever the router requests.
-        let allowed = attempt < self.settings.max_attempts && !pending.must_not_be_repeated();
+        let made = attempt - pending.local_errors;
+        let allowed = made < self.settings.max_attempts && !pending.must_not_be_repeated();
         let timeout = order.timeout.min(pending.deadline.saturating_sub(now)).max(MIN_ATTEMPT_TIMEOUT);
         // Guards against a retry that waits for its connection until its idempotency key has expired.
         let start_within = order.start_within.min(pending.deduplication_time_left(now));
@@ -99,7 +100,7 @@
     /// Starts a health check. Returns the event that notifies the router if that is impossible.
     pub(super) fn start_probe(&mut self, now: Micros, endpoint: EndpointId) -> Option<Event> {
         let Some(connection) = self.check_out(endpoint) else {
-            return Some(Event::Probed { endpoint, answered: false, report: LoadReport::default() });
+            return Some(Event::ProbeNotSent(endpoint));
         };
         self.start_job(now, connection, endpoint, JobPurpose::Probe, PROBE_TIMEOUT, JobSpec::Probe);
         None
@@ -176,6 +177,9 @@
             JobPurpose::Attempt { request, attempt } => {
                 self.finish_attempt(now, &job, request, attempt, result);
             }
+            JobPurpose::Probe if result.outcome == Outcome::LocalError => {
+                self.notify_router(now, Event::ProbeNotSent(job.endpoint));
+            }
             JobPurpose::Probe => {
                 let answered = result.outcome == Outcome::Ok;
                 let report = result.report;
@@ -198,6 +202,11 @@
         {
             pending.mark_maybe_executed(job.started_at);
         }
+        if outcome == Outcome::LocalError
+            && let Some(pending) = self.requests.get_mut(&request)
+        {
+            pending.local_errors += 1;
+        }
         // A response with `NeverSent` carries no evidence about the member: the statement itself is in error.
         if matches!(outcome, Outcome::Ok | Outcome::NeverSent)
             && let Some(answer) = answer
@@ -226,7 +235,11 @@
 /// Whether the member may have executed an attempt with this outcome.
 fn may_have_executed(outcome: Outcome) -> bool {
     match outcome {
-        Outcome::ConnectFailed | Outcome::Full | Outcome::NotServable | Outcome::NeverSent => false,
+        Outcome::ConnectFailed
+        | Outcome::Full
+        | Outcome::NotServable
+        | Outcome::NeverSent
+        | Outcome::LocalError => false,
         Outcome::Ok | Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => true,
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -20,6 +20,8 @@
     pub deadline: Micros,
     /// The attempts that the router has requested, including those that were not sent.
     pub attempts: u32,
+    /// Those of them that this machine could not make: they do not count towards the limit.
+    pub local_errors: u32,
     pub idempotency: Idempotency,
     /// When the first attempt that the member may have executed was sent.
     pub first_maybe_executed_at: Option<Micros>,
@@ -73,6 +75,7 @@
             work,
             deadline,
             attempts: 0,
+            local_errors: 0,
             idempotency,
             first_maybe_executed_at: None,
         };
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -27,6 +27,8 @@
         /// Its load report.
         report: LoadReport,
     },
+    /// A health check could not be sent, for a reason that does not concern the endpoint.
+    ProbeNotSent(EndpointId),
     /// The client disconnected; no answer is required any more.
     ClientDisconnected(RequestId),
     /// A timer fired.
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -112,6 +112,9 @@
     Cancelled,
     /// Never sent.
     NeverSent,
+    /// Never sent, as this machine had no port, route, memory, descriptor or thread for it: that says nothing
+    /// about the endpoint.
+    LocalError,
     /// Rejected without being executed: not the primary, or too far behind.
     NotServable,
 }
@@ -119,8 +122,8 @@
 impl Outcome {
     /// Whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
-        use Outcome::{ConnectFailed, Full, NeverSent, NotServable};
-        !matches!(self, Full | ConnectFailed | NeverSent | NotServable)
+        use Outcome::{ConnectFailed, Full, LocalError, NeverSent, NotServable};
+        !matches!(self, Full | ConnectFailed | NeverSent | LocalError | NotServable)
     }
 }
 
--- a/src/net/member/connect.rs
+++ b/src/net/member/connect.rs
@@ -3,8 +3,8 @@
 use crate::Outcome;
 use crate::pg::message_tags::backend;
 use crate::pg::{self, FrameReader};
-use rustix::io::Errno;
-use std::io::Write;
+use crate::sockets::{is_local_connect_error, is_momentary_error};
+use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -29,12 +29,19 @@
 }
 
 /// Why a connection could not be opened.
+#[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
     /// The socket could not be opened or connected.
+    #[error(transparent)]
     Socket(std::io::Error),
-    /// The connection broke, was silent for too long or violated the protocol before ReadyForQuery.
-    Handshake,
+    /// The connection broke, or was silent for too long, before ReadyForQuery.
+    #[error(transparent)]
+    Handshake(std::io::Error),
+    /// The member violated the protocol before ReadyForQuery.
+    #[error("protocol violation")]
+    Protocol,
     /// The member rejected the connection with this SQLSTATE, if it is a well formed one.
+    #[error("rejected by the member")]
     Rejected(Option<Vec<u8>>),
 }
 
@@ -42,7 +49,8 @@
     /// The outcome of an attempt that fails with this error.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
-            ConnectError::Socket(error) if out_of_descriptors(error) => Outcome::NeverSent,
+            ConnectError::Socket(error) if is_local_connect_error(error) => Outcome::LocalError,
+            ConnectError::Handshake(error) if is_momentary_error(error) => Outcome::LocalError,
             ConnectError::Rejected(Some(code)) if code == pg::sqlstate::TOO_MANY_CONNECTIONS.as_bytes() => {
                 Outcome::Full
             }
@@ -51,51 +59,46 @@
     }
 }
 
-/// Guards against counting the proxy's own lack of descriptors as the member's fault.
-fn out_of_descriptors(error: &std::io::Error) -> bool {
-    let errno = Errno::from_io_error(error);
-    errno == Some(Errno::NFILE) || errno == Some(Errno::MFILE)
-}
-
 /// Connects to a member and waits until it is ready for queries, `timeout` at most for both together.
 pub(super) fn connect(address: SocketAddr, timeout: Duration) -> Result<OpenConnection, ConnectError> {
     let deadline = Instant::now() + timeout;
     let stream = TcpStream::connect_timeout(&address, timeout).map_err(ConnectError::Socket)?;
     let _ = stream.set_nodelay(true);
-    (&stream).write_all(&pg::startup_message(USER, DATABASE)).map_err(|_| ConnectError::Handshake)?;
+    (&stream).write_all(&pg::startup_message(USER, DATABASE)).map_err(ConnectError::Handshake)?;
     let mut frames = FrameReader::default();
     await_ready(&stream, &mut frames, deadline)?;
-    stream.set_read_timeout(None).map_err(|_| ConnectError::Handshake)?;
+    stream.set_read_timeout(None).map_err(ConnectError::Handshake)?;
     Ok(OpenConnection { stream: Arc::new(stream), frames })
 }
 
 /// Reads the replies to the startup message, up to ReadyForQuery.
 fn await_ready(stream: &TcpStream, frames: &mut FrameReader, deadline: Instant) -> Result<(), ConnectError> {
     loop {
-        match frames.next_reply().map_err(|_| ConnectError::Handshake)? {
+        match frames.next_reply().map_err(|_| ConnectError::Protocol)? {
             Some((backend::READY_FOR_QUERY, _)) => break,
             Some((backend::ERROR_RESPONSE, message)) => {
                 let code = pg::error_sqlstate(pg::message_body(message)).map(<[u8]>::to_vec);
                 return Err(ConnectError::Rejected(code));
             }
             Some(_) => {}
-            None => {
-                if !fill_before(deadline, stream, frames) {
-                    return Err(ConnectError::Handshake);
-                }
-            }
+            None => fill_before(deadline, stream, frames).map_err(ConnectError::Handshake)?,
         }
     }
     // Bytes after ReadyForQuery belong to no reply.
-    if frames.buffered().is_empty() { Ok(()) } else { Err(ConnectError::Handshake) }
+    if frames.buffered().is_empty() { Ok(()) } else { Err(ConnectError::Protocol) }
 }
 
-/// Reads once; `false` if nothing arrives before the deadline or the connection ends. Leaves the read timeout
+/// Reads once; an error if nothing arrives before the deadline or the connection ends. Leaves the read timeout
 /// set.
-pub(super) fn fill_before(deadline: Instant, stream: &TcpStream, frames: &mut FrameReader) -> bool {
+pub(super) fn fill_before(
+    deadline: Instant,
+    stream: &TcpStream,
+    frames: &mut FrameReader,
+) -> std::io::Result<()> {
     let left = deadline.saturating_duration_since(Instant::now());
-    if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
-        return false;
+    if left.is_zero() {
+        return Err(ErrorKind::TimedOut.into());
     }
-    matches!(frames.fill(stream), Ok(true))
+    stream.set_read_timeout(Some(left))?;
+    if frames.fill(stream)? { Ok(()) } else { Err(ErrorKind::UnexpectedEof.into()) }
 }
--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -1,7 +1,7 @@
 //! A connection to a member: it is opened for its first job, checked before it is reused, and reopened
 //! if it turns out to be dead.
 
-use super::connect::{OpenConnection, connect};
+use super::connect::{ConnectError, OpenConnection, connect};
 use super::events::{MemberEvent, MemberEvents};
 use super::job::{Job, JobExecution, JobReply};
 use super::liveness::answers_empty_query;
@@ -13,6 +13,9 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
+/// The least interval between two log lines about errors of this machine.
+const LOCAL_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
+
 /// A connection to a member, opened or to be opened.
 pub(super) struct MemberConnection {
     link: ConnectionId,
@@ -174,8 +177,24 @@
     }
 
     fn open(&self) -> Result<OpenConnection, Outcome> {
-        let open = connect(self.address, self.connect_timeout).map_err(|error| error.outcome())?;
+        let open = connect(self.address, self.connect_timeout).map_err(|error| {
+            let outcome = error.outcome();
+            if outcome == Outcome::LocalError {
+                log_local_error(&error);
+            }
+            outcome
+        })?;
         *self.cut_target() = Some(open.stream.clone());
         Ok(open)
     }
 }
+
+/// Logs that this machine could not open a connection, once in a while: each request may meet it.
+fn log_local_error(error: &ConnectError) {
+    static LAST_LOGGED: Mutex<Option<Instant>> = Mutex::new(None);
+    let mut last_logged = LAST_LOGGED.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    if last_logged.is_none_or(|logged| logged.elapsed() >= LOCAL_ERROR_LOG_INTERVAL) {
+        *last_logged = Some(Instant::now());
+        tracing::warn!(%error, "this machine opens no connection to members");
+    }
+}
--- a/src/net/member/liveness.rs
+++ b/src/net/member/liveness.rs
@@ -26,7 +26,7 @@
             Some(_) => return false,
             // One deadline for the complete reply. Guards against a member that sends a little at a time.
             None => {
-                if !fill_before(deadline, stream, frames) {
+                if fill_before(deadline, stream, frames).is_err() {
                     return false;
                 }
             }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -40,6 +40,8 @@
                 }
             }
             Outcome::NotServable => self.record_not_servable(index, attempt),
+            // Nothing is learnt from it: a trial is still due.
+            Outcome::LocalError => self.topology[index].next_trial_at = self.now,
             Outcome::Cancelled | Outcome::NeverSent => {}
         }
     }
@@ -74,6 +76,9 @@
         let class = &self.settings.classes[attempt.class];
         let (outcome, session) = (result.outcome, pending.request.session);
         pending.in_flight = None;
+        if outcome == Outcome::LocalError && !result.finished {
+            return self.retry_after_local_error(result.request, index);
+        }
         let is_commit = outcome == Outcome::Ok && class.requirement == Requirement::Write;
         if is_commit && self.settings.remember_commits && session != 0 {
             let position = result.metadata.position.unwrap_or(self.now);
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -52,13 +52,9 @@
 
     pub(crate) fn on_probed(&mut self, id: EndpointId, answered: bool, report: LoadReport) {
         let Some(index) = self.topology.find(id) else { return };
-        let endpoint = &mut self.topology[index];
-        endpoint.probe_in_flight = false;
-        endpoint.probe_unanswered = !answered;
-        let group = endpoint.group;
-        for pending in self.requests.values_mut().filter(|pending| pending.probed == Some(index)) {
-            pending.held_until = pending.held_until.map(|_| 0);
-        }
+        self.end_probe(index);
+        self.topology[index].probe_unanswered = !answered;
+        let group = self.topology[index].group;
         let primary_before = self.topology.primary(group);
         if answered {
             self.topology[index].record_contact(self.now);
@@ -67,4 +63,19 @@
         }
         self.resume_held_in_group(group, primary_before);
     }
+
+    /// Departure: a health check that this machine could not send is no evidence of the endpoint.
+    pub(crate) fn on_probe_not_sent(&mut self, id: EndpointId) {
+        let Some(index) = self.topology.find(id) else { return };
+        self.end_probe(index);
+        self.resume_held(Some(self.topology[index].group), false);
+    }
+
+    /// No read waits for the probe any more.
+    fn end_probe(&mut self, index: EndpointIndex) {
+        self.topology[index].probe_in_flight = false;
+        for pending in self.requests.values_mut().filter(|pending| pending.probed == Some(index)) {
+            pending.held_until = pending.held_until.map(|_| 0);
+        }
+    }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -49,16 +49,38 @@
             Role::Primary => self.select_primary(id),
             Role::Replica => self.select_replica(id),
         };
-        // A held request is reconsidered before its deadline, whatever it waits for.
-        let reserve = (self.unloaded(class) as Micros / 2).max(2 * self.tick_interval());
-        let last_hold = useful_until.saturating_sub(reserve);
         match selection {
             Selection::Send { endpoint, exploratory } => self.send(id, endpoint, exploratory),
-            Selection::Hold if self.now < last_hold => {
-                let until = (self.now + SEARCH_INTERVAL / 2).min(last_hold);
-                self.requests.get_mut(&id).expect("present above").held_until = Some(until);
+            Selection::Hold => self.hold(id),
+            Selection::Shed => self.give_up(id),
+        }
+    }
+
+    /// Holds a request for a while. It is reconsidered before its deadline, whatever it waits for.
+    fn hold(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get(&id) else { return };
+        let (class, useful_until) = (pending.request.class, pending.useful_until);
+        let reserve = (self.unloaded(class) as Micros / 2).max(2 * self.tick_interval());
+        let last_hold = useful_until.saturating_sub(reserve);
+        if self.now >= last_hold {
+            return self.give_up(id);
+        }
+        let until = (self.now + SEARCH_INTERVAL / 2).min(last_hold);
+        self.requests.get_mut(&id).expect("present above").held_until = Some(until);
+    }
+
+    /// Departure: an attempt that this machine could not make costs the request nothing. A read goes on to the
+    /// members that it has not tried, as only the way to one may be closed; when all were tried, or for a
+    /// primary, it waits. Guards against errors of this machine that pass for a group that is down.
+    pub(super) fn retry_after_local_error(&mut self, id: RequestId, index: EndpointIndex) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        pending.take_back_attempt();
+        match self.settings.classes[pending.request.class].role() {
+            Role::Replica => {
+                pending.tried.push(index);
+                self.advance(id);
             }
-            Selection::Hold | Selection::Shed => self.give_up(id),
+            Role::Primary => self.hold(id),
         }
     }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -66,6 +66,7 @@
             Event::Request(request) => self.on_request(request),
             Event::AttemptEnded(result) => self.on_attempt_ended(result),
             Event::Probed { endpoint, answered, report } => self.on_probed(endpoint, answered, report),
+            Event::ProbeNotSent(endpoint) => self.on_probe_not_sent(endpoint),
             Event::ClientDisconnected(id) => self.finish(id),
         }
         actions.append(&mut self.actions);
--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -42,7 +42,7 @@
         }
         // Guards against counting the proxy's own lack of threads as the member's fault.
         tracing::warn!(target: LOG_TARGET, "job not started: no thread available");
-        let result = JobResult::from_outcome(Outcome::NeverSent);
+        let result = JobResult::from_outcome(Outcome::LocalError);
         self.member_connections.remove(&connection);
         self.step_reducer(now, Input::JobFinished { connection, job, result, reusable: false });
         self.step_reducer(now, Input::ConnectionClosed(connection));
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -1,8 +1,38 @@
 //! Checks of a TCP stream that several modules share.
 
-use std::io::ErrorKind;
+use rustix::io::Errno;
+use std::io::{Error, ErrorKind};
 use std::net::TcpStream;
 
+/// Errors of `socket` and `connect` that are this machine's: no descriptor, memory, port or route, a rule of its
+/// own firewall, or a signal.
+const LOCAL_CONNECT_ERRORS: [Errno; 12] = [
+    Errno::ACCESS,
+    Errno::ADDRINUSE,
+    Errno::ADDRNOTAVAIL,
+    Errno::AGAIN,
+    Errno::INTR,
+    Errno::MFILE,
+    Errno::NETDOWN,
+    Errno::NETUNREACH,
+    Errno::NFILE,
+    Errno::NOBUFS,
+    Errno::NOMEM,
+    Errno::PERM,
+];
+/// Errors of a call on an open socket that leave it as it was: a signal, or no memory for a moment.
+const MOMENTARY_ERRORS: [Errno; 3] = [Errno::INTR, Errno::NOBUFS, Errno::NOMEM];
+
+/// Whether opening a connection failed for a reason that says nothing about the peer.
+pub fn is_local_connect_error(error: &Error) -> bool {
+    Errno::from_io_error(error).is_some_and(|errno| LOCAL_CONNECT_ERRORS.contains(&errno))
+}
+
+/// Whether a call on an open socket failed in a way that leaves the connection as it was.
+pub fn is_momentary_error(error: &Error) -> bool {
+    Errno::from_io_error(error).is_some_and(|errno| MOMENTARY_ERRORS.contains(&errno))
+}
+
 /// Whether an idle connection can't be used any more: the peer has closed it, or has sent unexpected
 /// bytes.
 pub fn closed_by_peer(stream: &TcpStream) -> bool {
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -20,8 +20,10 @@
     /// Drawn once, between 0 and 1: of equal priority, the lowest draws are shed first.
     pub(crate) shed_draw: f64,
 
-    /// The attempts sent so far.
+    /// The attempts sent so far, without those that this machine could not make.
     pub(crate) attempts: u32,
+    /// The number of the next attempt.
+    pub(crate) next_attempt: u32,
     /// The attempt whose outcome is awaited.
     pub(crate) in_flight: Option<u32>,
     /// When the first attempt that may have run was sent.
@@ -68,13 +70,19 @@
 
     /// Counts an attempt that is sent, and returns its number.
     pub(crate) fn start_attempt(&mut self) -> u32 {
-        let attempt = self.attempts;
+        let attempt = self.next_attempt;
+        self.next_attempt += 1;
         self.attempts += 1;
         self.held_until = None;
         self.in_flight = Some(attempt);
         attempt
     }
 
+    /// The last attempt could not be made: it does not count.
+    pub(crate) fn take_back_attempt(&mut self) {
+        self.attempts = self.attempts.saturating_sub(1);
+    }
+
     /// Starts a new round over all endpoints, where the primary was found with no backoff.
     pub(crate) fn reset_round(&mut self, found_primary: bool) {
         self.tried.clear();
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -10,3 +10,4 @@
 mod platform;
 mod races;
 mod support;
+mod system_calls;
