--- a/tests/proxy/support/proxy.rs
+++ b/tests/proxy/support/proxy.rs
@@ -129,7 +129,17 @@
         let entries: Vec<_> = members.iter().enumerate().map(entry).collect();
         // Without members, discovery is down.
         let list = if members.is_empty() { String::new() } else { full_list(1, &entries) };
-        let discovery = MockDiscovery::start(list);
+        Proxy::start_with_discovery(stdin, MockDiscovery::start(list), shell, file, limits)
+    }
+
+    /// The same with this discovery.
+    pub fn start_with_discovery(
+        stdin: Stdio,
+        discovery: MockDiscovery,
+        shell: &str,
+        file: &str,
+        limits: &str,
+    ) -> Proxy {
         let directory = create_directory();
         let configuration = configuration(&discovery).replace(DEFAULT_LIMITS, limits);
         std::fs::write(directory.join("config.json"), configuration).unwrap();
@@ -195,6 +205,24 @@
     pub fn signal(&self, name: &str) {
         assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
     }
+
+    /// Stops the process, and returns once none of its threads runs any more.
+    pub fn suspend(&self) {
+        self.signal("-STOP");
+        let tasks = format!("/proc/{}/task", self.child.id());
+        let is_stopped = |task: std::fs::DirEntry| {
+            let status = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
+            status.rsplit(')').next().is_some_and(|fields| fields.starts_with(" T"))
+        };
+        while !std::fs::read_dir(&tasks).unwrap().flatten().all(is_stopped) {
+            std::thread::yield_now();
+        }
+    }
+
+    /// Lets the process go on.
+    pub fn resume(&self) {
+        self.signal("-CONT");
+    }
 }
 
 impl Drop for Proxy {
