--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -93,9 +93,11 @@
         self.actions.push(Action::Send { request: id, endpoint: endpoint.id, timeout, start_within });
     }
 
+    /// An attempt is awaited as long as its client waits, also where a late answer has no value. Guards
+    /// against counting an endpoint as idle that still works on what was given up, and against clients that
+    /// repeat a request that is about to be answered.
     fn attempt_timeout(&self, pending: &PendingRequest, exploratory: bool) -> Micros {
         let unloaded = self.unloaded(pending.request.class);
-        let end = if self.now >= pending.objective_at { pending.deadline } else { pending.useful_until };
         let most = match self.settings.classes[pending.request.class].idempotency {
             Idempotency::AtMostOnce => f64::INFINITY,
             _ if exploratory => unloaded * EXPLORATORY_TIMEOUT_MULTIPLE,
@@ -104,7 +106,7 @@
             }
             Idempotency::Idempotent => f64::INFINITY,
         };
-        (end - self.now).min(most as Micros).max(1)
+        pending.deadline.saturating_sub(self.now).min(most as Micros).max(1)
     }
 
     /// Departure: how long an attempt may wait for its connection where endpoints serve stale data. Guards
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -9,9 +9,8 @@
     pub(crate) request: Request,
     /// The client waits until then.
     pub(crate) deadline: Micros,
-    /// An answer until then meets the latency objective.
-    pub(crate) objective_at: Micros,
-    /// An answer after this has no value: the deadline, or the objective where late answers do not count.
+    /// An answer after this has no value: the deadline, or the objective where late answers do not count. No
+    /// attempt starts then; one that has started is awaited until the deadline.
     pub(crate) useful_until: Micros,
     /// The position that its arrival requires of an endpoint, 0 for none.
     pub(crate) required_position: Micros,
@@ -45,7 +44,7 @@
         let deadline = now + request.remaining;
         let objective_at = now + class.latency_objective.min(request.remaining);
         let useful_until = if class.late_value > 0.0 { deadline } else { objective_at };
-        PendingRequest { request, deadline, objective_at, useful_until, ..PendingRequest::default() }
+        PendingRequest { request, deadline, useful_until, ..PendingRequest::default() }
     }
 
     /// The position that an endpoint must have to serve it now, 0 for none.
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -158,3 +158,25 @@
         }
     }
 }
+
+/// Guards against a retry storm: an endpoint goes on with a read that is given up at its objective, which is then
+/// not counted as pending there, and its client sends it again, though it can no longer be in time.
+#[test]
+fn a_read_that_is_late_is_awaited_as_long_as_its_client_waits() {
+    let mut settings = settings();
+    settings.classes.iter_mut().for_each(|class| class.late_value = 0.0);
+    for class in [ANY, READ_YOUR_WRITES, LATEST] {
+        let mut harness = RouterHarness::with_known_roles(settings.clone(), 3);
+        let actions = harness.request(1, class);
+        let to = sent_to(&actions).expect("it is sent");
+        let timeouts = actions.iter().filter_map(|action| match action {
+            Action::Send { timeout, .. } => Some(*timeout),
+            _ => None,
+        });
+        assert_eq!(timeouts.collect::<Vec<_>>(), [2000 * MS], "class {class}");
+        let meanwhile = harness.advance(1900 * MS);
+        assert!(!is_rejected(&meanwhile, 1) && !is_failed(&meanwhile, 1), "class {class}: given up early");
+        let late = harness.end_attempt(1, 0, to, Outcome::Error, None);
+        assert_eq!(sent_to(&late), None, "class {class}: an attempt that can only be late");
+    }
+}
