--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -87,6 +87,8 @@
     pub tenant: usize,
     /// How long ago the session's last write was committed, where the client provides it.
     pub time_since_write: Option<Micros>,
+    /// The position that it must see, where the client provides it.
+    pub min_position: Option<Micros>,
     /// How long the client still waits.
     pub remaining: Micros,
     /// Whether this is a retry by the client.
@@ -112,6 +114,9 @@
     Cancelled,
     /// Never sent.
     NeverSent,
+    /// Never sent, as this machine had no port, route, memory, descriptor or thread for it: that says nothing
+    /// about the endpoint.
+    LocalError,
     /// Rejected without being executed: not the primary, or too far behind.
     NotServable,
 }
@@ -119,8 +124,8 @@
 impl Outcome {
     /// Whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
-        use Outcome::{ConnectFailed, Full, NeverSent, NotServable};
-        !matches!(self, Full | ConnectFailed | NeverSent | NotServable)
+        use Outcome::{ConnectFailed, Full, LocalError, NeverSent, NotServable};
+        !matches!(self, Full | ConnectFailed | NeverSent | LocalError | NotServable)
     }
 }
 
