--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -13,13 +13,22 @@
 
 impl Router {
     /// Warming up by the list, down, or back so recently that the list may not report it yet.
-    pub(super) fn is_warming_up(&self, index: EndpointIndex) -> bool {
+    pub(crate) fn is_warming_up(&self, index: EndpointIndex) -> bool {
+        self.now < self.warm_at(index)
+    }
+
+    /// Until then it is warming up; the end of time for one that is down.
+    pub(super) fn warm_at(&self, index: EndpointIndex) -> Micros {
         let endpoint = &self.topology[index];
-        let warm_at = endpoint.started_at + self.settings.slow_start_duration;
-        let is_back = endpoint.recovered_at > endpoint.started_at;
-        endpoint.down
-            || (endpoint.started_at > 0 && self.now < warm_at)
-            || (is_back && self.now < endpoint.recovered_at + RESTART_REPORT_DELAY)
+        if endpoint.down {
+            return Micros::MAX;
+        }
+        let started_at = self.topology.started_at(index);
+        let is_back = endpoint.recovered_at > started_at;
+        let reported_at = if is_back { endpoint.recovered_at + RESTART_REPORT_DELAY } else { 0 };
+        let is_start_known = started_at > 0;
+        let warm_at = if is_start_known { started_at + self.settings.slow_start_duration } else { 0 };
+        warm_at.max(reported_at)
     }
 
     /// Departure: an endpoint that warms up gets a share of what a warm one serves for this router. A budget
@@ -69,18 +78,29 @@
         let most = most.max(if role == Role::Primary { self.unloaded(class) } else { 0.0 });
         let endpoint = &self.topology[index];
         let budget = endpoint.slow_start[role];
-        let elapsed = self.now - budget.updated_at.max(endpoint.started_at);
+        let elapsed = self.now.saturating_sub(budget.updated_at.max(self.topology.started_at(index)));
         (budget.saved + rate * elapsed as f64 / 1e6).min(most)
     }
 
     /// The work per second that an endpoint may be sent while it warms up.
     fn slow_start_rate(&self, index: EndpointIndex, role: Role) -> f64 {
         let endpoint = &self.topology[index];
-        let since = if endpoint.down { self.now } else { endpoint.started_at.max(endpoint.recovered_at) };
+        let started_at = self.topology.started_at(index);
+        let since = if endpoint.down { self.now } else { started_at.max(endpoint.recovered_at) };
         let age = self.now.saturating_sub(since) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let least = self.settings.slow_start_capacity;
         let capacity = least + (1.0 - least) * age;
-        self.work_per_endpoint() * capacity * LOAD_SHARE[role] * self.settings.overload_multiple
+        self.work_per_endpoint() * capacity * self.load_share(role) * self.settings.overload_multiple
+    }
+
+    /// Guards against a primary that falls under a few heavy writes more than usual: the less even the work,
+    /// the more is left to chance.
+    fn load_share(&self, role: Role) -> f64 {
+        let dispersion = match role {
+            Role::Replica => 1.0,
+            Role::Primary => self.traffic.primary_work_dispersion(&self.settings.classes, self.now),
+        };
+        LOAD_SHARE[role] / dispersion.sqrt()
     }
 
     /// The work per second that a warm endpoint serves for this router, at most its share of offered work.
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -9,9 +9,8 @@
     pub(crate) request: Request,
     /// The client waits until then.
     pub(crate) deadline: Micros,
-    /// An answer until then meets the latency objective.
-    pub(crate) objective_at: Micros,
-    /// An answer after this has no value: the deadline, or the objective where late answers do not count.
+    /// An answer after this has no value: the deadline, or the objective where late answers do not count. No
+    /// attempt starts then; one that has started is awaited until the deadline.
     pub(crate) useful_until: Micros,
     /// The position that its arrival requires of an endpoint, 0 for none.
     pub(crate) required_position: Micros,
@@ -20,8 +19,10 @@
     /// Drawn once, between 0 and 1: of equal priority, the lowest draws are shed first.
     pub(crate) shed_draw: f64,
 
-    /// The attempts sent so far.
+    /// The attempts sent so far, without those that this machine could not make.
     pub(crate) attempts: u32,
+    /// The number of the next attempt.
+    pub(crate) next_attempt: u32,
     /// The attempt whose outcome is awaited.
     pub(crate) in_flight: Option<u32>,
     /// When the first attempt that may have run was sent.
@@ -45,13 +46,14 @@
         let deadline = now + request.remaining;
         let objective_at = now + class.latency_objective.min(request.remaining);
         let useful_until = if class.late_value > 0.0 { deadline } else { objective_at };
-        PendingRequest { request, deadline, objective_at, useful_until, ..PendingRequest::default() }
+        PendingRequest { request, deadline, useful_until, ..PendingRequest::default() }
     }
 
-    /// The position that an endpoint must have to serve it now, 0 for none.
-    pub(crate) fn required_position_at(&self, now: Micros, class: &Class) -> Micros {
+    /// The position that an endpoint must have to serve it when its group's clock reads `present`; 0 for
+    /// none.
+    pub(crate) fn required_position_at(&self, present: Micros, class: &Class) -> Micros {
         match class.requirement {
-            Requirement::BoundedStaleness(bound) => now.saturating_sub(bound),
+            Requirement::BoundedStaleness(bound) => present.saturating_sub(bound),
             _ => self.required_position,
         }
     }
@@ -68,13 +70,19 @@
 
     /// Counts an attempt that is sent, and returns its number.
     pub(crate) fn start_attempt(&mut self) -> u32 {
-        let attempt = self.attempts;
+        let attempt = self.next_attempt;
+        self.next_attempt += 1;
         self.attempts += 1;
         self.held_until = None;
         self.in_flight = Some(attempt);
         attempt
     }
 
+    /// The last attempt could not be made: it does not count.
+    pub(crate) fn take_back_attempt(&mut self) {
+        self.attempts = self.attempts.saturating_sub(1);
+    }
+
     /// Starts a new round over all endpoints, where the primary was found with no backoff.
     pub(crate) fn reset_round(&mut self, found_primary: bool) {
         self.tried.clear();
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -2,6 +2,7 @@
 
 use super::endpoint_table::EndpointTable;
 use super::*;
+use crate::estimators::GroupClock;
 use crate::{EndpointEntry, EndpointId, EndpointState, Micros, Role};
 
 const SECOND: Micros = 1_000_000;
@@ -93,17 +94,17 @@
         primary_hint: true,
         started_at: 0,
     };
-    let index = topology.allocate(EndpointId(1), 0);
+    let (index, _) = topology.allocate(EndpointId(1), 0);
     topology.add(index, Endpoint::new(&listed(7)));
     assert!(topology.apply_entry(index, &listed(7), 0));
     topology.record_role(index, Role::Primary, SECOND, true);
-    topology[index].replication.record(SECOND, SECOND);
+    topology[index].replication.record(SECOND, GroupClock::Host, SECOND);
     assert_eq!((topology.primary(7), topology.members(7)), (Some(index), &[index][..]));
     assert!(topology.apply_entry(index, &listed(8), SECOND), "its hint is new to the group");
     assert_eq!((topology.presumed_primary(7), topology.members(7)), (None, &[][..]));
     assert_eq!((topology.primary(8), topology.members(8)), (None, &[index][..]));
     assert_eq!(topology.role(index), Role::Replica);
-    assert!(!topology.all_members_have(8, SECOND), "a position counts within its group only");
+    assert!(!topology.all_members_have(8, SECOND, SECOND), "a position counts within its group only");
     topology.record_role(index, Role::Primary, 2 * SECOND, true);
     assert_eq!((topology.primary(7), topology.primary(8)), (None, Some(index)));
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,7 +7,12 @@
 mod client;
 mod config;
 mod error;
+#[cfg(test)]
+mod faulty_files;
+mod file_operations;
 mod log_file;
+mod persistent_log;
+mod proposals;
 mod protocol;
 mod raft;
 mod record;
