--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -105,7 +105,7 @@
         self.resume_held(None, false);
     }
 
-    /// Updates what is known of all endpoints together; called after each event that may have changed this one.
+    /// Updates what is known of all endpoints together; called after each event that may have changed one.
     fn update_indexes(&mut self, index: EndpointIndex) {
         let warm_at = self.is_usable(index).then(|| self.warm_at(index));
         self.usable_counts.record(index, warm_at);
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -24,9 +24,9 @@
     }
 
     /// The time over which the first probes of so many endpoints are spread: all routers together probe an
-    /// endpoint once in the least interval. Departure: in a larger fleet less often, so that a router makes as
-    /// many first probes as elsewhere for a smaller part of the endpoints. Guards against a connection to each of
-    /// thousands of endpoints from each router, which uses few of them.
+    /// endpoint once in the least interval. Departure: in a larger fleet less often, so that a router makes
+    /// as many first probes as elsewhere, for a smaller part of the endpoints. Guards against a connection to
+    /// each of thousands of endpoints from each router, which uses few of them.
     pub(super) fn first_probe_spread(&self, endpoint_count: usize) -> Micros {
         let endpoint_count = endpoint_count as u64;
         let by_routers = INTERVAL_MIN * Micros::from(self.settings.instances);
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -30,8 +30,8 @@
         self.by_id.get(&id).copied()
     }
 
-    /// Assigns a slot to a new endpoint, if possible that of one that is dropped; returns that one too. Guards
-    /// against a table that grows forever. The caller fills the slot.
+    /// Assigns a slot to a new endpoint, if possible that of one that is dropped; returns that one too.
+    /// Guards against a table that grows forever. The caller fills the slot.
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<Endpoint>) {
         let forgotten = |endpoint: &Endpoint| {
             endpoint.state == EndpointState::Removed
@@ -50,7 +50,7 @@
         (index, dropped)
     }
 
-    /// Sets the state of an endpoint. All changes go through here: the slots of removed endpoints are indexed.
+    /// Sets the state of an endpoint. All changes go through here: slots of removed endpoints are indexed.
     pub(crate) fn set_state(&mut self, index: EndpointIndex, state: EndpointState) {
         self[index].state = state;
         if state == EndpointState::Removed {
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -98,8 +98,8 @@
         unlisted
     }
 
-    /// Assigns a slot to a new endpoint, and returns the group of the one that is dropped for it, if one is. The
-    /// caller fills the slot by [`Topology::add`].
+    /// Assigns a slot to a new endpoint, and returns the group of the one that is dropped for it, if one is.
+    /// The caller fills the slot by [`Topology::add`].
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<GroupId>) {
         let (index, dropped) = self.endpoints.allocate(id, now);
         let former_group = dropped.map(|dropped| dropped.group);
