--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,9 +1,9 @@
 //! The one clock, and the one place where times on sockets are converted.
 //!
-//! On sockets, every position and start is a Unix time in milliseconds, on the clock of the members. In the core
-//! all times are microseconds on a monotonic clock that starts at this machine's Unix time, which may be wrong:
-//! the state of a group tells how far its clock is ahead. A span never depends on Unix time. Positions are rounded down and
-//! commits rounded up, so a complete millisecond keeps its meaning here.
+//! On sockets, every position and start is a Unix time in milliseconds, on the clock of the members. In the
+//! core all times are microseconds on a monotonic clock that starts at this machine's Unix time, which may be
+//! wrong: the state of a group tells how far its clock is ahead. No span depends on Unix time. Positions are
+//! rounded down and commits rounded up, so a complete millisecond keeps its meaning here.
 
 use crate::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/src/state/clock_step.rs
+++ b/src/state/clock_step.rs
@@ -5,8 +5,8 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A group's clock was found to differ from what it was taken for: it was stepped, or the host's clock was wrong
-/// when the program started.
+/// A group's clock was found to differ from what it was taken for: it was stepped, or the host's clock was
+/// wrong when the program started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ClockStep {
     pub(crate) group: GroupId,
