--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -13,14 +13,22 @@
 
 impl Router {
     /// Warming up by the list, down, or back so recently that the list may not report it yet.
-    pub(super) fn is_warming_up(&self, index: EndpointIndex) -> bool {
+    pub(crate) fn is_warming_up(&self, index: EndpointIndex) -> bool {
+        self.now < self.warm_at(index)
+    }
+
+    /// Until then it is warming up; the end of time for one that is down.
+    pub(super) fn warm_at(&self, index: EndpointIndex) -> Micros {
         let endpoint = &self.topology[index];
+        if endpoint.down {
+            return Micros::MAX;
+        }
         let started_at = self.topology.started_at(index);
-        let warm_at = started_at + self.settings.slow_start_duration;
         let is_back = endpoint.recovered_at > started_at;
-        endpoint.down
-            || (started_at > 0 && self.now < warm_at)
-            || (is_back && self.now < endpoint.recovered_at + RESTART_REPORT_DELAY)
+        let reported_at = if is_back { endpoint.recovered_at + RESTART_REPORT_DELAY } else { 0 };
+        let is_start_known = started_at > 0;
+        let started = if is_start_known { started_at + self.settings.slow_start_duration } else { 0 };
+        started.max(reported_at)
     }
 
     /// Departure: an endpoint that warms up gets a share of what a warm one serves for this router. A budget
@@ -82,7 +90,17 @@
         let age = self.now.saturating_sub(since) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let least = self.settings.slow_start_capacity;
         let capacity = least + (1.0 - least) * age;
-        self.work_per_endpoint() * capacity * LOAD_SHARE[role] * self.settings.overload_multiple
+        self.work_per_endpoint() * capacity * self.load_share(role) * self.settings.overload_multiple
+    }
+
+    /// Guards against a primary that falls under a few heavy writes more than usual: the less even the work,
+    /// the more is left to chance.
+    fn load_share(&self, role: Role) -> f64 {
+        let dispersion = match role {
+            Role::Replica => 1.0,
+            Role::Primary => self.traffic.primary_work_dispersion(&self.settings.classes, self.now),
+        };
+        LOAD_SHARE[role] / dispersion.sqrt()
     }
 
     /// The work per second that a warm endpoint serves for this router, at most its share of offered work.
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -6,14 +6,16 @@
 use super::service::MAX_STARTUP_WAIT;
 use super::shutdown::Shutdown;
 use super::{LOG_TARGET, Message, Messages, Server, signals};
+use crate::Settings;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::core::{Core, Input};
 use crate::front::postgres::{ExtendedListenerConfig, Postgres};
 use crate::net::admin::{self, CallSink, LoopUnavailable};
 use crate::net::client::{self, ClientListener, ClientReactor, ReactorEvent, ReactorLimits};
+use crate::net::discovery::DiscoveryKind;
 use crate::net::member::{MemberEvents, WorkerPool};
-use crate::store::{Change, State, Store, StoreConfig};
+use crate::store::{Change, State, Store, StoreConfig, StoreError};
 use crate::threads::spawn;
 use crossbeam_channel::bounded;
 use std::collections::HashMap;
@@ -25,13 +27,24 @@
 /// Each buffer that is shared by all clients may use this fraction of the memory.
 const BUFFER_MEMORY_DIVISOR: usize = 8;
 
+/// Why the server could not be started.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The store could not be started.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// A socket or a thread could not be had.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+}
+
 /// Serves until a shutdown is requested; on the extended listener too, where there is one.
 pub fn serve(
     config: &Config,
     listener: TcpListener,
     extended: Option<ExtendedListenerConfig>,
     replicas: &StoreConfig,
-) -> std::io::Result<()> {
+) -> Result<(), ServeError> {
     let extended_listener = extended.as_ref().map(|listen| TcpListener::bind(listen.listen)).transpose()?;
     let clock = Clock::start();
     let (messages, inbox) = bounded(MESSAGE_QUEUE_CAPACITY);
@@ -56,9 +69,9 @@
 }
 
 /// Starts the store, which sends the recovered endpoint list to the event loop.
-fn start_store(config: &Config, replicas: &StoreConfig, messages: Messages) -> std::io::Result<Store> {
+fn start_store(config: &Config, replicas: &StoreConfig, messages: Messages) -> Result<Store, StoreError> {
     let recovered = move |state: State| drop(messages.try_send(Message::Stored(state.members)));
-    Ok(Store::start(replicas, config.seed, recovered)?)
+    Store::start(replicas, config.seed, recovered)
 }
 
 fn log_addresses(config: &Config, listen: SocketAddr, extended: Option<SocketAddr>) {
@@ -77,6 +90,11 @@
     }
 }
 
+/// Who answers calls to discovery, according to the settings.
+fn discovery_kind(settings: &Settings) -> DiscoveryKind {
+    if settings.list_on_request { DiscoveryKind::SharedService } else { DiscoveryKind::LocalAgent }
+}
+
 /// Passes operators' requests to the event loop.
 fn admin_calls(messages: Messages) -> CallSink {
     Arc::new(move |call, timeout| {
@@ -96,6 +114,7 @@
             ReactorEvent::Accepted(id, handle) => Message::Accepted(id, handle),
             ReactorEvent::Simple(id, event) => Message::Client(id, event),
             ReactorEvent::Extended(id, event) => Message::Extended(id, event),
+            ReactorEvent::Barrier(barrier) => Message::ClientBarrier(barrier),
             ReactorEvent::ReadingStopped => Message::Stopped,
         });
     })
@@ -147,6 +166,7 @@
             ready_at: Some(clock.now() + MAX_STARTUP_WAIT),
             endpoint_watches: EndpointWatches::start(
                 config.discovery,
+                discovery_kind(&config.settings),
                 config.known_endpoints.revision,
                 config.seed,
                 messages.clone(),
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -7,8 +7,10 @@
 mod group;
 mod pending_request;
 mod per_role;
+mod probe_schedule;
 mod session_commits;
 mod topology;
+mod usable_counts;
 
 #[cfg(test)]
 mod tests;
@@ -19,5 +21,7 @@
 pub(crate) use group::Group;
 pub(crate) use pending_request::PendingRequest;
 pub(crate) use per_role::PerRole;
+pub(crate) use probe_schedule::{ProbeSchedule, ProbeTimes};
 pub(crate) use session_commits::SessionCommits;
 pub(crate) use topology::Topology;
+pub(crate) use usable_counts::UsableCounts;
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -21,6 +21,8 @@
     default_clock: GroupClock,
     /// Steps of groups' clocks that have not been logged yet.
     clock_steps: Vec<ClockStep>,
+    /// Groups whose endpoints may have started at another time than was known, since the last call.
+    clock_changes: Vec<GroupId>,
     /// When the first entry was listed, 0 before.
     first_listed_at: Micros,
 }
@@ -35,10 +37,18 @@
         self.endpoints.find(id)
     }
 
+    /// All slots; only tests look at all of them.
+    #[cfg(test)]
     pub(crate) fn indices(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
         self.endpoints.indices()
     }
 
+    /// How often an endpoint was looked at so far.
+    #[cfg(test)]
+    pub(crate) fn lookups(&self) -> usize {
+        self.endpoints.lookups()
+    }
+
     /// The number of endpoints, including removed ones.
     pub(crate) fn endpoint_count(&self) -> usize {
         self.endpoints.len()
@@ -90,23 +100,26 @@
         EndpointCounts { listed: listed.clone().count(), avoided: listed.filter(is_avoided).count() }
     }
 
-    /// Marks endpoints that are missing from a complete list as removed.
-    pub(crate) fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
+    /// Marks endpoints that are missing from a complete list as removed, and returns them.
+    pub(crate) fn remove_unlisted(&mut self, entries: &[EndpointEntry]) -> Vec<EndpointIndex> {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
-        for index in self.endpoints.indices() {
-            if !listed.contains(&self.endpoints[index].id) {
-                self.endpoints.set_state(index, EndpointState::Removed);
-            }
+        let mut unlisted: Vec<_> = self.endpoints.indices().collect();
+        unlisted.retain(|index| !listed.contains(&self.endpoints[*index].id));
+        for index in &unlisted {
+            self.endpoints.set_state(*index, EndpointState::Removed);
         }
+        unlisted
     }
 
-    /// Assigns a slot to a new endpoint; the caller fills it by [`Topology::add`].
-    pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> EndpointIndex {
+    /// Assigns a slot to a new endpoint, and returns the group of the one that is dropped for it, if one is.
+    /// The caller fills the slot by [`Topology::add`].
+    pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<GroupId>) {
         let (index, dropped) = self.endpoints.allocate(id, now);
-        if let Some(group) = dropped.and_then(|dropped| self.groups.get_mut(&dropped.group)) {
+        let former_group = dropped.map(|dropped| dropped.group);
+        if let Some(group) = former_group.and_then(|group| self.groups.get_mut(&group)) {
             group.remove(index);
         }
-        index
+        (index, former_group)
     }
 
     /// Fills a slot, and adds the endpoint to its group.
@@ -203,16 +216,25 @@
         std::mem::take(&mut self.clock_steps)
     }
 
+    /// Takes the groups of which the start times of endpoints may have changed since the last call.
+    pub(crate) fn take_clock_changes(&mut self) -> Vec<GroupId> {
+        std::mem::take(&mut self.clock_changes)
+    }
+
     /// Updates the clock of a group by what its primary reported.
     fn record_clock(&mut self, id: GroupId, evidence: PrimaryPosition) {
         let before = self.clock(id);
         if matches!(self.default_clock, GroupClock::Unknown) && evidence.confirms_host() {
             self.default_clock = GroupClock::agreeing_with_host();
+            self.clock_changes.extend(self.groups.keys());
         }
         let now = evidence.received_at;
         let Some(group) = self.groups.get_mut(&id) else { return };
         let clock = before.updated_by(evidence);
         group.clock = Some(clock);
+        if clock.latest_host_time(now) != before.latest_host_time(now) {
+            self.clock_changes.push(id);
+        }
         let is_step = clock.is_step_from(before);
         if is_step {
             self.clock_steps.push(ClockStep { group: id, offset: clock.offset() });
--- a/tests/proxy/platform/mod.rs
+++ b/tests/proxy/platform/mod.rs
@@ -5,3 +5,5 @@
 mod endpoint_list;
 mod faults;
 mod messages;
+mod partial_messages;
+mod slow_readers;
--- a/tests/proxy/races/discovery.rs
+++ b/tests/proxy/races/discovery.rs
@@ -31,6 +31,24 @@
     }
 }
 
+/// Guards against calls that are given up while a crowded discovery works through those ahead of them: each
+/// still takes its turn, the next one joins the end of the queue, and drains are never heard of.
+#[test]
+fn call_that_waits_for_its_turn_at_a_shared_discovery_is_not_given_up_early() {
+    let member = MockMember::start(true);
+    let edit = r#"s/"request_classes"/"discovery":"on_request",&/"#;
+    let shell = format!("sed -i '{edit}' \"$GW_CONFIG\"; exec \"$0\" serve");
+    let proxy = Proxy::start_with_shell(&[&member], &shell, "");
+    let shared_discovery = ScriptedDiscovery::start();
+    proxy.reload(&configuration_at(shared_discovery.address));
+    let (_waiting, _) = shared_discovery.accept_request();
+    let start = Instant::now();
+    let (_repeated, _) = shared_discovery.accept_request();
+    let waited = start.elapsed();
+    assert!(waited > Duration::from_millis(2500), "given up after {waited:?}");
+    assert!(waited < Duration::from_millis(3500), "repeated after {waited:?} only");
+}
+
 /// Guards against missing a drain that the old address sends while the new one is silent, and against a new
 /// address that is given up too late: what it has counts 4 s after SIGHUP.
 #[test]
@@ -59,6 +77,37 @@
     proxy.discovery.wait_for_closed_watch();
 }
 
+/// Guards against missing a drain while one configuration follows another: the address that last sent a list
+/// counts until another has sent its own, however many were named in between and are silent.
+#[test]
+fn drain_update_is_applied_while_several_reloads_follow_each_other() {
+    let (primary, replica, next) =
+        (MockMember::start(true), MockMember::start(false), MockMember::start(true));
+    let proxy = Proxy::start(&[&primary, &replica]);
+    let silent: Vec<_> = (0..3).map(|_| ScriptedDiscovery::start()).collect();
+    let mut hung = Vec::new();
+    for discovery in &silent {
+        proxy.reload(&configuration_at(discovery.address));
+        hung.push(discovery.accept_request());
+    }
+    proxy.discovery.push(&endpoint_update(2, &endpoint_entry(1, &replica, "DRAINING")));
+    let pushed = Instant::now();
+    let mut client = proxy.connect();
+    while pushed.elapsed() < Duration::from_millis(400) {
+        client.query(&read_query(1));
+    }
+    let before = replica.executed_count();
+    for id in 2..10 {
+        assert_eq!(client.query(&read_query(id)), SERVED);
+    }
+    assert_eq!(replica.executed_count(), before, "the replica drains");
+    let last = silent.last().unwrap();
+    let _watch = last.answer_until_watch(&serving_list(3, &[(7, &next)]));
+    proxy.discovery.wait_for_closed_watch();
+    assert_eq!(client.query(&write_query(20, 900)), SERVED);
+    assert_eq!(next.executed_count(), 1, "the last address counts");
+}
+
 /// Guards against losing a watch over an entry that is broken into lines, and against taking the end of a
 /// connection for the end of the list that it sent.
 #[test]
