--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -121,7 +121,8 @@
         endpoint.probe_in_flight = true;
     }
 
-    /// Logs steps of groups' clocks, and updates what depends on when their endpoints started.
+    /// Logs steps of groups' clocks, and counts anew the endpoints whose start may have been later or earlier
+    /// than it seemed.
     pub(super) fn apply_clock_changes(&mut self) {
         let steps = self.topology.take_clock_steps();
         self.actions.extend(steps.iter().map(|step| Action::Log(step.to_string())));
@@ -134,21 +135,32 @@
 
     pub(crate) fn on_probed(&mut self, id: EndpointId, answered: bool, report: LoadReport) {
         let Some(index) = self.topology.find(id) else { return };
-        let endpoint = &mut self.topology[index];
-        endpoint.probe_in_flight = false;
-        endpoint.probe_unanswered = !answered;
-        let group = endpoint.group;
-        for pending in self.requests.values_mut().filter(|pending| pending.probed == Some(index)) {
-            pending.held_until = pending.held_until.map(|_| 0);
-        }
+        self.end_probe(index);
+        self.topology[index].probe_unanswered = !answered;
+        let group = self.topology[index].group;
         let primary_before = self.topology.primary(group);
         if answered {
             self.topology[index].record_contact(self.now);
             let is_usable = self.is_usable(index);
             self.topology.record_report(index, report, is_usable, self.now);
-            self.apply_clock_changes();
             self.update_indexes(index);
+            self.apply_clock_changes();
         }
         self.resume_held_in_group(group, primary_before);
     }
+
+    /// Departure: a health check that this machine could not send is no evidence of the endpoint.
+    pub(crate) fn on_probe_not_sent(&mut self, id: EndpointId) {
+        let Some(index) = self.topology.find(id) else { return };
+        self.end_probe(index);
+        self.resume_held(Some(self.topology[index].group), false);
+    }
+
+    /// No read waits for the probe any more.
+    fn end_probe(&mut self, index: EndpointIndex) {
+        self.topology[index].probe_in_flight = false;
+        for pending in self.requests.values_mut().filter(|pending| pending.probed == Some(index)) {
+            pending.held_until = pending.held_until.map(|_| 0);
+        }
+    }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -27,8 +27,8 @@
         let is_back = endpoint.recovered_at > started_at;
         let reported_at = if is_back { endpoint.recovered_at + RESTART_REPORT_DELAY } else { 0 };
         let is_start_known = started_at > 0;
-        let started = if is_start_known { started_at + self.settings.slow_start_duration } else { 0 };
-        started.max(reported_at)
+        let warm_at = if is_start_known { started_at + self.settings.slow_start_duration } else { 0 };
+        warm_at.max(reported_at)
     }
 
     /// Departure: an endpoint that warms up gets a share of what a warm one serves for this router. A budget
