--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -121,14 +121,15 @@
         endpoint.probe_in_flight = true;
     }
 
-    /// Logs the steps of groups' clocks, and counts their members anew: a start may have been later or
-    /// earlier than it seemed.
-    pub(super) fn handle_clock_steps(&mut self) {
-        for step in self.topology.take_clock_steps() {
-            self.actions.push(Action::Log(step.to_string()));
-            for member in self.topology.members(step.group).to_vec() {
-                self.update_indexes(member);
-            }
+    /// Logs steps of groups' clocks, and counts anew the endpoints whose start may have been later or earlier
+    /// than it seemed.
+    pub(super) fn apply_clock_changes(&mut self) {
+        let steps = self.topology.take_clock_steps();
+        self.actions.extend(steps.iter().map(|step| Action::Log(step.to_string())));
+        for group in self.topology.take_clock_changes() {
+            let mut started = self.topology.members(group).to_vec();
+            started.retain(|index| self.topology[*index].started_at > 0);
+            started.into_iter().for_each(|index| self.update_indexes(index));
         }
     }
 
@@ -143,7 +144,7 @@
             let is_usable = self.is_usable(index);
             self.topology.record_report(index, report, is_usable, self.now);
             self.update_indexes(index);
-            self.handle_clock_steps();
+            self.apply_clock_changes();
         }
         self.resume_held_in_group(group, primary_before);
     }
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -21,6 +21,8 @@
     default_clock: GroupClock,
     /// Steps of groups' clocks that have not been logged yet.
     clock_steps: Vec<ClockStep>,
+    /// Groups whose endpoints may have started at another time than was known, since the last call.
+    clock_changes: Vec<GroupId>,
     /// When the first entry was listed, 0 before.
     first_listed_at: Micros,
 }
@@ -214,16 +216,25 @@
         std::mem::take(&mut self.clock_steps)
     }
 
+    /// Takes the groups of which the start times of endpoints may have changed since the last call.
+    pub(crate) fn take_clock_changes(&mut self) -> Vec<GroupId> {
+        std::mem::take(&mut self.clock_changes)
+    }
+
     /// Updates the clock of a group by what its primary reported.
     fn record_clock(&mut self, id: GroupId, evidence: PrimaryPosition) {
         let before = self.clock(id);
         if matches!(self.default_clock, GroupClock::Unknown) && evidence.confirms_host() {
             self.default_clock = GroupClock::agreeing_with_host();
+            self.clock_changes.extend(self.groups.keys());
         }
         let now = evidence.received_at;
         let Some(group) = self.groups.get_mut(&id) else { return };
         let clock = before.updated_by(evidence);
         group.clock = Some(clock);
+        if clock.latest_host_time(now) != before.latest_host_time(now) {
+            self.clock_changes.push(id);
+        }
         let is_step = clock.is_step_from(before);
         if is_step {
             self.clock_steps.push(ClockStep { group: id, offset: clock.offset() });
