--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -22,6 +22,7 @@
         match result.outcome {
             Outcome::Ok => {
                 self.traffic.served[attempt.class].record(self.now);
+                self.remember_warm_work(index);
                 self.record_latency(index, attempt, Some(result.elapsed));
                 self.record_success(index);
             }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,6 +8,8 @@
 /// The part of the overload window that budgets are saved for; half of that for primary-only work.
 const SAVED_WINDOWS: f64 = 0.5;
 const SAVED_DIVISOR: PerRole<f64> = PerRole { replica: 1.0, primary: 2.0 };
+/// The work per second of an endpoint that serves one request at a time: any endpoint that is warm serves as much.
+const SERIAL_WORK: f64 = 1e6;
 /// The list reports a restart within this; until then an endpoint that is back has just started.
 const RESTART_REPORT_DELAY: Micros = 4_000_000;
 
@@ -35,16 +37,28 @@
         let saved = self.saved_budget(index, class);
         let credit = if on_credit { self.slow_start_credit(index, role, cost) + saved.min(0.0) } else { 0.0 };
         let stake = saved.max(credit).clamp(0.0, cost);
-        let is_admitted = stake >= cost * self.random.fraction();
+        let is_admitted = stake >= cost * self.random.fraction() || self.is_last_resort_due(index);
         let saved = (saved - stake).max(-cost) + if is_admitted { cost } else { 0.0 };
         self.topology[index].slow_start[role] = SlowStartBudget { saved, updated_at: self.now };
         is_admitted
     }
 
+    /// Departure: where no member of a group is up and probes may not find one, one that is down is tried once
+    /// in a while, whatever its budget. Guards against a group that nobody tries.
+    fn is_last_resort_due(&self, index: EndpointIndex) -> bool {
+        let endpoint = &self.topology[index];
+        let is_up = |member: &EndpointIndex| self.is_usable(*member) && !self.topology[*member].down;
+        endpoint.down
+            && !self.settings.probes
+            && self.now >= endpoint.next_trial_at
+            && !self.topology.members(endpoint.group).iter().any(is_up)
+    }
+
     fn slow_start_credit(&self, index: EndpointIndex, role: Role, cost: f64) -> f64 {
         let asked = self.traffic.offered_primary_work(&self.settings.classes, self.now);
         // The work offered so far, while little, counts as what an endpoint serves. Guards against surges.
-        let asked = (asked / self.topology.group_count() as f64).max(self.work_per_endpoint()).max(1e-12);
+        let asked =
+            (asked / self.topology.group_count() as f64).max(self.work_per_endpoint(index)).max(1e-12);
         self.slow_start_rate(index, role) / asked * cost
     }
 
@@ -80,13 +94,31 @@
         let age = self.now.saturating_sub(since) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let least = self.settings.slow_start_capacity;
         let capacity = least + (1.0 - least) * age;
-        self.work_per_endpoint() * capacity * LOAD_SHARE[role] * self.settings.overload_multiple
+        self.work_per_endpoint(index) * capacity * LOAD_SHARE[role] * self.settings.overload_multiple
+    }
+
+    /// The work per second that a warm endpoint serves for this router. Departure: for a group without a warm
+    /// member, as it was when a warm endpoint last answered, or this router's part of one request at a time, if
+    /// that is more. Guards against a budget that fades while a whole group is down and serves nothing.
+    fn work_per_endpoint(&self, index: EndpointIndex) -> f64 {
+        let is_warm = |member: &EndpointIndex| self.is_healthy(*member) && !self.is_warming_up(*member);
+        let has_warm_member = self.topology.members(self.topology[index].group).iter().any(is_warm);
+        let current = self.current_work_per_endpoint();
+        let least = SERIAL_WORK / f64::from(self.settings.instances.max(1));
+        if has_warm_member { current } else { current.max(self.last_warm_work).max(least) }
+    }
+
+    /// Remembers the work of a warm endpoint when it has answered.
+    pub(super) fn remember_warm_work(&mut self, index: EndpointIndex) {
+        if !self.is_warming_up(index) {
+            self.last_warm_work = self.current_work_per_endpoint();
+        }
     }
 
-    /// The work per second that a warm endpoint serves for this router, at most its share of offered work.
+    /// The work per second that an endpoint serves for this router now, at most its share of offered work.
     /// Guards against giving nothing to endpoints that warm up just after this router's start, when it has
     /// seen nothing served.
-    fn work_per_endpoint(&self) -> f64 {
+    fn current_work_per_endpoint(&self) -> f64 {
         let served = self.traffic.served_work(self.now) / self.warm_endpoints.max(1.0);
         let asked = self.traffic.offered_work(self.now) / self.usable_endpoints.max(1.0);
         let has_history = self.now > self.created_at + DecayingRate::SPAN as Micros;
--- a/src/router.rs
+++ b/src/router.rs
@@ -33,6 +33,8 @@
     pub(crate) usable_endpoints: f64,
     /// The usable endpoints that are not warming up.
     pub(crate) warm_endpoints: f64,
+    /// The work per second that a warm endpoint served for this router when one last answered.
+    pub(crate) last_warm_work: f64,
     pub(crate) retry_budget: f64,
     pub(crate) trial_budget: f64,
     /// The number of the last send.
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -6,6 +6,7 @@
 mod freshness;
 mod harness;
 mod health;
+mod outage;
 mod primary;
 mod probing;
 mod rules;
--- a/tests/proxy/system_calls.rs
+++ b/tests/proxy/system_calls.rs
@@ -96,3 +96,31 @@
     faults.clear();
     assert_eq!(proxy.connect().query(&read_query(3)), SERVED, "nobody is ejected");
 }
+
+/// Guards against an outage that lasts seconds longer than its cause, though nobody else tells whether a member is
+/// back: no probes are allowed.
+#[test]
+fn members_that_refused_connections_are_soon_used_again() {
+    let (members, faults) = (start_members(), Faults::none());
+    let proxy = start_proxy(&members, &faults);
+    faults.set(&for_each_member(&members, "connect", "error=ECONNREFUSED"));
+    let mut clients: Vec<_> = (0..6).map(|_| proxy.connect()).collect();
+    clients
+        .iter_mut()
+        .enumerate()
+        .for_each(|(id, client)| client.send(&simple_query(&read_query(id as u32))));
+    assert!(clients.iter_mut().all(|client| client.read_reply() == "E(53300) Z"));
+    faults.clear();
+    let start = Instant::now();
+    std::thread::scope(|scope| {
+        for (number, mut client) in clients.into_iter().enumerate() {
+            scope.spawn(move || {
+                let mut ids = (number as u32 + 1) * 1000..;
+                while client.query(&read_query(ids.next().unwrap())) != SERVED {
+                    assert!(start.elapsed() < TEST_TIMEOUT);
+                }
+            });
+        }
+    });
+    assert!(start.elapsed() < Duration::from_millis(3500), "{:?}", start.elapsed());
+}
