--- a/src/net/client/accept_gate.rs
+++ b/src/net/client/accept_gate.rs
@@ -2,7 +2,9 @@
 
 use super::shared::ReactorShared;
 use rustix::event::epoll::{self, EventData, EventFlags};
-use std::io::{ErrorKind, Result};
+use rustix::io::Errno;
+use rustix::net::{SocketFlags, accept_with};
+use std::io::Result;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
@@ -52,6 +54,8 @@
 pub(super) struct AcceptGate {
     listeners: Vec<ClientListener>,
     state: AcceptState,
+    /// When a listener that could not be watched again is tried once more.
+    watch_retry_at: Option<Instant>,
 }
 
 impl AcceptGate {
@@ -61,7 +65,7 @@
             listener.set_nonblocking(true)?;
             epoll::add(epoll, listener, listener_token(index), EventFlags::IN)?;
         }
-        Ok(AcceptGate { listeners, state: AcceptState::Accepting })
+        Ok(AcceptGate { listeners, state: AcceptState::Accepting, watch_retry_at: None })
     }
 
     /// The listener of an epoll token.
@@ -73,11 +77,12 @@
         !matches!(self.state, AcceptState::Accepting)
     }
 
-    /// When a pause for lack of descriptors ends.
-    pub(super) fn paused_until(&self) -> Option<Instant> {
+    /// When [`AcceptGate::resume_if_due`] has something to do.
+    pub(super) fn next_due(&self) -> Option<Instant> {
         match self.state {
             AcceptState::PausedUntil(until) => Some(until),
-            AcceptState::Accepting | AcceptState::PausedAtConnectionLimit => None,
+            AcceptState::Accepting => self.watch_retry_at,
+            AcceptState::PausedAtConnectionLimit => None,
         }
     }
 
@@ -100,20 +105,26 @@
         self.pause(AcceptState::PausedUntil(Instant::now() + DESCRIPTOR_RETRY_DELAY), &shared.epoll);
     }
 
+    /// Asks for no events while accepting is paused; where that fails, it is called again with the next event.
+    pub(super) fn ignore_events(&self, epoll: &OwnedFd) {
+        let _ = self.watch(epoll, EventFlags::empty());
+    }
+
     fn pause(&mut self, state: AcceptState, epoll: &OwnedFd) {
         self.state = state;
-        self.watch(epoll, EventFlags::empty());
+        self.ignore_events(epoll);
     }
 
-    /// Accepts connections again if there is capacity and the pause is over.
+    /// Accepts connections again if there is capacity and the pause is over. Guards against a listener that is
+    /// never watched again, as an error of this machine came between.
     pub(super) fn resume_if_due(&mut self, shared: &ReactorShared) {
-        if !self.is_paused() {
-            return;
-        }
-        let has_capacity = !shared.is_full();
-        if has_capacity && self.paused_until().is_none_or(|until| until <= Instant::now()) {
+        let is_due = self.next_due().is_none_or(|due| due <= Instant::now());
+        let has_capacity = !self.is_paused() || !shared.is_full();
+        let wants_watch = self.is_paused() || self.watch_retry_at.is_some();
+        if wants_watch && is_due && has_capacity {
             self.state = AcceptState::Accepting;
-            self.watch(&shared.epoll, EventFlags::IN);
+            let all_watched = self.watch(&shared.epoll, EventFlags::IN);
+            self.watch_retry_at = (!all_watched).then(|| Instant::now() + DESCRIPTOR_RETRY_DELAY);
         }
     }
 
@@ -122,20 +133,25 @@
         let Some(ClientListener { listener, extended }) = self.listeners.get(listener_index) else {
             return AcceptResult::NoneWaiting;
         };
-        match listener.accept() {
-            Ok((stream, _)) => AcceptResult::Accepted { stream, extended: *extended },
-            Err(error) => match error.kind() {
-                ErrorKind::WouldBlock => AcceptResult::NoneWaiting,
-                ErrorKind::Interrupted | ErrorKind::ConnectionAborted => AcceptResult::Retry,
-                _ => AcceptResult::Exhausted(error),
-            },
+        // Non-blocking from the start: no further call could fail and drop a connection that is not read yet.
+        match accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
+            Ok(socket) => AcceptResult::Accepted { stream: socket.into(), extended: *extended },
+            Err(Errno::AGAIN) => AcceptResult::NoneWaiting,
+            Err(errno @ (Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM)) => {
+                AcceptResult::Exhausted(errno.into())
+            }
+            // The connection that waited has failed: the next one may not.
+            Err(_) => AcceptResult::Retry,
         }
     }
 
-    fn watch(&self, epoll: &OwnedFd, flags: EventFlags) {
+    /// Watches all listeners for these events; `false` if one of them could not be.
+    fn watch(&self, epoll: &OwnedFd, flags: EventFlags) -> bool {
+        let mut all_watched = true;
         for (index, ClientListener { listener, .. }) in self.listeners.iter().enumerate() {
-            let _ = epoll::modify(epoll, listener, listener_token(index), flags);
+            all_watched &= epoll::modify(epoll, listener, listener_token(index), flags).is_ok();
         }
+        all_watched
     }
 }
 
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -5,9 +5,10 @@
 use crate::client::ClientEvent;
 use crate::clock::Clock;
 use crate::pg::{FrameReader, ProtocolError, StartupPacket};
+use crate::sockets::is_momentary_error;
 use crate::{Micros, Settings};
 use rustix::event::epoll::EventFlags;
-use std::io::{ErrorKind, Read};
+use std::io::{Error, ErrorKind, Read};
 use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -180,7 +181,7 @@
                 self.frames.push(&read_buffer[..length]);
                 true
             }
-            Err(error) => is_transient(error.kind()),
+            Err(error) => is_transient(&error),
         }
     }
 
@@ -220,7 +221,7 @@
                 self.report_cancel_request(&read_buffer[..length], events);
                 length > 0 && self.discarded_bytes < MAX_LINGER_BYTES
             }
-            Err(error) => is_transient(error.kind()),
+            Err(error) => is_transient(&error),
         }
     }
 
@@ -274,7 +275,7 @@
         let mut state = self.shared.state();
         let open = self.shared.flush(&mut state);
         if flags.contains(EventFlags::OUT) {
-            self.shared.update_interest(&state, false);
+            self.shared.update_interest(&mut state, false);
         }
         Flushed { open, reading_paused: state.reading_paused }
     }
@@ -289,6 +290,6 @@
 }
 
 /// Whether the socket is still usable after this error.
-fn is_transient(kind: ErrorKind) -> bool {
-    matches!(kind, ErrorKind::WouldBlock | ErrorKind::Interrupted)
+fn is_transient(error: &Error) -> bool {
+    error.kind() == ErrorKind::WouldBlock || is_momentary_error(error)
 }
--- a/src/net/client/handle.rs
+++ b/src/net/client/handle.rs
@@ -29,7 +29,7 @@
         }
         let open = shared.flush(&mut state);
         if open && !state.write_buffer.is_empty() {
-            shared.update_interest(&state, false);
+            shared.update_interest(&mut state, false);
         }
         open
     }
--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -38,6 +38,9 @@
 /// Added to each wait. Guards against waking just before a deadline.
 const WAIT_MARGIN: Duration = Duration::from_millis(1);
 
+/// The delay before the events of a connection are requested again.
+const INTEREST_RETRY_DELAY: Duration = Duration::from_millis(10);
+
 /// The epoll token of the waker. Those of the listeners follow it.
 const WAKER_TOKEN: u64 = 0;
 /// The first client id; a client's epoll token is its id.
@@ -56,6 +59,9 @@
     pub(super) incomplete_message_bytes: usize,
     /// Connections that the event loop has closed and that may linger, the oldest first.
     lingering: VecDeque<ClientId>,
+    /// Connections whose events could not be requested, and when that is tried again.
+    interest_failed: Vec<ClientId>,
+    interest_retry_at: Option<Instant>,
     /// Whether the event loop has been notified that reading has stopped.
     pub(super) reading_stopped: bool,
     pub(super) clock: Clock,
@@ -93,6 +99,8 @@
             read_buffer: vec![0; READ_BUFFER_BYTES],
             incomplete_message_bytes: 0,
             lingering: VecDeque::new(),
+            interest_failed: Vec::new(),
+            interest_retry_at: None,
             reading_stopped: false,
             clock,
             settings,
@@ -113,6 +121,7 @@
             }
             self.start_lingering(shutting_down);
             self.apply_stop_requests();
+            self.retry_interest();
             let timeout = self.wait_timeout();
             let space = rustix::buffer::spare_capacity(&mut ready);
             if epoll::wait(&self.shared.epoll, space, timeout.as_ref()).is_err() {
@@ -126,6 +135,23 @@
         }
     }
 
+    /// Requests the events of connections for which that has failed, once in a while.
+    fn retry_interest(&mut self) {
+        self.interest_failed.extend(self.shared.take_interest_failed());
+        let is_due = self.interest_retry_at.is_none_or(|at| at <= Instant::now());
+        if self.interest_failed.is_empty() || !is_due {
+            return;
+        }
+        self.interest_retry_at = Some(Instant::now() + INTEREST_RETRY_DELAY);
+        for id in std::mem::take(&mut self.interest_failed) {
+            if let Some(connection) = self.connections.get(&id) {
+                let shared = &connection.shared;
+                shared.update_interest(&mut shared.state(), true);
+            }
+        }
+        self.interest_failed.extend(self.shared.take_interest_failed());
+    }
+
     fn handle_event(&mut self, event: Event) {
         match event.data.u64() {
             WAKER_TOKEN => self.drain_waker(),
@@ -140,7 +166,8 @@
 
     /// How long to wait for events: until the next deadline, or until connections are accepted again.
     fn wait_timeout(&self) -> Option<Timespec> {
-        let due_times = [self.deadlines.next(), self.accept_gate.paused_until()];
+        let interest_retry = self.interest_retry_at.filter(|_| !self.interest_failed.is_empty());
+        let due_times = [self.deadlines.next(), self.accept_gate.next_due(), interest_retry];
         let due = due_times.into_iter().flatten().min()?;
         let wait = due.saturating_duration_since(Instant::now()) + WAIT_MARGIN;
         Some(Timespec { tv_sec: wait.as_secs() as i64, tv_nsec: wait.subsec_nanos().into() })
@@ -188,6 +215,9 @@
 
     /// Accepts waiting connections of a listener.
     fn accept_waiting(&mut self, listener_index: usize) {
+        if self.accept_gate.is_paused() {
+            return self.accept_gate.ignore_events(&self.shared.epoll);
+        }
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
             if self.accept_gate.is_paused() || !self.ensure_capacity() {
                 return;
@@ -237,12 +267,7 @@
         self.last_id += 1;
         let id = self.last_id;
         // Guards against a burst of clients that have already disconnected: they would keep others out.
-        let usable = stream.set_nonblocking(true).is_ok() && !matches!(stream.peek(&mut [0]), Ok(0));
-        if !usable {
-            return;
-        }
-        let flags = EventFlags::IN | EventFlags::RDHUP;
-        if epoll::add(&self.shared.epoll, &stream, EventData::new_u64(id), flags).is_err() {
+        if matches!(stream.peek(&mut [0]), Ok(0)) {
             return;
         }
         self.shared.open_connections.fetch_add(1, Ordering::SeqCst);
@@ -250,7 +275,8 @@
         let handle = ClientHandle { shared: shared.clone(), extended };
         let deadline = Instant::now() + FIRST_COMMAND_TIMEOUT;
         self.deadlines.replace(id, None, Some(deadline));
-        self.connections.insert(id, ClientConnection::new(shared, extended, deadline));
+        self.connections.insert(id, ClientConnection::new(shared.clone(), extended, deadline));
         (self.events)(ReactorEvent::Accepted(id, handle));
+        shared.update_interest(&mut shared.state(), false);
     }
 }
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -5,7 +5,7 @@
 use crate::client::ClientId;
 use rustix::event::epoll::{self, EventData, EventFlags};
 use std::collections::VecDeque;
-use std::io::Write;
+use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
@@ -35,6 +35,8 @@
     pub(super) stop_reading_requested: AtomicBool,
     /// Connections that the event loop has closed since the reactor last checked.
     closed: Mutex<Vec<ClientId>>,
+    /// Connections whose events could not be requested: the reactor tries again.
+    interest_failed: Mutex<Vec<ClientId>>,
 }
 
 impl ReactorShared {
@@ -51,12 +53,13 @@
             stop_accepting_requested: AtomicBool::new(false),
             stop_reading_requested: AtomicBool::new(false),
             closed: Mutex::default(),
+            interest_failed: Mutex::default(),
         }
     }
 
     /// Wakes the reactor thread.
     pub(super) fn wake(&self) {
-        let _ = (&self.waker).write(&[0]);
+        while (&self.waker).write(&[0]).is_err_and(|error| error.kind() == ErrorKind::Interrupted) {}
     }
 
     /// Whether the limit on open connections is reached.
@@ -69,6 +72,17 @@
         self.closed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(id);
     }
 
+    /// Records a connection whose events could not be requested.
+    fn push_interest_failed(&self, id: ClientId) {
+        self.interest_failed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(id);
+        self.wake();
+    }
+
+    /// Removes and returns the connections whose events could not be requested.
+    pub(super) fn take_interest_failed(&self) -> Vec<ClientId> {
+        std::mem::take(&mut *self.interest_failed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
+    }
+
     /// Removes and returns the connections that the event loop has closed.
     pub(super) fn take_closed(&self) -> Vec<ClientId> {
         std::mem::take(&mut *self.closed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
@@ -94,6 +108,8 @@
     unanswered_command_sizes: VecDeque<usize>,
     /// Reading is paused until another command may be sent.
     pub(super) reading_paused: bool,
+    /// The reactor's `epoll` has the connection.
+    registered: bool,
     /// The reactor has removed the connection.
     pub(super) removed: bool,
     /// The connection is closed once everything is written.
@@ -117,12 +133,24 @@
 
     /// Requests the events that this state needs; with `writable_now`, an event is due at once. That the
     /// client has closed its side is always reported, even after bytes that are not read yet.
-    pub(super) fn update_interest(&self, state: &ConnectionState, writable_now: bool) {
+    /// Guards against an error of this machine that would leave the connection unread, or its answer unwritten:
+    /// the reactor tries again.
+    pub(super) fn update_interest(&self, state: &mut ConnectionState, writable_now: bool) {
         let mut flags = EventFlags::RDHUP;
         flags.set(EventFlags::IN, !state.reading_paused);
         flags.set(EventFlags::OUT, writable_now || !state.write_buffer.is_empty());
-        if !state.removed {
-            let _ = epoll::modify(&self.reactor.epoll, &self.stream, EventData::new_u64(self.id), flags);
+        if state.removed {
+            return;
+        }
+        let data = EventData::new_u64(self.id);
+        let requested = if state.registered {
+            epoll::modify(&self.reactor.epoll, &self.stream, data, flags)
+        } else {
+            epoll::add(&self.reactor.epoll, &self.stream, data, flags)
+        };
+        match requested {
+            Ok(()) => state.registered = true,
+            Err(_) => self.reactor.push_interest_failed(self.id),
         }
     }
 
@@ -130,7 +158,7 @@
     pub(super) fn set_reading_paused(&self, paused: bool) {
         let mut state = self.state();
         state.reading_paused = paused;
-        self.update_interest(&state, false);
+        self.update_interest(&mut state, false);
     }
 
     /// Writes as much as the socket accepts; `false` once it accepts no more.
@@ -161,7 +189,7 @@
                 && all_bytes < self.reactor.limits.max_unanswered_command_bytes);
         if !has_capacity {
             state.reading_paused = true;
-            self.update_interest(&state, false);
+            self.update_interest(&mut state, false);
         }
         has_capacity
     }
@@ -181,7 +209,7 @@
         self.reactor.unanswered_command_bytes.fetch_sub(size, Ordering::SeqCst);
         if state.reading_paused && !self.reactor.stop_reading_requested.load(Ordering::SeqCst) {
             state.reading_paused = false;
-            self.update_interest(&state, true);
+            self.update_interest(&mut state, true);
         }
     }
 }
--- a/src/net/client/write_buffer.rs
+++ b/src/net/client/write_buffer.rs
@@ -1,5 +1,6 @@
 //! The answers that wait for one client's socket.
 
+use crate::sockets::is_momentary_error;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -68,7 +69,8 @@
             match socket.write(&first[self.written_of_first..]) {
                 Ok(written) => self.written_of_first += written,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) => return error.kind() == ErrorKind::WouldBlock,
+                // What is left is written when the socket is reported as writable.
+                Err(error) => return error.kind() == ErrorKind::WouldBlock || is_momentary_error(&error),
             }
             if self.written_of_first == first.len() {
                 total_bytes.fetch_sub(first.len(), Ordering::SeqCst);
--- a/tests/proxy/system_calls.rs
+++ b/tests/proxy/system_calls.rs
@@ -1,6 +1,7 @@
 //! System calls of the proxy that fail for a moment, as Linux documents them.
 
 use crate::support::*;
+use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 /// A primary and two replicas.
@@ -124,3 +125,60 @@
     });
     assert!(start.elapsed() < Duration::from_millis(3500), "{:?}", start.elapsed());
 }
+
+/// Guards against a connection that is dropped unread, or is never read or written to again, as a call on it failed
+/// for a moment: its first request may be in it.
+#[test]
+fn client_whose_connection_meets_errors_of_this_machine_gets_its_answers() {
+    let (members, faults) = (start_members(), Faults::none());
+    let proxy = start_proxy(&members, &faults);
+    let (platform, extended) = (proxy.address, proxy.extended_address.unwrap());
+    for rule in [
+        "ioctl on=accepted count=2 error=ENOMEM",
+        "setsockopt on=accepted count=2 error=ENOBUFS",
+        "epoll_ctl on=accepted count=3 error=ENOMEM",
+        "epoll_ctl on=accepted skip=1 every=2 error=ENOSPC",
+        "epoll_wait every=2 error=EINTR",
+        "read on=accepted every=2 error=EINTR",
+        "read on=accepted every=2 error=ENOMEM",
+        "read on=accepted short=1",
+        "write on=accepted every=2 error=EINTR",
+        "write on=accepted every=2 error=ENOBUFS",
+        "write on=accepted short=1",
+        "write fd=2 error=EIO",
+    ] {
+        faults.set(rule);
+        std::thread::scope(|scope| {
+            for client in 0..4 {
+                scope.spawn(move || assert_served_at_both_listeners(platform, extended, client, rule));
+            }
+        });
+    }
+}
+
+fn assert_served_at_both_listeners(platform: SocketAddr, extended: SocketAddr, client: u32, rule: &str) {
+    let batch = "P - SELECT payload FROM entries WHERE ref = $1 /* c=any,d=900 */ | B - - r | E - | S";
+    let mut platform = Client::connect(platform);
+    platform.send(&[simple_query(&read_query(10 * client + 1)), simple_query("")].concat());
+    assert_eq!([platform.read_reply(), platform.read_reply()], [SERVED, "I Z"], "{rule}");
+    let mut extended = Client::connect(extended);
+    extended.send(&extended_messages(batch));
+    assert!(extended.read_reply().contains("D(value)"), "{rule}");
+}
+
+/// Guards against an error that ends or stalls accepting.
+#[test]
+fn errors_of_accept_neither_end_nor_stall_accepting() {
+    let (members, faults) = (start_members(), Faults::none());
+    let proxy = start_proxy(&members, &faults);
+    for error in ["ECONNABORTED", "ENFILE", "ENOBUFS", "ENOMEM", "EPERM", "EPROTO", "EINTR", "ENETDOWN"] {
+        faults.set(&format!(
+            "accept4 on=listener count=5 error={error}; epoll_ctl on=listener every=2 error=ENOMEM"
+        ));
+        let start = Instant::now();
+        assert_eq!(proxy.connect().query(&read_query(1)), SERVED, "{error}");
+        assert!(start.elapsed() < Duration::from_millis(900), "{error}: {:?}", start.elapsed());
+        faults.set(&format!("accept4 on=listener count=5 error={error}"));
+        assert_eq!(proxy.admin_request("GET", "ready").0, 200, "{error}");
+    }
+}
