--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -147,8 +147,9 @@
         if !job.state.start_preparing() {
             return Liveness::WithdrawnBefore;
         }
-        let alive = answers_empty_query(open, Instant::now() + self.connect_timeout);
-        let _ = open.stream.set_read_timeout(None);
+        // With the check's time limit left on it, the connection would break off a job that takes longer.
+        let alive = answers_empty_query(open, Instant::now() + self.connect_timeout)
+            && open.stream.set_read_timeout(None).is_ok();
         if !job.state.return_to_queued() {
             return Liveness::WithdrawnDuring;
         }
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -123,8 +123,9 @@
         pg::put_message(&mut messages, frontend::FLUSH, &[]);
         let _ = self.connection.stream.set_read_timeout(Some(PRE_EXECUTE_TIMEOUT));
         let confirmed = self.write(&messages).is_ok() && replies.read_pre_execute(self.connection);
-        let _ = self.connection.stream.set_read_timeout(None);
-        if !confirmed {
+        // With the limit left on it, the connection would break off an Execute that takes longer.
+        let is_unlimited = self.connection.stream.set_read_timeout(None).is_ok();
+        if !confirmed || !is_unlimited {
             return Err(Outcome::ConnectFailed);
         }
         // Without time left, the batch is incomplete at the member: the connection can't be reused.
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -7,8 +7,9 @@
 use crate::core::{JobId, JobResult, JobSpec};
 use crate::exchange::{MemberRequest, MemberResponse};
 use crate::extended::PreparedStatementCache;
+use crate::sockets::MomentaryErrors;
 use crate::{Outcome, pg};
-use std::io::{ErrorKind, Write};
+use std::io::Write;
 use std::ops::Range;
 use std::sync::Arc;
 use std::time::Duration;
@@ -122,10 +123,11 @@
     /// Writes all bytes.
     pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), WriteError> {
         let mut written = 0;
+        let mut momentary = MomentaryErrors::default();
         while written < bytes.len() {
             match (&*self.connection.stream).write(&bytes[written..]) {
                 Ok(n) if n > 0 => written += n,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if momentary.wait_out(&error) => {}
                 _ => return Err(WriteError { written }),
             }
         }
--- a/src/pg/frame_reader.rs
+++ b/src/pg/frame_reader.rs
@@ -3,7 +3,8 @@
 use super::HEADER_BYTES;
 use super::error::ProtocolError;
 use super::message_tags::backend;
-use std::io::{ErrorKind, Read};
+use crate::sockets::MomentaryErrors;
+use std::io::Read;
 use std::ops::RangeInclusive;
 
 /// The longest message that is read: a value of 64 KiB as hexadecimal digits, with room around it.
@@ -66,9 +67,10 @@
         }
         let filled = self.buffer.len();
         self.buffer.resize(filled + READ_BYTES, 0);
+        let mut momentary = MomentaryErrors::default();
         let result = loop {
             match stream.read(&mut self.buffer[filled..]) {
-                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if momentary.wait_out(&error) => {}
                 other => break other,
             }
         };
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -3,6 +3,7 @@
 use rustix::io::Errno;
 use std::io::{Error, ErrorKind};
 use std::net::TcpStream;
+use std::time::Duration;
 
 /// Errors of `socket` and `connect` that are this machine's: no descriptor, memory, port or route, a rule of its
 /// own firewall, or a signal.
@@ -44,3 +45,28 @@
     let quiet = matches!(&peeked, Err(e) if e.kind() == ErrorKind::WouldBlock);
     stream.set_nonblocking(false).is_err() || !quiet
 }
+
+/// How often a call on a blocking socket is made again after a lack of memory, and the pause before it.
+const MAX_MOMENTARY_ERRORS: u32 = 100;
+const MOMENTARY_ERROR_PAUSE: Duration = Duration::from_millis(1);
+
+/// The momentary errors that a blocking transfer has met.
+#[derive(Default)]
+pub struct MomentaryErrors {
+    met: u32,
+}
+
+impl MomentaryErrors {
+    /// Whether the call is to be made again after this error; pauses first where memory was lacking.
+    pub fn wait_out(&mut self, error: &Error) -> bool {
+        if error.kind() == ErrorKind::Interrupted {
+            return true;
+        }
+        if !is_momentary_error(error) || self.met == MAX_MOMENTARY_ERRORS {
+            return false;
+        }
+        self.met += 1;
+        std::thread::sleep(MOMENTARY_ERROR_PAUSE);
+        true
+    }
+}
--- a/tests/proxy/system_calls.rs
+++ b/tests/proxy/system_calls.rs
@@ -182,3 +182,46 @@
         assert_eq!(proxy.admin_request("GET", "ready").0, 200, "{error}");
     }
 }
+
+/// Short transfers and errors that leave a connection as it was cost nothing, at members and at discovery.
+#[test]
+fn member_connection_survives_short_transfers_and_momentary_errors() {
+    let primary = MockMember::start(true);
+    let faults = Faults::none();
+    let proxy = start_proxy(std::slice::from_ref(&primary), &faults);
+    let member = primary.address;
+    assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED);
+    let mut executed = 1;
+    for effect in ["short=1", "every=2 error=EINTR", "every=2 error=ENOMEM", "every=2 error=ENOBUFS"] {
+        for call in ["read", "write"] {
+            // The first read is the check of the idle connection.
+            faults.set(&format!("{call} peer={member} skip=1 {effect}"));
+            assert_eq!(proxy.connect().query(&write_query(2, 900)), SERVED, "{call} {effect}");
+            executed += 1;
+        }
+        faults.set(&format!("read peer={} {effect}", proxy.discovery.address));
+        proxy.discovery.push(&serving_list(executed as u64, &[(0, &primary)]));
+        faults.wait_for_injected(1);
+    }
+    assert_eq!(primary.executed_count(), executed);
+}
+
+/// A connection that breaks shows as a timeout or as a host that can't be reached, too: before the last byte is
+/// written nothing was executed, and afterwards a write may have been.
+#[test]
+fn broken_member_connection_is_told_by_when_it_broke_and_not_by_its_error() {
+    for error in ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "EPIPE", "EIO"] {
+        let primary = MockMember::start(true);
+        let faults = Faults::none();
+        let proxy = start_proxy(std::slice::from_ref(&primary), &faults);
+        let mut client = proxy.connect();
+        assert_eq!(client.query(&write_query(1, 900)), SERVED);
+        faults.set(&format!("write peer={} count=1 error={error}", primary.address));
+        assert_eq!(client.query(&write_query(2, 900)), SERVED, "{error}");
+        // The first read is the check of the idle connection.
+        faults.set(&format!("read peer={} skip=1 count=1 error={error}", primary.address));
+        assert_eq!(client.query(&write_query(3, 900)), "E(08007) Z", "{error}");
+        assert_eq!(client.query(&write_query(4, 900)), SERVED, "{error}");
+        assert_eq!(primary.executed_count(), 4, "{error}: each executed once");
+    }
+}
