--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -6,11 +6,12 @@
 
 use crate::Settings;
 use crate::core::Counters;
+use crate::sockets::MomentaryErrors;
 use crate::threads::spawn;
 use crossbeam_channel::{Sender, bounded};
 use http::{HttpResponse, RequestError, Status};
 use std::fmt::Write as _;
-use std::io::{ErrorKind, Read, Write};
+use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -84,13 +85,16 @@
             let _ = write_response(&stream, &rejected);
             continue;
         }
-        let settings = settings.clone();
-        let calls = calls.clone();
-        // Without a thread, the connection and its slot are dropped.
-        let _ = spawn("caller", move || {
-            let _slot = slot;
-            serve_connection(&stream, &settings, &calls);
+        let connection = Arc::new((stream, slot));
+        let (settings_of_caller, calls_of_caller) = (settings.clone(), calls.clone());
+        let connection_of_caller = connection.clone();
+        let spawned = spawn("caller", move || {
+            serve_connection(&connection_of_caller.0, &settings_of_caller, &calls_of_caller);
         });
+        // Without a thread for it the caller is served here, and others wait.
+        if spawned.is_err() {
+            serve_connection(&connection.0, settings, calls);
+        }
     }
 }
 
@@ -121,6 +125,7 @@
 fn read_request(mut stream: &TcpStream) -> Result<AdminRequest, RequestError> {
     let deadline = Instant::now() + REQUEST_TIMEOUT;
     let mut received = Vec::new();
+    let mut momentary = MomentaryErrors::default();
     let mut chunk = [0; READ_BYTES];
     loop {
         if let Some(request) = http::parse_request(&received)? {
@@ -132,7 +137,7 @@
         }
         match stream.read(&mut chunk) {
             Ok(length) if length > 0 => received.extend_from_slice(&chunk[..length]),
-            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) if momentary.wait_out(&error) => {}
             _ => return Err(RequestError::Incomplete),
         }
     }
@@ -174,7 +179,8 @@
 }
 
 fn write_response(mut stream: &TcpStream, response: &HttpResponse) -> std::io::Result<()> {
-    stream.set_write_timeout(Some(REQUEST_TIMEOUT))?;
+    // Without the limit a response still fits the socket's buffer.
+    let _ = stream.set_write_timeout(Some(REQUEST_TIMEOUT));
     stream.write_all(&response.to_bytes())
 }
 
--- a/tests/proxy/system_calls.rs
+++ b/tests/proxy/system_calls.rs
@@ -225,3 +225,42 @@
         assert_eq!(primary.executed_count(), 4, "{error}: each executed once");
     }
 }
+
+/// Operators are answered though there is no thread for them, or a call on their connection fails for a moment.
+#[test]
+fn operators_are_answered_during_errors_of_this_machine() {
+    let (members, faults) = (start_members(), Faults::none());
+    let proxy = start_proxy(&members, &faults);
+    let local = proxy.admin_address.unwrap();
+    for rule in [
+        "pthread_create error=EAGAIN".to_string(),
+        format!("read local={local} on=accepted every=2 error=ENOMEM"),
+        format!("read local={local} on=accepted short=1"),
+        format!("write local={local} on=accepted short=1"),
+        format!("write local={local} on=accepted every=2 error=EINTR"),
+        format!("setsockopt local={local} on=accepted skip=1 error=ENOBUFS"),
+    ] {
+        faults.set(&rule);
+        assert_eq!(proxy.admin_request("GET", "ready").0, 200, "{rule}");
+    }
+}
+
+/// Guards against a signal thread that ends with the first error of its wait: SIGTERM would have no effect.
+#[test]
+fn signals_are_heeded_after_errors_of_this_machine() {
+    let (members, faults) = (start_members(), Faults::none());
+    let mut proxy = start_proxy(&members, &faults);
+    faults.set("read error=ENOMEM");
+    proxy.signal("-HUP");
+    // The configuration, and the wait for the next signal.
+    faults.wait_for_injected(3);
+    faults.clear();
+    assert_eq!(proxy.connect().query(&read_query(1)), SERVED);
+    proxy.signal("-TERM");
+    let start = Instant::now();
+    while proxy.child.try_wait().unwrap().is_none() {
+        assert!(start.elapsed() < TEST_TIMEOUT, "SIGTERM has no effect");
+        std::thread::sleep(Duration::from_millis(10));
+    }
+    assert!(proxy.child.wait().unwrap().success());
+}
