--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -3,6 +3,7 @@
 use super::accept_gate::{AcceptGate, AcceptResult, ClientListener};
 use super::connection::ClientConnection;
 use super::deadlines::Deadlines;
+use super::event_barrier::PendingBarriers;
 use super::handle::{ClientHandle, ReactorHandle};
 use super::shared::{ConnectionShared, ReactorShared};
 use super::{EventSink, ReactorEvent, ReactorLimits};
@@ -62,6 +63,7 @@
     /// Connections whose events could not be requested, and when that is tried again.
     interest_failed: Vec<ClientId>,
     interest_retry_at: Option<Instant>,
+    barriers: PendingBarriers,
     /// Whether the event loop has been notified that reading has stopped.
     pub(super) reading_stopped: bool,
     pub(super) clock: Clock,
@@ -101,6 +103,7 @@
             lingering: VecDeque::new(),
             interest_failed: Vec::new(),
             interest_retry_at: None,
+            barriers: PendingBarriers::default(),
             reading_stopped: false,
             clock,
             settings,
@@ -122,14 +125,17 @@
             self.start_lingering(shutting_down);
             self.apply_stop_requests();
             self.retry_interest();
+            self.barriers.add(self.shared.take_requested_barriers());
             let timeout = self.wait_timeout();
             let space = rustix::buffer::spare_capacity(&mut ready);
             if epoll::wait(&self.shared.epoll, space, timeout.as_ref()).is_err() {
                 ready.clear();
             }
+            let nothing_was_ready = ready.iter().all(|event: &Event| event.data.u64() == WAKER_TOKEN);
             for event in ready.drain(..) {
                 self.handle_event(event);
             }
+            self.barriers.finish_round(nothing_was_ready, &self.events);
             self.expire_deadlines();
             self.accept_gate.resume_if_due(&self.shared);
         }
@@ -164,8 +170,12 @@
         while matches!((&self.wake_receiver).read(&mut [0; 64]), Ok(length) if length > 0) {}
     }
 
-    /// How long to wait for events: until the next deadline, or until connections are accepted again.
+    /// How long to wait for events: until the next deadline, or until connections are accepted again; not at
+    /// all while a barrier waits for what is ready.
     fn wait_timeout(&self) -> Option<Timespec> {
+        if !self.barriers.is_empty() {
+            return Some(Timespec { tv_sec: 0, tv_nsec: 0 });
+        }
         let interest_retry = self.interest_retry_at.filter(|_| !self.interest_failed.is_empty());
         let due_times = [self.deadlines.next(), self.accept_gate.next_due(), interest_retry];
         let due = due_times.into_iter().flatten().min()?;
--- a/src/net/member/connect.rs
+++ b/src/net/member/connect.rs
@@ -88,8 +88,8 @@
     if frames.buffered().is_empty() { Ok(()) } else { Err(ConnectError::Protocol) }
 }
 
-/// Reads once; an error if nothing arrives before the deadline or the connection ends. Leaves the read timeout
-/// set.
+/// Reads once; an error if nothing arrives before the deadline or the connection ends. Leaves the read
+/// timeout set.
 pub(super) fn fill_before(
     deadline: Instant,
     stream: &TcpStream,
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -1,12 +1,16 @@
-//! Checks of a TCP stream that several modules share.
+//! Functions for TCP sockets that several modules share.
 
 use rustix::io::Errno;
-use std::io::{Error, ErrorKind};
-use std::net::TcpStream;
-use std::time::Duration;
+use std::io::{self, Error, ErrorKind};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::{Duration, Instant};
 
-/// Errors of `socket` and `connect` that are this machine's: no descriptor, memory, port or route, a rule of its
-/// own firewall, or a signal.
+/// How long the previous process may keep an address bound.
+const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The delay between two attempts to bind it.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Errors of `socket` and `connect` that are this machine's: no descriptor, memory, port or route, a rule of
+/// its own firewall, or a signal.
 const LOCAL_CONNECT_ERRORS: [Errno; 12] = [
     Errno::ACCESS,
     Errno::ADDRINUSE,
@@ -24,6 +28,19 @@
 /// Errors of a call on an open socket that leave it as it was: a signal, or no memory for a moment.
 const MOMENTARY_ERRORS: [Errno; 3] = [Errno::INTR, Errno::NOBUFS, Errno::NOMEM];
 
+/// Listens at an address. Guards against a failed start where the previous process is still shutting down.
+pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    let deadline = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
+    loop {
+        match TcpListener::bind(address) {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
+                std::thread::sleep(BIND_RETRY_DELAY);
+            }
+            result => return result,
+        }
+    }
+}
+
 /// Whether opening a connection failed for a reason that says nothing about the peer.
 pub fn is_local_connect_error(error: &Error) -> bool {
     Errno::from_io_error(error).is_some_and(|errno| LOCAL_CONNECT_ERRORS.contains(&errno))
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -66,8 +66,10 @@
     pub(crate) confirmed: bool,
     /// The list names it as the primary.
     pub(crate) primary_hint: bool,
-    /// Its start as reported by the list, 0 for long ago.
+    /// Its start as reported by the list, on the members' clock; 0 for long ago.
     pub(crate) started_at: Micros,
+    /// When the list first reported that start.
+    pub(crate) start_listed_at: Micros,
 
     pub(crate) outstanding: Vec<OutstandingAttempt>,
     pub(crate) last_sent_at: Micros,
@@ -100,6 +102,8 @@
     pub(crate) slow_start: PerRole<SlowStartBudget>,
 
     pub(crate) next_probe_at: Micros,
+    /// The interval that the next probe was scheduled by; 0 before the first.
+    pub(crate) probe_interval: Micros,
     pub(crate) probe_in_flight: bool,
     /// It did not answer the last health check.
     pub(crate) probe_unanswered: bool,
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -19,6 +19,9 @@
     by_id: BTreeMap<EndpointId, EndpointIndex>,
     /// The slots of removed endpoints, in order.
     removed: BTreeSet<EndpointIndex>,
+    /// How often an endpoint was looked at.
+    #[cfg(test)]
+    lookups: std::cell::Cell<usize>,
 }
 
 impl EndpointTable {
@@ -27,8 +30,8 @@
         self.by_id.get(&id).copied()
     }
 
-    /// Assigns a slot to a new endpoint, if possible that of one that is dropped; returns that one too. Guards
-    /// against a table that grows forever. The caller fills the slot.
+    /// Assigns a slot to a new endpoint, if possible that of one that is dropped; returns that one too.
+    /// Guards against a table that grows forever. The caller fills the slot.
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<Endpoint>) {
         let forgotten = |endpoint: &Endpoint| {
             endpoint.state == EndpointState::Removed
@@ -47,7 +50,7 @@
         (index, dropped)
     }
 
-    /// Sets the state of an endpoint. All changes go through here: the slots of removed endpoints are indexed.
+    /// Sets the state of an endpoint. All changes go through here: removed endpoints are indexed.
     pub(crate) fn set_state(&mut self, index: EndpointIndex, state: EndpointState) {
         self[index].state = state;
         if state == EndpointState::Removed {
@@ -57,6 +60,12 @@
         }
     }
 
+    /// How often an endpoint was looked at so far.
+    #[cfg(test)]
+    pub(crate) fn lookups(&self) -> usize {
+        self.lookups.get()
+    }
+
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
@@ -74,12 +83,16 @@
     type Output = Endpoint;
 
     fn index(&self, index: EndpointIndex) -> &Endpoint {
+        #[cfg(test)]
+        self.lookups.set(self.lookups.get() + 1);
         &self.slots[index.0]
     }
 }
 
 impl IndexMut<EndpointIndex> for EndpointTable {
     fn index_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        #[cfg(test)]
+        self.lookups.set(self.lookups.get() + 1);
         &mut self.slots[index.0]
     }
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,6 +1,7 @@
 //! The routing policy, through the public interface of a router.
 
 mod admission;
+mod clock_steps;
 mod endpoint_list;
 mod fleet;
 mod freshness;
@@ -9,6 +10,7 @@
 mod outage;
 mod primary;
 mod probing;
+mod quiet;
 mod rules;
 mod selection;
 mod slow_start;
