--- a/tests/proxy/fault_injection.rs
+++ b/tests/proxy/fault_injection.rs
@@ -121,7 +121,7 @@
     let calls_to_clients = [
         format!("accept4 local={client} on=listener"),
         format!("epoll_ctl local={client} on=accepted"),
-        format!("ioctl local={client} on=accepted"),
+        format!("setsockopt local={client} on=accepted"),
         format!("read local={client} on=accepted"),
         format!("write local={client} on=accepted"),
         format!("accept4 local={admin} on=listener"),
