--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -9,9 +9,6 @@
 const PROBE_TIMEOUT: Micros = 250_000;
 /// The shortest timeout of an attempt, however close the deadline of its request is.
 const MIN_ATTEMPT_TIMEOUT: Micros = 1_000;
-/// Positions may be this far ahead of the clock: commits are rounded up, and clocks are read at different
-/// moments.
-const MAX_POSITION_LEAD: Micros = 250_000;
 /// A reused connection that is reset this soon had been dropped by the network while it was idle.
 const STALE_RESET_LIMIT: Micros = 10_000;
 
@@ -74,7 +71,8 @@
         let attempt = pending.attempts;
         pending.attempts += 1;
         // Guards against a second execution, whatever the router requests.
-        let allowed = attempt < self.settings.max_attempts && !pending.must_not_be_repeated();
+        let made = attempt - pending.local_errors;
+        let allowed = made < self.settings.max_attempts && !pending.must_not_be_repeated();
         let timeout = order.timeout.min(pending.deadline.saturating_sub(now)).max(MIN_ATTEMPT_TIMEOUT);
         // Guards against a retry that waits for its connection until its idempotency key has expired.
         let start_within = order.start_within.min(pending.deduplication_time_left(now));
@@ -99,7 +97,7 @@
     /// Starts a health check. Returns the event that notifies the router if that is impossible.
     pub(super) fn start_probe(&mut self, now: Micros, endpoint: EndpointId) -> Option<Event> {
         let Some(connection) = self.check_out(endpoint) else {
-            return Some(Event::Probed { endpoint, answered: false, report: LoadReport::default() });
+            return Some(Event::ProbeNotSent(endpoint));
         };
         self.start_job(now, connection, endpoint, JobPurpose::Probe, PROBE_TIMEOUT, JobSpec::Probe);
         None
@@ -169,13 +167,15 @@
     }
 
     /// Handles the result of a job, which may arrive after a cancellation has ended the job.
-    pub(super) fn finish_job(&mut self, now: Micros, id: JobId, mut result: JobResult<A>) {
+    pub(super) fn finish_job(&mut self, now: Micros, id: JobId, result: JobResult<A>) {
         let Some(job) = self.jobs.remove(&id) else { return };
-        drop_impossible_positions(now, &mut result);
         match job.purpose {
             JobPurpose::Attempt { request, attempt } => {
                 self.finish_attempt(now, &job, request, attempt, result);
             }
+            JobPurpose::Probe if result.outcome == Outcome::LocalError => {
+                self.notify_router(now, Event::ProbeNotSent(job.endpoint));
+            }
             JobPurpose::Probe => {
                 let answered = result.outcome == Outcome::Ok;
                 let report = result.report;
@@ -198,6 +198,11 @@
         {
             pending.mark_maybe_executed(job.started_at);
         }
+        if outcome == Outcome::LocalError
+            && let Some(pending) = self.requests.get_mut(&request)
+        {
+            pending.local_errors += 1;
+        }
         // A response with `NeverSent` carries no evidence about the member: the statement itself is in error.
         if matches!(outcome, Outcome::Ok | Outcome::NeverSent)
             && let Some(answer) = answer
@@ -226,18 +231,15 @@
 /// Whether the member may have executed an attempt with this outcome.
 fn may_have_executed(outcome: Outcome) -> bool {
     match outcome {
-        Outcome::ConnectFailed | Outcome::Full | Outcome::NotServable | Outcome::NeverSent => false,
+        Outcome::ConnectFailed
+        | Outcome::Full
+        | Outcome::NotServable
+        | Outcome::NeverSent
+        | Outcome::LocalError => false,
         Outcome::Ok | Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => true,
     }
 }
 
-/// Guards against a position that no member can have reached yet: it would count as fresh forever.
-fn drop_impossible_positions<A>(now: Micros, result: &mut JobResult<A>) {
-    let is_possible = |position: &Micros| *position <= now + MAX_POSITION_LEAD;
-    result.metadata.position = result.metadata.position.filter(is_possible);
-    result.report.position = result.report.position.filter(is_possible);
-}
-
 fn never_sent(request: RequestId, attempt: u32, endpoint: EndpointId) -> Event {
     Event::AttemptEnded(AttemptResult {
         request,
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -173,10 +173,12 @@
 
     /// Reads from the socket, up to the size of the read buffer; `false` if the client has disconnected.
     pub(super) fn read(&mut self, read_buffer: &mut [u8], clock: &Clock) -> bool {
+        // Before the read: a delay between the two must not count as time that the client has left.
+        let read_at = clock.now();
         match (&self.shared.stream).read(read_buffer) {
             Ok(0) => false,
             Ok(length) => {
-                self.last_read_at = clock.now();
+                self.last_read_at = read_at;
                 self.frames.push(&read_buffer[..length]);
                 true
             }
@@ -184,6 +186,12 @@
         }
     }
 
+    /// A complete message has been read and waits for capacity: nothing more is read until it is parsed.
+    pub(super) fn has_unparsed_message(&self) -> bool {
+        let is_started = !matches!(self.parse_state, ParseState::Startup);
+        is_started && self.frames.complete_message_tag().is_some()
+    }
+
     /// Parses everything that has arrived completely.
     pub(super) fn parse(&mut self, settings: &Settings, events: &EventSink) -> ParseProgress {
         loop {
@@ -273,7 +281,11 @@
     pub(super) fn flush(&mut self, flags: EventFlags) -> Flushed {
         let mut state = self.shared.state();
         let open = self.shared.flush(&mut state);
-        if flags.contains(EventFlags::OUT) {
+        let is_stopping = self.shared.reactor.stop_reading_requested.load(Ordering::SeqCst);
+        if state.reading_paused && !is_stopping && self.shared.may_add_answer(&state) {
+            state.reading_paused = false;
+            self.shared.update_interest(&state, false);
+        } else if flags.contains(EventFlags::OUT) {
             self.shared.update_interest(&state, false);
         }
         Flushed { open, reading_paused: state.reading_paused }
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -1,10 +1,13 @@
 //! The state that the reactor thread and the event loop share.
 
 use super::ReactorLimits;
-use super::write_buffer::WriteBuffer;
+use super::event_barrier::EventBarrier;
+use super::write_buffer::{MAX_WAITING_ANSWERS, WriteBuffer};
 use crate::client::ClientId;
+use crossbeam_channel::{Receiver, bounded};
 use rustix::event::epoll::{self, EventData, EventFlags};
 use std::collections::VecDeque;
+use std::convert::Infallible;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::OwnedFd;
@@ -35,6 +38,8 @@
     pub(super) stop_reading_requested: AtomicBool,
     /// Connections that the event loop has closed since the reactor last checked.
     closed: Mutex<Vec<ClientId>>,
+    /// Barriers that were requested since the reactor last checked.
+    requested_barriers: Mutex<Vec<EventBarrier>>,
 }
 
 impl ReactorShared {
@@ -51,6 +56,7 @@
             stop_accepting_requested: AtomicBool::new(false),
             stop_reading_requested: AtomicBool::new(false),
             closed: Mutex::default(),
+            requested_barriers: Mutex::default(),
         }
     }
 
@@ -59,6 +65,24 @@
         let _ = (&self.waker).write(&[0]);
     }
 
+    /// Requests a barrier behind the events that have arrived; the receiver is disconnected once these are
+    /// handled.
+    pub(super) fn request_barrier(&self) -> Receiver<Infallible> {
+        let (released, barrier) = bounded(0);
+        self.requested_barriers().push(EventBarrier::new(released));
+        self.wake();
+        barrier
+    }
+
+    /// Removes and returns the barriers that were requested.
+    pub(super) fn take_requested_barriers(&self) -> Vec<EventBarrier> {
+        std::mem::take(&mut *self.requested_barriers())
+    }
+
+    fn requested_barriers(&self) -> MutexGuard<'_, Vec<EventBarrier>> {
+        self.requested_barriers.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
     /// Whether the limit on open connections is reached.
     pub(super) fn is_full(&self) -> bool {
         self.open_connections.load(Ordering::SeqCst) >= self.limits.max_connections
@@ -155,10 +179,11 @@
         let mut state = self.state();
         let own_bytes: usize = state.unanswered_command_sizes.iter().sum();
         let all_bytes = self.reactor.unanswered_command_bytes.load(Ordering::SeqCst);
-        let has_capacity = state.unanswered_command_sizes.is_empty()
-            || (state.unanswered_command_sizes.len() < MAX_PIPELINED_COMMANDS
-                && own_bytes < MAX_PIPELINED_BYTES
-                && all_bytes < self.reactor.limits.max_unanswered_command_bytes);
+        let has_capacity = self.may_add_answer(&state)
+            && (state.unanswered_command_sizes.is_empty()
+                || (state.unanswered_command_sizes.len() < MAX_PIPELINED_COMMANDS
+                    && own_bytes < MAX_PIPELINED_BYTES
+                    && all_bytes < self.reactor.limits.max_unanswered_command_bytes));
         if !has_capacity {
             state.reading_paused = true;
             self.update_interest(&state, false);
@@ -166,6 +191,15 @@
         has_capacity
     }
 
+    /// Whether the answer to another command may wait for the socket. Guards against disconnecting a client
+    /// that sends many commands before it reads their answers: no more of them are read until it does.
+    pub(super) fn may_add_answer(&self, state: &ConnectionState) -> bool {
+        let answers = state.write_buffer.answer_count() + state.unanswered_command_sizes.len();
+        let all_unwritten = self.reactor.unwritten_bytes.load(Ordering::SeqCst);
+        let is_half_free = all_unwritten < self.reactor.limits.max_unwritten_bytes / 2;
+        state.write_buffer.is_empty() || (answers < MAX_WAITING_ANSWERS && is_half_free)
+    }
+
     /// Counts a command that is about to be reported.
     pub(super) fn command_received(&self, size: usize) {
         self.state().unanswered_command_sizes.push_back(size);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -32,7 +32,8 @@
             }
         }
         let id = request.id;
-        let required_position = self.commits.required_position(&request, &self.settings, self.now);
+        let present = self.topology.present(request.group, self.now);
+        let required_position = self.commits.required_position(&request, &self.settings, present);
         let pending = PendingRequest::new(request, class, self.now);
         self.requests.insert(id, PendingRequest { priority, required_position, shed_draw, ..pending });
         self.advance(id);
@@ -49,16 +50,38 @@
             Role::Primary => self.select_primary(id),
             Role::Replica => self.select_replica(id),
         };
-        // A held request is reconsidered before its deadline, whatever it waits for.
-        let reserve = (self.unloaded(class) as Micros / 2).max(2 * self.tick_interval());
-        let last_hold = useful_until.saturating_sub(reserve);
         match selection {
             Selection::Send { endpoint, exploratory } => self.send(id, endpoint, exploratory),
-            Selection::Hold if self.now < last_hold => {
-                let until = (self.now + SEARCH_INTERVAL / 2).min(last_hold);
-                self.requests.get_mut(&id).expect("present above").held_until = Some(until);
+            Selection::Hold => self.hold(id),
+            Selection::Shed => self.give_up(id),
+        }
+    }
+
+    /// Holds a request for a while. It is reconsidered before its deadline, whatever it waits for.
+    fn hold(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get(&id) else { return };
+        let (class, useful_until) = (pending.request.class, pending.useful_until);
+        let reserve = (self.unloaded(class) as Micros / 2).max(2 * self.tick_interval());
+        let last_hold = useful_until.saturating_sub(reserve);
+        if self.now >= last_hold {
+            return self.give_up(id);
+        }
+        let until = (self.now + SEARCH_INTERVAL / 2).min(last_hold);
+        self.requests.get_mut(&id).expect("present above").held_until = Some(until);
+    }
+
+    /// Departure: an attempt that this machine could not make costs the request nothing. A read goes on to
+    /// the members that it has not tried, as only the way to one may be closed; when all were tried, or for a
+    /// primary, it waits. Guards against errors of this machine that pass for a group that is down.
+    pub(super) fn retry_after_local_error(&mut self, id: RequestId, index: EndpointIndex) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        pending.take_back_attempt();
+        match self.settings.classes[pending.request.class].role() {
+            Role::Replica => {
+                pending.tried.push(index);
+                self.advance(id);
             }
-            Selection::Hold | Selection::Shed => self.give_up(id),
+            Role::Primary => self.hold(id),
         }
     }
 
@@ -94,9 +117,11 @@
         self.actions.push(Action::Send { request: id, endpoint: endpoint.id, timeout, start_within });
     }
 
+    /// An attempt is awaited as long as its client waits, also where a late answer has no value. Guards
+    /// against counting an endpoint as idle that still works on what was given up, and against clients that
+    /// repeat a request that is about to be answered.
     fn attempt_timeout(&self, pending: &PendingRequest, exploratory: bool) -> Micros {
         let unloaded = self.unloaded(pending.request.class);
-        let end = if self.now >= pending.objective_at { pending.deadline } else { pending.useful_until };
         let most = match self.settings.classes[pending.request.class].idempotency {
             Idempotency::AtMostOnce => f64::INFINITY,
             _ if exploratory => unloaded * EXPLORATORY_TIMEOUT_MULTIPLE,
@@ -105,7 +130,7 @@
             }
             Idempotency::Idempotent => f64::INFINITY,
         };
-        (end - self.now).min(most as Micros).max(1)
+        pending.deadline.saturating_sub(self.now).min(most as Micros).max(1)
     }
 
     /// Departure: how long an attempt may wait for its connection where endpoints serve stale data. Guards
@@ -119,8 +144,10 @@
             (Requirement::Any | Requirement::Write, _) => Micros::MAX,
             (_, Role::Primary) => ANSWER_VALIDITY / 2,
             (Requirement::BoundedStaleness(bound), Role::Replica) => {
-                let position = self.topology[index].replication.known_position();
-                (position + bound).saturating_sub(self.now + hold_up_margin(bound))
+                let clock = self.topology.clock_of(index);
+                let position = self.topology[index].replication.known_position(clock, self.now);
+                let present = clock.present(self.now).unwrap_or(Micros::MAX);
+                (position + bound).saturating_sub(present.saturating_add(hold_up_margin(bound)))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
         }
--- a/src/router.rs
+++ b/src/router.rs
@@ -4,7 +4,7 @@
 use crate::model::*;
 use crate::policy;
 use crate::random::RandomSource;
-use crate::state::{PendingRequest, SessionCommits, Topology};
+use crate::state::{PendingRequest, ProbeSchedule, SessionCommits, Topology, UsableCounts};
 use std::collections::BTreeMap;
 
 /// Decides where each request is sent. There is one per process; routers share nothing.
@@ -30,8 +30,13 @@
     /// Of attempts at all endpoints.
     pub(crate) failure_rate: FailureRate,
 
+    pub(crate) probe_schedule: ProbeSchedule,
+    /// At least as long as the interval that any probe is scheduled by.
+    pub(crate) longest_probe_interval: Micros,
+    pub(crate) usable_counts: UsableCounts,
+    /// The usable endpoints at the last update of the list.
     pub(crate) usable_endpoints: f64,
-    /// The usable endpoints that are not warming up.
+    /// Those of them that were not warming up.
     pub(crate) warm_endpoints: f64,
     pub(crate) retry_budget: f64,
     pub(crate) trial_budget: f64,
@@ -55,6 +60,12 @@
         }
     }
 
+    /// The same, whose host's clock may differ from that of the members: positions are compared with what the
+    /// answers of primaries show of their groups' clocks.
+    pub fn with_unknown_clock(settings: Settings, seed: u64, now: Micros) -> Self {
+        Router { topology: Topology::with_unknown_clock(), ..Router::new(settings, seed, now) }
+    }
+
     /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
@@ -66,6 +77,7 @@
             Event::Request(request) => self.on_request(request),
             Event::AttemptEnded(result) => self.on_attempt_ended(result),
             Event::Probed { endpoint, answered, report } => self.on_probed(endpoint, answered, report),
+            Event::ProbeNotSent(endpoint) => self.on_probe_not_sent(endpoint),
             Event::ClientDisconnected(id) => self.finish(id),
         }
         actions.append(&mut self.actions);
@@ -76,3 +88,6 @@
         self.topology.counts()
     }
 }
+
+#[cfg(test)]
+mod tests;
