--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -76,6 +76,9 @@
     fn on_tick(&mut self) {
         self.set_timer(TICK_TIMER, self.tick_interval());
         self.next_tick_at = self.now + self.tick_interval();
+        if self.now >= self.serving_capacity.counted_at() + slow_start::CAPACITY_COUNT_INTERVAL {
+            self.count_serving_capacity();
+        }
         self.resume_held(None, false);
         self.start_probes();
         self.commits.prune(|group, position| self.topology.all_members_have(group, position, self.now));
@@ -101,6 +104,7 @@
         }
         self.usable_endpoints = self.usable_counts.usable() as f64;
         self.warm_endpoints = self.usable_counts.warm(self.now) as f64;
+        self.count_serving_capacity();
         newly_hinted.into_iter().for_each(|group| self.resume_held(Some(group), true));
         self.resume_held(None, false);
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,6 +8,14 @@
 /// The part of the overload window that budgets are saved for; half of that for primary-only work.
 const SAVED_WINDOWS: f64 = 0.5;
 const SAVED_DIVISOR: PerRole<f64> = PerRole { replica: 1.0, primary: 2.0 };
+/// Where most endpoints are warming up, the share of the overload threshold that either role gets by what
+/// endpoints were seen to serve.
+const MEASURED_LOAD_SHARE: f64 = 0.8;
+/// Clients send a request that was not served up to three times more: at least this share of the demand is of
+/// first requests.
+const FIRST_REQUEST_SHARE: f64 = 0.25;
+/// The interval between two counts of the capacity, which changes slowly while endpoints warm up.
+pub(super) const CAPACITY_COUNT_INTERVAL: Micros = 1_000_000;
 /// The list reports a restart within this; until then an endpoint that is back has just started.
 const RESTART_REPORT_DELAY: Micros = 4_000_000;
 
@@ -83,14 +91,35 @@
     }
 
     /// The work per second that an endpoint may be sent while it warms up.
+    ///
+    /// Departure: where most endpoints are warming up, it is bounded by what endpoints were seen to serve for
+    /// their capacity. Guards against overload by demand that clients repeat because it is not served.
     fn slow_start_rate(&self, index: EndpointIndex, role: Role) -> f64 {
+        let mut work = self.work_per_endpoint() * self.load_share(role);
+        let most_served = self.serving_capacity.most_served();
+        if most_served > 0.0 && !self.are_most_warm() {
+            work = work.min((most_served * MEASURED_LOAD_SHARE).max(work * FIRST_REQUEST_SHARE));
+        }
+        work * self.capacity_share(index) * self.settings.overload_multiple
+    }
+
+    /// The share of its full capacity that an endpoint has at least while it warms up.
+    fn capacity_share(&self, index: EndpointIndex) -> f64 {
         let endpoint = &self.topology[index];
         let started_at = self.topology.started_at(index);
         let since = if endpoint.down { self.now } else { started_at.max(endpoint.recovered_at) };
         let age = self.now.saturating_sub(since) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let least = self.settings.slow_start_capacity;
-        let capacity = least + (1.0 - least) * age;
-        self.work_per_endpoint() * capacity * self.load_share(role) * self.settings.overload_multiple
+        least + (1.0 - least) * age
+    }
+
+    /// Counts the capacity of the usable endpoints.
+    pub(super) fn count_serving_capacity(&mut self) {
+        let warm = self.usable_counts.warm(self.now) as f64;
+        let share = |index| self.capacity_share(index).min(1.0);
+        let warming: f64 = self.usable_counts.warming().map(share).sum();
+        self.serving_capacity.record(warm + warming, self.now);
+        self.serving_capacity.record_served(self.traffic.served_work(self.now), self.now);
     }
 
     /// Guards against a primary that falls under a few heavy writes more than usual: the less even the work,
@@ -109,8 +138,15 @@
     fn work_per_endpoint(&self) -> f64 {
         let served = self.traffic.served_work(self.now) / self.warm_endpoints.max(1.0);
         let asked = self.traffic.offered_work(self.now) / self.usable_endpoints.max(1.0);
-        let has_history = self.now > self.created_at + DecayingRate::SPAN as Micros;
-        let are_most_warm = self.warm_endpoints * 2.0 >= self.usable_endpoints;
-        if has_history && are_most_warm { asked.min(served) } else { asked }
+        if self.has_history() && self.are_most_warm() { asked.min(served) } else { asked }
+    }
+
+    /// This router has run long enough for its rates to tell something.
+    fn has_history(&self) -> bool {
+        self.now > self.created_at + DecayingRate::SPAN as Micros
+    }
+
+    fn are_most_warm(&self) -> bool {
+        self.warm_endpoints * 2.0 >= self.usable_endpoints
     }
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -4,7 +4,7 @@
 use crate::model::*;
 use crate::policy;
 use crate::random::RandomSource;
-use crate::state::{PendingRequest, ProbeSchedule, SessionCommits, Topology, UsableCounts};
+use crate::state::{PendingRequest, ProbeSchedule, ServingCapacity, SessionCommits, Topology, UsableCounts};
 use std::collections::BTreeMap;
 
 /// Decides where each request is sent. There is one per process; routers share nothing.
@@ -34,6 +34,8 @@
     /// At least as long as the interval that any probe is scheduled by.
     pub(crate) longest_probe_interval: Micros,
     pub(crate) usable_counts: UsableCounts,
+    /// What the usable endpoints can serve.
+    pub(crate) serving_capacity: ServingCapacity,
     /// The usable endpoints at the last update of the list.
     pub(crate) usable_endpoints: f64,
     /// Those of them that were not warming up.
--- /dev/null
+++ b/src/state/serving_capacity.rs
@@ -0,0 +1,47 @@
+//! How much of the endpoints' capacity is there to serve requests.
+
+use crate::Micros;
+use crate::estimators::DecayingRate;
+
+/// The capacity of the usable endpoints, counted in endpoints that are warm, and what it was seen to serve.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct ServingCapacity {
+    average: f64,
+    most_served: f64,
+    /// When work was first seen to be served.
+    served_since: Option<Micros>,
+    counted_at: Micros,
+}
+
+impl ServingCapacity {
+    /// Records the capacity at this time; what counts is the mean over the span of the rates that it is
+    /// compared with.
+    pub(crate) fn record(&mut self, capacity: f64, now: Micros) {
+        let age = now.saturating_sub(self.counted_at) as f64;
+        let fade = (-age / DecayingRate::SPAN).exp();
+        self.average = capacity + (self.average - capacity) * fade;
+        self.counted_at = now;
+    }
+
+    /// Records the work that the endpoints serve in a second, as a moving rate. Guards against a rate that has
+    /// only begun to rise.
+    pub(crate) fn record_served(&mut self, work: f64, now: Micros) {
+        let since = *self.served_since.get_or_insert(now);
+        if work <= 0.0 {
+            self.served_since = None;
+        } else if now >= since + DecayingRate::SPAN as Micros {
+            self.most_served = self.most_served.max(work / self.average.max(1.0));
+        }
+    }
+
+    /// When it was recorded last.
+    pub(crate) fn counted_at(&self) -> Micros {
+        self.counted_at
+    }
+
+    /// The most work in a second that the endpoints were seen to serve, for the capacity of a warm one; 0 if
+    /// nothing was.
+    pub(crate) fn most_served(&self) -> f64 {
+        self.most_served
+    }
+}
--- a/src/state/usable_counts.rs
+++ b/src/state/usable_counts.rs
@@ -34,6 +34,11 @@
         self.warm_at.len()
     }
 
+    /// The usable endpoints that were not warm at the last count.
+    pub(crate) fn warming(&self) -> impl Iterator<Item = EndpointIndex> {
+        self.warming.iter().map(|(_, index)| *index)
+    }
+
     /// The number of usable endpoints that are warm; time never goes back.
     pub(crate) fn warm(&mut self, now: Micros) -> usize {
         while self.warming.first().is_some_and(|(warm_at, _)| *warm_at <= now) {
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -163,3 +163,41 @@
     let to_restarted = counts.get(&4).copied().unwrap_or(0);
     assert!(to_restarted >= 1 && to_restarted * 3 < counts[&2], "{counts:?}");
 }
+
+/// Guards against a budget that follows demand where most endpoints warm up: clients repeat what is not served,
+/// so that demand says nothing about what an endpoint can do.
+#[test]
+fn demand_that_is_not_served_does_not_raise_the_budget_of_a_primary_warming_up() {
+    let settings = settings();
+    let mut harness = RouterHarness::with_known_roles(settings.clone(), 4);
+    // 100 reads and writes a second are served: 25 at each endpoint.
+    for id in 1..=1000 {
+        harness.advance(10 * MS);
+        let class = if id % 4 == 0 { AT_MOST_ONCE } else { ANY };
+        if let Some(to) = sent_to(&harness.request(id, class)) {
+            harness.end_attempt(id, 0, to, Outcome::Ok, None);
+        }
+    }
+    for n in 1..=3 {
+        restart_in_list(&mut harness, n, n == 1);
+    }
+    harness.report(1, Role::Primary, harness.now);
+    harness.log.clear();
+    let window = settings.overload_window;
+    // Four times as much is asked for, and nothing is served.
+    let started_at = harness.now;
+    for id in 2000.. {
+        harness.advance(2500);
+        if harness.now >= started_at + window {
+            break;
+        }
+        if let Some(to) = sent_to(&harness.request(id, AT_MOST_ONCE)) {
+            harness.end_attempt(id, 0, to, Outcome::Error, None);
+        }
+    }
+    let capacity = 25.0 * settings.slow_start_capacity;
+    let allowed = settings.overload_multiple * capacity * window as f64 / 1e6;
+    let most = allowed + 3.0 * allowed.sqrt() + 3.0;
+    let sent = send_count(&harness.log, 1);
+    assert!(sent > 0 && (sent as f64) < most, "{sent} sent, {allowed:.0} allowed");
+}
