--- a/src/net/client/accept_gate.rs
+++ b/src/net/client/accept_gate.rs
@@ -105,7 +105,8 @@
         self.pause(AcceptState::PausedUntil(Instant::now() + DESCRIPTOR_RETRY_DELAY), &shared.epoll);
     }
 
-    /// Asks for no events while accepting is paused; where that fails, it is called again with the next event.
+    /// Asks for no events while accepting is paused; where that fails, it is called again with the next
+    /// event.
     pub(super) fn ignore_events(&self, epoll: &OwnedFd) {
         let _ = self.watch(epoll, EventFlags::empty());
     }
@@ -115,8 +116,8 @@
         self.ignore_events(epoll);
     }
 
-    /// Accepts connections again if there is capacity and the pause is over. Guards against a listener that is
-    /// never watched again, as an error of this machine came between.
+    /// Accepts connections again if there is capacity and the pause is over. Guards against a listener that
+    /// is never watched again, as an error of this machine came between.
     pub(super) fn resume_if_due(&mut self, shared: &ReactorShared) {
         let is_due = self.next_due().is_none_or(|due| due <= Instant::now());
         let has_capacity = !self.is_paused() || !shared.is_full();
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -157,8 +157,8 @@
 
     /// Requests the events that this state needs; with `writable_now`, an event is due at once. That the
     /// client has closed its side is always reported, even after bytes that are not read yet.
-    /// Guards against an error of this machine that would leave the connection unread, or its answer unwritten:
-    /// the reactor tries again.
+    /// Guards against an error of this machine that would leave the connection unread, or its answer
+    /// unwritten: the reactor tries again.
     pub(super) fn update_interest(&self, state: &mut ConnectionState, writable_now: bool) {
         let mut flags = EventFlags::RDHUP;
         flags.set(EventFlags::IN, !state.reading_paused);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,8 +8,19 @@
 /// The part of the overload window that budgets are saved for; half of that for primary-only work.
 const SAVED_WINDOWS: f64 = 0.5;
 const SAVED_DIVISOR: PerRole<f64> = PerRole { replica: 1.0, primary: 2.0 };
-/// The work per second of an endpoint that serves one request at a time: any endpoint that is warm serves as much.
+/// The work per second of an endpoint that serves one request at a time: any endpoint that is warm serves as
+/// much.
 const SERIAL_WORK: f64 = 1e6;
+/// Where most endpoints are warming up, the share of the overload threshold that either role gets by what
+/// endpoints were seen to serve.
+const MEASURED_LOAD_SHARE: f64 = 0.8;
+/// Clients send a request that was not served up to three times more: at least this share of the demand is of
+/// first requests.
+const FIRST_REQUEST_SHARE: f64 = 0.25;
+/// The interval between two counts of the capacity, which changes slowly while endpoints warm up.
+pub(super) const CAPACITY_COUNT_INTERVAL: Micros = 1_000_000;
+/// All routers together try an endpoint of a group that is down once in this interval.
+const LAST_RESORT_INTERVAL: Micros = 100_000;
 /// The list reports a restart within this; until then an endpoint that is back has just started.
 const RESTART_REPORT_DELAY: Micros = 4_000_000;
 
@@ -52,14 +63,17 @@
         is_admitted
     }
 
-    /// Departure: where no member of a group is up and probes may not find one, one that is down is tried once
-    /// in a while, whatever its budget. Guards against a group that nobody tries.
+    /// Departure: where no member of a group is up and probes may not find one, one that is down is tried
+    /// once in a while, whatever its budget; the more routers there are, the more rarely. Guards against a
+    /// group that nobody tries, and against many routers that try it at the same time.
     fn is_last_resort_due(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         let is_up = |member: &EndpointIndex| self.is_usable(*member) && !self.topology[*member].down;
         endpoint.down
             && !self.settings.probes
             && self.now >= endpoint.next_trial_at
+            && self.now
+                >= endpoint.last_sent_at + LAST_RESORT_INTERVAL * Micros::from(self.settings.instances)
             && !self.topology.members(endpoint.group).iter().any(is_up)
     }
 
@@ -97,14 +111,35 @@
     }
 
     /// The work per second that an endpoint may be sent while it warms up.
+    ///
+    /// Departure: where most endpoints are warming up, it is bounded by what endpoints were seen to serve for
+    /// their capacity. Guards against overload by demand that clients repeat because it is not served.
     fn slow_start_rate(&self, index: EndpointIndex, role: Role) -> f64 {
+        let mut work = self.work_per_endpoint(index) * self.load_share(role);
+        let most_served = self.serving_capacity.most_served();
+        if most_served > 0.0 && !self.are_most_warm() {
+            work = work.min((most_served * MEASURED_LOAD_SHARE).max(work * FIRST_REQUEST_SHARE));
+        }
+        work * self.capacity_share(index) * self.settings.overload_multiple
+    }
+
+    /// The share of its full capacity that an endpoint has at least while it warms up.
+    fn capacity_share(&self, index: EndpointIndex) -> f64 {
         let endpoint = &self.topology[index];
         let started_at = self.topology.started_at(index);
         let since = if endpoint.down { self.now } else { started_at.max(endpoint.recovered_at) };
         let age = self.now.saturating_sub(since) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let least = self.settings.slow_start_capacity;
-        let capacity = least + (1.0 - least) * age;
-        self.work_per_endpoint(index) * capacity * self.load_share(role) * self.settings.overload_multiple
+        least + (1.0 - least) * age
+    }
+
+    /// Counts the capacity of the usable endpoints.
+    pub(super) fn count_serving_capacity(&mut self) {
+        let warm = self.usable_counts.warm(self.now) as f64;
+        let share = |index| self.capacity_share(index).min(1.0);
+        let warming: f64 = self.usable_counts.warming().map(share).sum();
+        self.serving_capacity.record(warm + warming, self.now);
+        self.serving_capacity.record_served(self.traffic.served_work(self.now), self.now);
     }
 
     /// Guards against a primary that falls under a few heavy writes more than usual: the less even the work,
@@ -118,8 +153,8 @@
     }
 
     /// The work per second that a warm endpoint serves for this router. Departure: for a group without a warm
-    /// member, as it was when a warm endpoint last answered, or this router's part of one request at a time, if
-    /// that is more. Guards against a budget that fades while a whole group is down and serves nothing.
+    /// member, as it was when a warm endpoint last answered, or this router's part of one request at a time,
+    /// if that is more. Guards against a budget that fades while a whole group is down and serves nothing.
     fn work_per_endpoint(&self, index: EndpointIndex) -> f64 {
         let is_warm = |member: &EndpointIndex| self.is_healthy(*member) && !self.is_warming_up(*member);
         let has_warm_member = self.topology.members(self.topology[index].group).iter().any(is_warm);
@@ -141,8 +176,15 @@
     fn current_work_per_endpoint(&self) -> f64 {
         let served = self.traffic.served_work(self.now) / self.warm_endpoints.max(1.0);
         let asked = self.traffic.offered_work(self.now) / self.usable_endpoints.max(1.0);
-        let has_history = self.now > self.created_at + DecayingRate::SPAN as Micros;
-        let are_most_warm = self.warm_endpoints * 2.0 >= self.usable_endpoints;
-        if has_history && are_most_warm { asked.min(served) } else { asked }
+        if self.has_history() && self.are_most_warm() { asked.min(served) } else { asked }
+    }
+
+    /// This router has run long enough for its rates to tell something.
+    fn has_history(&self) -> bool {
+        self.now > self.created_at + DecayingRate::SPAN as Micros
+    }
+
+    fn are_most_warm(&self) -> bool {
+        self.warm_endpoints * 2.0 >= self.usable_endpoints
     }
 }
