--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,8 @@
 //! Concurrency limits and load shedding.
 
-use super::*;
+use crate::Router;
+use crate::model::{Micros, Requirement, Role};
+use crate::state::{EndpointIndex, OutstandingAttempt, PendingRequest};
 
 pub(super) const CONCURRENCY_START: f64 = 6.0; // Attempts allowed at an endpoint at first, ...
 const CONCURRENCY_MIN: f64 = 1.0; // ... at least, and at most.
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,6 +1,8 @@
 //! Which endpoints may be used: endpoint list states, outlier ejection, and trials.
 
-use super::*;
+use crate::Router;
+use crate::model::{Action, EndpointState, Micros, Role};
+use crate::state::{EndpointIndex, Failure};
 
 const FAILURE_GAIN: f64 = 0.2; // Weight of one outcome in an endpoint's failure rate, ...
 const TRIAL_GAIN: f64 = 0.5; // ... of a trial's, ...
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,12 +13,10 @@
 mod requests;
 mod slow_start;
 
-use crate::estimators::{DecayingRate, FailureRate};
-use crate::state::{
-    Endpoint, EndpointIndex, Failure, OutstandingAttempt, PendingRequest, PerRole, ProbeTimes,
-    SlowStartBudget,
-};
-use crate::{Router, model::*};
+use crate::Router;
+use crate::estimators::FailureRate;
+use crate::model::{Action, EndpointEntry, Micros};
+use crate::state::{Endpoint, EndpointIndex};
 
 const TICK_BATCHES: u64 = 4; // Batches between two runs of the periodic work (held requests, probes).
 const TICK_INTERVAL_MIN: Micros = 10_000; // The shortest interval between two runs of the periodic work.
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,6 +1,8 @@
 //! What the end of an attempt shows about its endpoint, and the next step of its request.
 
-use super::*;
+use crate::Router;
+use crate::model::{AttemptResult, EndpointState, Idempotency, Outcome, Requirement, Role};
+use crate::state::{EndpointIndex, Failure, OutstandingAttempt};
 
 impl Router {
     pub(crate) fn on_attempt_ended(&mut self, result: AttemptResult) {
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -1,6 +1,9 @@
 //! Selection for writes and reads of the latest data: the primary, or a search for it.
 
-use super::*;
+use super::Selection;
+use crate::Router;
+use crate::model::{Micros, RequestId, Requirement};
+use crate::state::EndpointIndex;
 
 pub(super) const SEARCH_INTERVAL: Micros = 100_000; // Wait between two rounds of asking members in turn.
 
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -1,6 +1,8 @@
 //! Health checks (probes): asking endpoints for their role and position.
 
-use super::*;
+use crate::Router;
+use crate::model::{Action, EndpointId, EndpointState, GroupId, LoadReport, Micros};
+use crate::state::{EndpointIndex, ProbeTimes};
 use std::collections::BTreeSet;
 
 const PROBE_SHARE: f64 = 0.5; // Probes for each request, ...
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -1,6 +1,9 @@
 //! Selection for reads that a replica may serve: the fewest pending among those that are fresh enough.
 
-use super::*;
+use super::Selection;
+use crate::Router;
+use crate::model::{Class, GroupId, Idempotency, Micros, RequestId, Requirement, Role, hold_up_margin};
+use crate::state::{EndpointIndex, PendingRequest};
 
 const LONG_READ_MULTIPLE: f64 = 5.0; // A read is long at this multiple of the lightest class.
 const CONNECTED_REPLICAS: usize = 2; // Of equals, so many of a group are used while connections last.
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,7 +1,13 @@
 //! The lifecycle of a request: from its arrival over its attempts, holds and retries to its final answer.
 
+use super::Selection;
+use super::health;
 use super::primary::SEARCH_INTERVAL;
-use super::*;
+use crate::Router;
+use crate::model::{
+    Action, GroupId, Idempotency, Micros, Request, RequestId, Requirement, Role, hold_up_margin,
+};
+use crate::state::{EndpointIndex, OutstandingAttempt, PendingRequest};
 
 const RETRY_SHARE: f64 = 0.2; // Retries for each request; those of a second are saved up.
 const RETRY_VALUE: f64 = 0.3; // Chance that a client's retry meets the objective, run from its first attempt.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,6 +1,9 @@
 //! Slow start: what an endpoint may be sent while it warms up.
 
-use super::*;
+use crate::Router;
+use crate::estimators::DecayingRate;
+use crate::model::{Micros, Role};
+use crate::state::{EndpointIndex, PerRole, SlowStartBudget};
 
 /// The share of the overload threshold that an endpoint gets if all routers use up their budgets: for reads,
 /// and at a primary for primary-only work, as replicas serve the reads.
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,7 +1,7 @@
 //! A router: its state, and the dispatch of events to the policy.
 
 use crate::estimators::{FailureRate, Traffic};
-use crate::model::*;
+use crate::model::{Action, EndpointCounts, Event, Micros, RequestId, Settings};
 use crate::policy;
 use crate::random::RandomSource;
 use crate::state::{PendingRequest, ProbeSchedule, ServingCapacity, SessionCommits, Topology, UsableCounts};
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -1,6 +1,11 @@
 //! Tests of what the router keeps up to date instead of looking at all endpoints.
 
-use super::*;
+use super::Router;
+use crate::model::{
+    Action, AttemptResult, Class, EndpointEntry, EndpointId, EndpointState, Event, GroupId, Idempotency,
+    LoadReport, Micros, Outcome, Request, RequestId, Requirement, ResponseMetadata, Role, Settings,
+};
+use crate::random::RandomSource;
 
 const MS: Micros = 1000;
 const ENDPOINTS_PER_ROUTER: u32 = 4;
