--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -4,16 +4,36 @@
 use crate::model::{Micros, Requirement, Role};
 use crate::state::{EndpointIndex, OutstandingAttempt, PendingRequest};
 
-pub(super) const CONCURRENCY_START: f64 = 6.0; // Attempts allowed at an endpoint at first, ...
-const CONCURRENCY_MIN: f64 = 1.0; // ... at least, and at most.
+/// The concurrency limit of an endpoint that nothing is known of: how many attempts of this router may be
+/// outstanding there.
+pub(super) const CONCURRENCY_START: f64 = 6.0;
+/// The lowest concurrency limit. Guards against an endpoint that gets no attempts that could raise its
+/// limit.
+const CONCURRENCY_MIN: f64 = 1.0;
+/// The highest concurrency limit. Bounds the growth at an endpoint where nothing queues.
 const CONCURRENCY_MAX: f64 = 64.0;
-const CONCURRENCY_GAIN: f64 = 0.5; // The limit grows by this in a round of attempts, ...
-const CONCURRENCY_CUT: f64 = 0.15; // ... and falls by this part with each that queues, ...
-const DELAY_TARGET: f64 = 0.2; // ... while the queueing delay is above this share of the objective.
-const SHED_START: f64 = 0.15; // Work is shed from this queueing delay on, all of it this much above.
+/// How much the limit grows, in attempts, over one round of as many attempts as it allows.
+const CONCURRENCY_GAIN: f64 = 0.5;
+/// The part of the limit that is cut with each attempt that queues while the endpoint's queueing delay is
+/// above [`DELAY_TARGET`].
+const CONCURRENCY_CUT: f64 = 0.15;
+/// The queueing delay, as a share of the latency objective, above which the limit falls and below which it
+/// grows.
+const DELAY_TARGET: f64 = 0.2;
+/// The queueing delay of a group, as a share of the latency objective, from which on work is shed.
+const SHED_START: f64 = 0.15;
+/// How far the queueing delay has to be above [`SHED_START`] for the share that is shed to reach its most,
+/// as a share of the latency objective.
 const SHED_SPAN: f64 = 0.6;
-const SHED_RELIEF: f64 = 2.0; // Shedding yields to the limits by this for each attempt at an endpoint.
-const LIMIT_SHARE_MIN: f64 = 0.5; // The share of the limit for the lowest-priority work, and the highest.
+/// How much shedding yields to the concurrency limits: one plus this, times the attempts that a warm
+/// endpoint has in service for this router, divides the share that is shed. A router with several attempts
+/// at an endpoint can limit them; one with fewer than one can only shed.
+const SHED_RELIEF: f64 = 2.0;
+/// The share of the concurrency limit that work of the lowest priority may use, so that room is left for
+/// work of higher priority.
+const LIMIT_SHARE_MIN: f64 = 0.5;
+/// The share of the concurrency limit that work of the highest priority may use; above one, as it may
+/// exceed the limit a little.
 const LIMIT_SHARE_MAX: f64 = 1.4;
 
 impl Router {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -4,13 +4,26 @@
 use crate::model::{Action, EndpointState, Micros, Role};
 use crate::state::{EndpointIndex, Failure};
 
-const FAILURE_GAIN: f64 = 0.2; // Weight of one outcome in an endpoint's failure rate, ...
-const TRIAL_GAIN: f64 = 0.5; // ... of a trial's, ...
-const OVERALL_FAILURE_GAIN: f64 = 0.05; // ... and of each in the failure rate of all endpoints.
-pub(super) const EJECTION_THRESHOLD: f64 = 0.35; // An endpoint this far above the rate of all is ejected.
-pub(super) const TRIAL_INTERVAL: Micros = 800_000; // Least wait between two trials; twice that at most.
-pub(super) const TRIAL_SHARE: f64 = 0.1; // Part of the requests that may be trials.
-const DOWN_AFTER: Micros = 50_000; // An endpoint that refused connections over this span is down.
+/// The weight of one outcome in the failure rate of its endpoint.
+const FAILURE_GAIN: f64 = 0.2;
+/// The weight of one outcome in the failure rate of an endpoint that is ejected or was found to be down.
+/// It is higher than [`FAILURE_GAIN`], as such an endpoint gets few attempts.
+const TRIAL_GAIN: f64 = 0.5;
+/// The weight of one outcome in the failure rate of all endpoints. It is lower than [`FAILURE_GAIN`], as
+/// every attempt counts there.
+const OVERALL_FAILURE_GAIN: f64 = 0.05;
+/// How far an endpoint's failure rate may be above that of all endpoints before it is ejected. It is
+/// readmitted at half of that. Guards against ejection for a fault that all endpoints share.
+pub(super) const EJECTION_THRESHOLD: f64 = 0.35;
+/// The shortest wait before the next trial of an ejected endpoint; the longest is twice that, drawn at
+/// random so that routers do not try it at the same time.
+pub(super) const TRIAL_INTERVAL: Micros = 800_000;
+/// The part of the requests that may be trials. Guards against spending much of the traffic on endpoints
+/// that are likely to fail.
+pub(super) const TRIAL_SHARE: f64 = 0.1;
+/// How long an endpoint must have refused or broken connections before one more refusal shows that it is
+/// down. Guards against taking a few refusals for the end of its process.
+const DOWN_AFTER: Micros = 50_000;
 
 impl Router {
     /// Departure: where only draining binds, an endpoint that is listed as removed is used while it answers.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,13 +18,23 @@
 use crate::model::{Action, EndpointEntry, Micros};
 use crate::state::{Endpoint, EndpointIndex};
 
-const TICK_BATCHES: u64 = 4; // Batches between two runs of the periodic work (held requests, probes).
-const TICK_INTERVAL_MIN: Micros = 10_000; // The shortest interval between two runs of the periodic work.
-const SUSPENSION_DELAY: Micros = 100_000; // A tick later than this means that this process was suspended.
-const LIST_RETRY_DELAY: Micros = 1_000_000; // Delay before the list is polled again after a failure.
-pub(crate) const FIRST_SEND_NUMBER: u64 = 1 << 16; // Endpoints not sent to yet draw theirs below.
-pub(crate) const BUDGET_START: f64 = 1.0; // Retries and trials that are saved up at first.
+/// The interval between two runs of the periodic work (held requests, probes), in batches of events, which
+/// come at the settings' resolution.
+const TICK_BATCHES: u64 = 4;
+/// The shortest interval between two runs of the periodic work, also where the resolution is finer.
+const TICK_INTERVAL_MIN: Micros = 10_000;
+/// A tick that comes later than this shows that this process was suspended.
+const SUSPENSION_DELAY: Micros = 100_000;
+/// The wait before the endpoint list is asked for again after a failed call.
+const LIST_RETRY_DELAY: Micros = 1_000_000;
+/// A router numbers its sends from here on. Endpoints that it has not sent to yet draw a number below, so
+/// that they come before the others, in a random order in each router.
+pub(crate) const FIRST_SEND_NUMBER: u64 = 1 << 16;
+/// The retries, and the trials, that a new router may spend before it has seen any requests.
+pub(crate) const BUDGET_START: f64 = 1.0;
+/// The token of the timer of the periodic work.
 const TICK_TIMER: u32 = 0;
+/// The token of the timer after which the endpoint list is asked for again.
 const LIST_TIMER: u32 = 1;
 
 /// The next step of a request.
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -5,7 +5,9 @@
 use crate::model::{Micros, RequestId, Requirement};
 use crate::state::EndpointIndex;
 
-pub(super) const SEARCH_INTERVAL: Micros = 100_000; // Wait between two rounds of asking members in turn.
+/// The shortest wait between two rounds of asking the members of a group in turn, and the shortest backoff
+/// of a request that was tried. Guards against a group that is flooded with searches during a failover.
+pub(super) const SEARCH_INTERVAL: Micros = 100_000;
 
 impl Router {
     pub(super) fn select_primary(&mut self, id: RequestId) -> Selection {
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -5,11 +5,17 @@
 use crate::state::{EndpointIndex, ProbeTimes};
 use std::collections::BTreeSet;
 
-const PROBE_SHARE: f64 = 0.5; // Probes for each request, ...
-pub(super) const INTERVAL_MIN: Micros = 250_000; // ... and the least interval between two of an endpoint.
-const PROBED_AT_START: u64 = 200; // Of so many endpoints, all get their first probe at the usual rate.
-const URGENCY: Micros = 4; // Probe rate factor at endpoints that are down and in groups not led.
-const OUTDATED_MULTIPLE: Micros = 8; // An interval that is so many times the current one is outdated.
+/// The probes that a router sends for each request that it gets, at the usual rate.
+const PROBE_SHARE: f64 = 0.5;
+/// The shortest usual interval between two probes of an endpoint.
+const INTERVAL_MIN: Micros = 250_000;
+/// Up to this many endpoints, all routers together send an endpoint one first probe in [`INTERVAL_MIN`].
+const PROBED_AT_START: u64 = 200;
+/// How many times as often as usual endpoints that are down, and members of groups without a usable
+/// primary, are probed.
+const URGENCY: Micros = 4;
+/// An endpoint's probe interval is outdated if it is more than this many times the current one.
+const OUTDATED_MULTIPLE: Micros = 8;
 
 impl Router {
     pub(super) fn start_probes(&mut self) {
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -5,9 +5,14 @@
 use crate::model::{Class, GroupId, Idempotency, Micros, RequestId, Requirement, Role, hold_up_margin};
 use crate::state::{EndpointIndex, PendingRequest};
 
-const LONG_READ_MULTIPLE: f64 = 5.0; // A read is long at this multiple of the lightest class.
-const CONNECTED_REPLICAS: usize = 2; // Of equals, so many of a group are used while connections last.
-const CONNECTION_LIFE_PERCENT: Micros = 80; // A connection lasts this part of what an endpoint allows.
+/// A read is long if it takes more than this many times as long as a request of the lightest class.
+const LONG_READ_MULTIPLE: f64 = 5.0;
+/// Where at least this many replicas of a group have a connection, those without one yield to equals that
+/// have one. Guards against a connection from each of many routers to each endpoint.
+const CONNECTED_REPLICAS: usize = 2;
+/// The part of the idle timeout, in percent, for which a connection counts as open after it was last used.
+/// Guards against a connection that the endpoint closes while a request is on its way.
+const CONNECTION_LIFE_PERCENT: Micros = 80;
 
 /// What kind of endpoint may serve a read, the preferred first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -9,13 +9,25 @@
 };
 use crate::state::{EndpointIndex, OutstandingAttempt, PendingRequest};
 
-const RETRY_SHARE: f64 = 0.2; // Retries for each request; those of a second are saved up.
-const RETRY_VALUE: f64 = 0.3; // Chance that a client's retry meets the objective, run from its first attempt.
-const WINDOW_USED: f64 = 0.95; // Part of a keyed request's window to send in, ...
-const ATTEMPT_WINDOW: f64 = 0.5; // ... and that one attempt may take, ...
-const KEYED_TIMEOUT_MULTIPLE: f64 = 4.0; // ... or this multiple of its usual time, if that is more.
-const EXPLORATORY_TIMEOUT_MULTIPLE: f64 = 3.0; // The same for trials and searches for the primary.
-const ANSWER_VALIDITY: Micros = 100_000; // Evidence from an answer counts as current this long.
+/// The retries that each request adds to the retry budget, which saves up those of one second. Guards
+/// against retries that multiply the load of endpoints that fail.
+const RETRY_SHARE: f64 = 0.2;
+/// The chance that a client's retry still meets the latency objective, which counts from its first
+/// attempt.
+const RETRY_VALUE: f64 = 0.3;
+/// The part of a keyed request's window after its first run in which it may be sent again.
+const WINDOW_USED: f64 = 0.95;
+/// The part of a keyed request's window that one attempt may take, so that time is left in it for another.
+const ATTEMPT_WINDOW: f64 = 0.5;
+/// One attempt of a keyed request may take this many times its unloaded time, if that is more than
+/// [`ATTEMPT_WINDOW`] allows.
+const KEYED_TIMEOUT_MULTIPLE: f64 = 4.0;
+/// An exploratory attempt (a trial, or a search for the primary) may take this many times its unloaded
+/// time.
+const EXPLORATORY_TIMEOUT_MULTIPLE: f64 = 3.0;
+/// How long an answer counts as evidence that its endpoint still is the primary. An attempt may wait for
+/// its connection for half of that.
+const ANSWER_VALIDITY: Micros = 100_000;
 
 impl Router {
     pub(crate) fn on_request(&mut self, request: Request) {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -5,26 +5,30 @@
 use crate::model::{Micros, Role};
 use crate::state::{EndpointIndex, PerRole, SlowStartBudget};
 
-/// The share of the overload threshold that an endpoint gets if all routers use up their budgets: for reads,
-/// and at a primary for primary-only work, as replicas serve the reads.
+/// The share of the overload threshold that an endpoint gets if all routers use up their budgets. It is
+/// larger for work that only a primary can serve, as replicas serve the reads there.
 const LOAD_SHARE: PerRole<f64> = PerRole { replica: 0.4, primary: 0.8 };
-/// The part of the overload window that budgets are saved for; half of that for primary-only work.
+/// The part of the overload window for which an unused budget is saved. Guards against an endpoint that is
+/// pushed over its threshold within one window by what all routers have saved.
 const SAVED_WINDOWS: f64 = 0.5;
+/// What [`SAVED_WINDOWS`] is divided by: primary-only work is saved for half as long, as its
+/// [`LOAD_SHARE`] is twice as large.
 const SAVED_DIVISOR: PerRole<f64> = PerRole { replica: 1.0, primary: 2.0 };
-/// The work per second of an endpoint that serves one request at a time: any endpoint that is warm serves as
-/// much.
+/// The work per second, in microseconds of unloaded time, of an endpoint that serves one request at a
+/// time. Any endpoint that is warm serves at least that much.
 const SERIAL_WORK: f64 = 1e6;
-/// Where most endpoints are warming up, the share of the overload threshold that either role gets by what
-/// endpoints were seen to serve.
+/// The share of the overload threshold that an endpoint of either role gets where most endpoints are
+/// warming up, reckoned from what endpoints were seen to serve.
 const MEASURED_LOAD_SHARE: f64 = 0.8;
-/// Clients send a request that was not served up to three times more: at least this share of the demand is of
-/// first requests.
+/// The least share of the demand that first requests make up: clients repeat a request that was not served
+/// up to three times.
 const FIRST_REQUEST_SHARE: f64 = 0.25;
-/// The interval between two counts of the capacity, which changes slowly while endpoints warm up.
+/// The interval between two counts of the serving capacity, which changes slowly while endpoints warm up.
 pub(super) const CAPACITY_COUNT_INTERVAL: Micros = 1_000_000;
-/// All routers together try an endpoint of a group that is down once in this interval.
+/// The interval in which all routers together try an endpoint of a group that is down once.
 const LAST_RESORT_INTERVAL: Micros = 100_000;
-/// The list reports a restart within this; until then an endpoint that is back has just started.
+/// How long the list may take to report a restart. Until then, an endpoint that is back counts as just
+/// started.
 const RESTART_REPORT_DELAY: Micros = 4_000_000;
 
 impl Router {
