--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -124,8 +124,8 @@
         work * self.capacity_share(index) * self.settings.overload_multiple
     }
 
-    /// The share of the overload threshold that an endpoint gets, less at a primary where the work that only it
-    /// can serve is uneven: the less even it is, the more is left to chance. Guards against a primary that
+    /// The share of the overload threshold that an endpoint gets, less at a primary where the work that only
+    /// it can serve is uneven: the less even it is, the more is left to chance. Guards against a primary that
     /// falls under a few heavy writes more than usual.
     fn load_share(&self, role: Role) -> f64 {
         let dispersion = match role {
