--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,10 +5,12 @@
 //! and reads of the latest data go to the endpoint last seen as primary. Deviations are marked "Departure".
 
 mod admission;
+mod clock_changes;
 mod endpoint_capacity;
 mod health;
 mod outcomes;
 mod primary;
+mod probe_timing;
 mod probing;
 mod replicas;
 mod requests;
