--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,6 +7,7 @@
 mod admission;
 mod clock_changes;
 mod endpoint_capacity;
+mod endpoint_updates;
 mod health;
 mod outcomes;
 mod primary;
@@ -17,9 +18,8 @@
 mod slow_start;
 
 use crate::Router;
-use crate::estimators::FailureRate;
-use crate::model::{Action, EndpointEntry, Micros};
-use crate::state::{Endpoint, EndpointIndex};
+use crate::model::{Action, Micros};
+use crate::state::EndpointIndex;
 
 /// The interval between two runs of the periodic work (held requests, probes), in batches of events, which
 /// come at the settings' resolution.
@@ -94,69 +94,4 @@
         self.start_probes();
         self.commits.prune(|group, position| self.topology.all_members_have(group, position, self.now));
     }
-
-    pub(crate) fn on_endpoint_update(&mut self, full: bool, entries: Vec<EndpointEntry>) {
-        if full {
-            let removed = self.topology.remove_unlisted(&entries);
-            removed.into_iter().for_each(|index| self.update_indexes(index));
-        }
-        let is_first_list = self.topology.endpoint_count() == 0;
-        let endpoint_count = self.topology.endpoint_count().max(entries.len());
-        let mut newly_hinted = Vec::new();
-        for entry in entries {
-            let known = self.topology.find(entry.endpoint);
-            let index = known.unwrap_or_else(|| self.add_endpoint(&entry, is_first_list, endpoint_count));
-            let former_group = self.topology[index].group;
-            if self.topology.apply_entry(index, &entry, self.now) {
-                newly_hinted.push(entry.group);
-            }
-            self.update_indexes(index);
-            self.update_leadership(former_group);
-        }
-        self.usable_endpoints = self.usable_counts.usable() as f64;
-        self.warm_endpoints = self.usable_counts.warm(self.now) as f64;
-        self.count_serving_capacity();
-        newly_hinted.into_iter().for_each(|group| self.resume_held(Some(group), true));
-        self.resume_held(None, false);
-    }
-
-    /// Updates what is known of all endpoints together; called after each event that may have changed this
-    /// one.
-    fn update_indexes(&mut self, index: EndpointIndex) {
-        let warm_at = self.is_usable(index).then(|| self.warm_at(index));
-        self.usable_counts.record(index, warm_at);
-        self.schedule_probe(index);
-        self.probe_schedule.record_down(index, self.topology[index].down);
-        self.update_leadership(self.topology[index].group);
-    }
-
-    /// Adds an endpoint; there are about so many.
-    fn add_endpoint(
-        &mut self,
-        entry: &EndpointEntry,
-        is_first_list: bool,
-        endpoint_count: usize,
-    ) -> EndpointIndex {
-        let (index, former_group) = self.topology.allocate(entry.endpoint, self.now);
-        former_group.into_iter().for_each(|group| self.update_leadership(group));
-        let next_probe_at = self.now + self.random.below(self.first_probe_spread(endpoint_count));
-        let last_send_number = self.random.below(FIRST_SEND_NUMBER);
-        // A trial comes first where it costs no time: where trials reach all endpoints in a second. Only a
-        // start that the list reports lets a new one be used at once: slow start bounds its load.
-        let trials_per_second = self.traffic.arrivals.at(self.now) * health::TRIAL_SHARE;
-        let trials_are_quick = trials_per_second > self.topology.endpoint_count() as f64;
-        let ejected = !is_first_list && (entry.started_at == 0 || trials_are_quick);
-        let failure_rate = FailureRate::new(if ejected { health::EJECTION_THRESHOLD } else { 0.0 });
-        let endpoint = Endpoint {
-            concurrency_limit: admission::CONCURRENCY_START,
-            confirmed: is_first_list,
-            ejected,
-            failure_rate,
-            next_probe_at,
-            last_send_number,
-            ..Endpoint::new(entry)
-        };
-        self.topology.add(index, endpoint);
-        index
-    }
 }
