--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -66,6 +66,7 @@
         if is_needless { rank * LIMIT_SHARE_MIN } else { rank }
     }
 
+    /// The number of this router's attempts at an endpoint that are outstanding and may still be answered.
     pub(super) fn pending_count(&self, index: EndpointIndex) -> usize {
         self.topology[index].pending_count(&self.settings.classes)
     }
@@ -75,7 +76,7 @@
         self.traffic.baselines.unloaded(class)
     }
 
-    /// Records the time of an attempt; none for one that was not answered, which counts as a full delay,
+    /// Records how long an attempt took. One that was not answered has no time and counts as a full delay,
     /// however little time the client had left.
     pub(super) fn record_latency(
         &mut self,
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -35,15 +35,18 @@
             || (endpoint.state == EndpointState::Removed && may_be_in_service)
     }
 
+    /// Whether an endpoint that is listed as removed may still be used.
     pub(super) fn may_serve_though_removed(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         self.settings.removed_endpoints_usable && endpoint.confirmed && !endpoint.has_drained
     }
 
+    /// Whether an endpoint may be used and is not ejected.
     pub(super) fn is_healthy(&self, index: EndpointIndex) -> bool {
         self.is_usable(index) && !self.topology[index].ejected
     }
 
+    /// Whether an ejected endpoint may get its next trial.
     pub(super) fn is_trial_due(&self, index: EndpointIndex) -> bool {
         self.topology[index].ejected && self.now >= self.topology[index].next_trial_at
     }
@@ -70,6 +73,7 @@
         endpoint.next_trial_at = self.now + TRIAL_INTERVAL + self.random.below(TRIAL_INTERVAL);
     }
 
+    /// Counts an attempt that was answered, and readmits an ejected endpoint whose failure rate has fallen.
     pub(super) fn record_success(&mut self, index: EndpointIndex) {
         self.update_failure_rates(index, false, false);
         if !self.readmit_if_recovered(index) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -42,15 +42,17 @@
 
 /// The next step of a request.
 enum Selection {
-    /// To an endpoint, with a short timeout where this explores: a trial, or a search for the primary.
+    /// It is sent to an endpoint. The attempt has a short timeout if it is exploratory: a trial, or part of a
+    /// search for the primary.
     Send { endpoint: EndpointIndex, exploratory: bool },
-    /// Nowhere now: it is held and reconsidered later.
+    /// It is sent nowhere now, but held and reconsidered later.
     Hold,
-    /// Nowhere: it is shed.
+    /// It is shed: it is sent nowhere, and gets its final answer.
     Shed,
 }
 
 impl Router {
+    /// Does what a timer was set for.
     pub(crate) fn on_timer(&mut self, token: u32) {
         match token {
             TICK_TIMER => self.on_tick(),
@@ -59,6 +61,7 @@
         }
     }
 
+    /// Asks for the endpoint list again after a while.
     pub(crate) fn on_endpoint_list_failed(&mut self) {
         self.set_timer(LIST_TIMER, LIST_RETRY_DELAY);
     }
@@ -80,10 +83,12 @@
         }
     }
 
+    /// The interval between two runs of the periodic work.
     fn tick_interval(&self) -> Micros {
         (self.settings.resolution * TICK_BATCHES).max(TICK_INTERVAL_MIN)
     }
 
+    /// Does the periodic work.
     fn on_tick(&mut self) {
         self.set_timer(TICK_TIMER, self.tick_interval());
         self.next_tick_at = self.now + self.tick_interval();
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -5,13 +5,15 @@
 use crate::state::{EndpointIndex, Failure, OutstandingAttempt};
 
 impl Router {
+    /// Takes in what the end of an attempt shows, and takes the next step for its request.
     pub(crate) fn on_attempt_ended(&mut self, result: AttemptResult) {
         let Some(index) = self.topology.find(result.endpoint) else { return };
         let endpoint = &mut self.topology[index];
         let Some(attempt) = endpoint.take_outstanding(result.request, result.attempt) else { return };
         let group = endpoint.group;
         let primary_before = self.topology.primary(group);
-        let unloaded = self.unloaded(attempt.class); // Before this attempt's time is recorded.
+        // The unloaded time is taken before this attempt's own time is recorded, which may change it.
+        let unloaded = self.unloaded(attempt.class);
         self.topology[index].record_outcome(result.outcome, self.now);
         let is_usable = self.is_usable(index);
         // A keyed write that had run before is answered with the time of its first run.
@@ -25,6 +27,7 @@
         self.resume_held_in_group(group, primary_before);
     }
 
+    /// Records what an outcome shows about the health and the load of its endpoint.
     fn record_outcome(&mut self, index: EndpointIndex, attempt: OutstandingAttempt, result: &AttemptResult) {
         match result.outcome {
             Outcome::Ok => {
@@ -48,18 +51,19 @@
                 }
             }
             Outcome::NotServable => self.record_not_servable(index, attempt),
-            // Nothing is learnt from it: a trial is still due.
+            // A local error shows nothing about the endpoint: a trial is still due.
             Outcome::LocalError => self.topology[index].next_trial_at = self.now,
             Outcome::Cancelled | Outcome::NeverSent => {}
         }
     }
 
-    /// What was sent well after this attempt was answered without queueing.
+    /// Whether an attempt was lost: one that was sent well after it has been answered without queueing.
     fn is_lost(&self, index: EndpointIndex, attempt: OutstandingAttempt) -> bool {
         let patience = self.settings.classes[attempt.class].latency_objective / 2;
         attempt.sent_at + patience < self.topology[index].last_undelayed_send
     }
 
+    /// Records that an endpoint is not the primary, or that it lacks a position that a read required.
     fn record_not_servable(&mut self, index: EndpointIndex, attempt: OutstandingAttempt) {
         let required = match self.settings.classes[attempt.class].requirement {
             Requirement::Write => return self.topology.record_write_rejected(index, self.now),
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -10,6 +10,7 @@
 pub(super) const SEARCH_INTERVAL: Micros = 100_000;
 
 impl Router {
+    /// The next step of a request that only the primary can serve.
     pub(super) fn select_primary(&mut self, id: RequestId) -> Selection {
         let pending = &self.requests[&id];
         let group = pending.request.group;
@@ -17,7 +18,7 @@
             return Selection::Hold;
         }
         let Some(primary) = self.topology.presumed_primary(group) else { return self.search_primary(id) };
-        // One that only the list names is not asked twice.
+        // A primary that only the list names is not asked twice by the same request.
         let is_known = self.topology.primary(group) == Some(primary);
         let has_choice = self.topology.members(group).len() > 1;
         let is_avoided = self.topology[primary].ejected && !self.is_trial_due(primary) && has_choice;
@@ -79,6 +80,7 @@
         members
     }
 
+    /// The known primary, if it is usable, has capacity and was not tried by this request.
     fn untried_primary(&self, id: RequestId) -> Option<EndpointIndex> {
         let pending = &self.requests[&id];
         let is_untried =
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -36,6 +36,7 @@
 }
 
 impl Router {
+    /// The next step of a read that a replica may serve.
     pub(super) fn select_replica(&mut self, id: RequestId) -> Selection {
         let pending = &self.requests[&id];
         let class = pending.request.class;
@@ -104,6 +105,7 @@
         probed.inspect(|replica| self.probe(*replica)).is_some()
     }
 
+    /// The position that an endpoint must have reached to serve a read.
     fn required_position(&self, pending: &PendingRequest) -> Micros {
         let class = &self.settings.classes[pending.request.class];
         let present = self.topology.present(pending.request.group, self.now);
@@ -121,24 +123,29 @@
         }
     }
 
+    /// The position that an endpoint is likely to have when it serves a read, or is known to have where only
+    /// that is safe.
     fn expected_position(&self, index: EndpointIndex) -> Micros {
         let behavior = self.settings.stale_read_behavior;
         let clock = self.topology.clock_of(index);
         self.topology[index].replication.expected_position(behavior, clock, self.now)
     }
 
+    /// The position that an endpoint is likely to have by now.
     fn estimated_position(&self, index: EndpointIndex) -> Micros {
         let clock = self.topology.clock_of(index);
         self.topology[index].replication.estimated_position(clock, self.now)
     }
 
-    /// Its answer is fresh enough, or it rejects the read. Trials keep to this like all sends.
+    /// Whether an endpoint's answer will be fresh enough, or the endpoint rejects the read if it is not.
+    /// Trials keep to this like all sends.
     fn may_serve(&self, pending: &PendingRequest, index: EndpointIndex) -> bool {
         !self.settings.endpoints_serve_stale()
             || self.topology.role(index) == Role::Primary
             || self.expected_position(index) >= self.required_position(pending)
     }
 
+    /// The endpoint with the fewest pending attempts among those that may serve a read.
     fn least_pending(&self, pending: &PendingRequest, open: &[EndpointIndex]) -> Selection {
         let group = pending.request.group;
         let any_healthy = self.any_healthy(group);
@@ -197,6 +204,7 @@
         accepted.iter().map(rank).collect()
     }
 
+    /// Whether an endpoint is a replica to which a connection is probably open.
     fn is_connected_replica(&self, group: GroupId, index: EndpointIndex) -> bool {
         let life = self.settings.idle_timeout * CONNECTION_LIFE_PERCENT / 100;
         let lasts = self.now < self.topology[index].last_sent_at + life;
@@ -213,13 +221,14 @@
         candidates.min_by_key(|member| self.topology[*member].id).filter(|_| has_long_reads)
     }
 
+    /// Whether requests of a class are long reads that need no freshness.
     fn is_long_read(&self, class: usize) -> bool {
         let lightest = self.traffic.baselines.all().fold(f64::INFINITY, f64::min);
         let needs_no_freshness = self.settings.classes[class].requirement == Requirement::Any;
         needs_no_freshness && self.unloaded(class) > LONG_READ_MULTIPLE * lightest
     }
 
-    /// Sending to it costs a crossing between zones.
+    /// Whether sending to an endpoint costs a crossing between zones.
     fn crosses_zones(&self, index: EndpointIndex) -> bool {
         self.topology[index].zone != self.settings.zone && self.settings.cross_zone_cost > 0.0
     }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -30,6 +30,7 @@
 const ANSWER_VALIDITY: Micros = 100_000;
 
 impl Router {
+    /// Takes in a new request: counts it, sets its priority and takes its first step.
     pub(crate) fn on_request(&mut self, request: Request) {
         let shed_draw = self.random.fraction();
         self.traffic.arrivals.record(self.now);
@@ -119,6 +120,7 @@
             && members.iter().any(|member| self.is_usable(*member))
     }
 
+    /// Sends a request to an endpoint.
     fn send(&mut self, id: RequestId, index: EndpointIndex, exploratory: bool) {
         let Some(pending) = self.requests.get(&id) else { return };
         let class = pending.request.class;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -26,12 +26,13 @@
 const RESTART_REPORT_DELAY: Micros = 4_000_000;
 
 impl Router {
-    /// Warming up by the list, down, or back so recently that the list may not report it yet.
+    /// Whether an endpoint is warming up by the list, is down, or is back so recently that the list may not
+    /// report its restart yet.
     pub(crate) fn is_warming_up(&self, index: EndpointIndex) -> bool {
         self.now < self.warm_at(index)
     }
 
-    /// Until then it is warming up; the end of time for one that is down.
+    /// The time until which an endpoint is warming up; [`Micros::MAX`] for one that is down.
     pub(super) fn warm_at(&self, index: EndpointIndex) -> Micros {
         let endpoint = &self.topology[index];
         if endpoint.down {
@@ -78,6 +79,8 @@
             && !self.topology.members(endpoint.group).iter().any(is_up)
     }
 
+    /// The part of a request's cost that may be staked on credit: the budget's share of the offered work of
+    /// the endpoint's group.
     fn slow_start_credit(&self, index: EndpointIndex, role: Role, cost: f64) -> f64 {
         let asked = self.traffic.offered_primary_work(&self.settings.classes, self.now);
         // The work offered so far, while little, counts as what an endpoint serves. Guards against surges.
@@ -94,10 +97,13 @@
         let budgets = &mut self.topology[index].slow_start;
         budgets[role] = SlowStartBudget { saved, updated_at: self.now };
         if role == Role::Replica {
-            budgets.primary.saved -= cost; // Budget used for reads there is not left for writes.
+            // Budget that an endpoint has used for reads is not left for writes.
+            budgets.primary.saved -= cost;
         }
     }
 
+    /// The budget that an endpoint has saved by now for requests of this class, in microseconds of unloaded
+    /// time.
     fn saved_budget(&self, index: EndpointIndex, class: usize) -> f64 {
         let role = self.settings.classes[class].role();
         let rate = self.slow_start_rate(index, role);
--- a/src/router.rs
+++ b/src/router.rs
@@ -27,24 +27,24 @@
     pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
     pub(crate) commits: SessionCommits,
     pub(crate) traffic: Traffic,
-    /// Of attempts at all endpoints.
+    /// The failure rate of the attempts at all endpoints.
     pub(crate) failure_rate: FailureRate,
 
     pub(crate) probe_schedule: ProbeSchedule,
-    /// At least as long as the interval that any probe is scheduled by.
+    /// An upper bound of the intervals by which probes are scheduled.
     pub(crate) longest_probe_interval: Micros,
     pub(crate) usable_counts: UsableCounts,
     /// What the usable endpoints can serve.
     pub(crate) serving_capacity: ServingCapacity,
-    /// The usable endpoints at the last update of the list.
+    /// The number of usable endpoints at the last update of the list.
     pub(crate) usable_endpoints: f64,
-    /// Those of them that were not warming up.
+    /// The number of those that were not warming up then.
     pub(crate) warm_endpoints: f64,
     /// The work per second that a warm endpoint served for this router when one last answered.
     pub(crate) last_warm_work: f64,
     pub(crate) retry_budget: f64,
     pub(crate) trial_budget: f64,
-    /// The number of the last send.
+    /// The number of the last send, counted from [`policy::FIRST_SEND_NUMBER`].
     pub(crate) sends: u64,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The same, whose host's clock may differ from that of the members: positions are compared with what the
+    /// A router whose host's clock may differ from that of the members: it compares positions with what the
     /// answers of primaries show of their groups' clocks.
     pub fn with_unknown_clock(settings: Settings, seed: u64, now: Micros) -> Self {
         Router { topology: Topology::with_unknown_clock(), ..Router::new(settings, seed, now) }
