--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,41 +5,54 @@
 //! and reads of the latest data go to the endpoint last seen as primary. Deviations are marked "Departure".
 
 mod admission;
+mod clock_changes;
+mod endpoint_capacity;
+mod endpoint_updates;
 mod health;
 mod outcomes;
 mod primary;
+mod probe_timing;
 mod probing;
 mod replicas;
 mod requests;
 mod slow_start;
 
-use crate::estimators::{DecayingRate, FailureRate};
-use crate::state::{
-    Endpoint, EndpointIndex, Failure, OutstandingAttempt, PendingRequest, PerRole, ProbeTimes,
-    SlowStartBudget,
-};
-use crate::{Router, model::*};
+use crate::Router;
+use crate::model::{Action, Micros};
+use crate::state::EndpointIndex;
 
-const TICK_BATCHES: u64 = 4; // Batches between two runs of the periodic work (held requests, probes).
-const TICK_INTERVAL_MIN: Micros = 10_000; // The shortest interval between two runs of the periodic work.
-const SUSPENSION_DELAY: Micros = 100_000; // A tick later than this means that this process was suspended.
-const LIST_RETRY_DELAY: Micros = 1_000_000; // Delay before the list is polled again after a failure.
-pub(crate) const FIRST_SEND_NUMBER: u64 = 1 << 16; // Endpoints not sent to yet draw theirs below.
-pub(crate) const BUDGET_START: f64 = 1.0; // Retries and trials that are saved up at first.
+/// The interval between two runs of the periodic work (held requests, probes), in batches of events, which
+/// come at the settings' resolution.
+const TICK_BATCHES: u64 = 4;
+/// The shortest interval between two runs of the periodic work, also where the resolution is finer.
+const TICK_INTERVAL_MIN: Micros = 10_000;
+/// A tick that comes later than this shows that this process was suspended.
+const SUSPENSION_DELAY: Micros = 100_000;
+/// The wait before the endpoint list is asked for again after a failed call.
+const LIST_RETRY_DELAY: Micros = 1_000_000;
+/// A router numbers its sends from here on. Endpoints that it has not sent to yet draw a number below, so
+/// that they come before the others, in a random order in each router.
+pub(crate) const FIRST_SEND_NUMBER: u64 = 1 << 16;
+/// The retries, and the trials, that a new router may spend before it has seen any requests.
+pub(crate) const BUDGET_START: f64 = 1.0;
+/// The token of the timer of the periodic work.
 const TICK_TIMER: u32 = 0;
+/// The token of the timer after which the endpoint list is asked for again.
 const LIST_TIMER: u32 = 1;
 
 /// The next step of a request.
 enum Selection {
-    /// To an endpoint, with a short timeout where this explores: a trial, or a search for the primary.
+    /// It is sent to an endpoint. The attempt has a short timeout if it is exploratory: a trial, or part of a
+    /// search for the primary.
     Send { endpoint: EndpointIndex, exploratory: bool },
-    /// Nowhere now: it is held and reconsidered later.
+    /// It is sent nowhere now, but held and reconsidered later.
     Hold,
-    /// Nowhere: it is shed.
+    /// It is shed: it is sent nowhere, and gets its final answer.
     Shed,
 }
 
 impl Router {
+    /// Does what a timer was set for.
     pub(crate) fn on_timer(&mut self, token: u32) {
         match token {
             TICK_TIMER => self.on_tick(),
@@ -48,6 +61,7 @@
         }
     }
 
+    /// Asks for the endpoint list again after a while.
     pub(crate) fn on_endpoint_list_failed(&mut self) {
         self.set_timer(LIST_TIMER, LIST_RETRY_DELAY);
     }
@@ -69,83 +83,20 @@
         }
     }
 
+    /// The interval between two runs of the periodic work.
     fn tick_interval(&self) -> Micros {
         (self.settings.resolution * TICK_BATCHES).max(TICK_INTERVAL_MIN)
     }
 
+    /// Does the periodic work.
     fn on_tick(&mut self) {
         self.set_timer(TICK_TIMER, self.tick_interval());
         self.next_tick_at = self.now + self.tick_interval();
-        if self.now >= self.serving_capacity.counted_at() + slow_start::CAPACITY_COUNT_INTERVAL {
+        if self.now >= self.serving_capacity.counted_at() + endpoint_capacity::CAPACITY_COUNT_INTERVAL {
             self.count_serving_capacity();
         }
         self.resume_held(None, false);
         self.start_probes();
         self.commits.prune(|group, position| self.topology.all_members_have(group, position, self.now));
     }
-
-    pub(crate) fn on_endpoint_update(&mut self, full: bool, entries: Vec<EndpointEntry>) {
-        if full {
-            let removed = self.topology.remove_unlisted(&entries);
-            removed.into_iter().for_each(|index| self.update_indexes(index));
-        }
-        let is_first_list = self.topology.endpoint_count() == 0;
-        let endpoint_count = self.topology.endpoint_count().max(entries.len());
-        let mut newly_hinted = Vec::new();
-        for entry in entries {
-            let known = self.topology.find(entry.endpoint);
-            let index = known.unwrap_or_else(|| self.add_endpoint(&entry, is_first_list, endpoint_count));
-            let former_group = self.topology[index].group;
-            if self.topology.apply_entry(index, &entry, self.now) {
-                newly_hinted.push(entry.group);
-            }
-            self.update_indexes(index);
-            self.update_leadership(former_group);
-        }
-        self.usable_endpoints = self.usable_counts.usable() as f64;
-        self.warm_endpoints = self.usable_counts.warm(self.now) as f64;
-        self.count_serving_capacity();
-        newly_hinted.into_iter().for_each(|group| self.resume_held(Some(group), true));
-        self.resume_held(None, false);
-    }
-
-    /// Updates what is known of all endpoints together; called after each event that may have changed this
-    /// one.
-    fn update_indexes(&mut self, index: EndpointIndex) {
-        let warm_at = self.is_usable(index).then(|| self.warm_at(index));
-        self.usable_counts.record(index, warm_at);
-        self.schedule_probe(index);
-        self.probe_schedule.record_down(index, self.topology[index].down);
-        self.update_leadership(self.topology[index].group);
-    }
-
-    /// Adds an endpoint; there are about so many.
-    fn add_endpoint(
-        &mut self,
-        entry: &EndpointEntry,
-        is_first_list: bool,
-        endpoint_count: usize,
-    ) -> EndpointIndex {
-        let (index, former_group) = self.topology.allocate(entry.endpoint, self.now);
-        former_group.into_iter().for_each(|group| self.update_leadership(group));
-        let next_probe_at = self.now + self.random.below(self.first_probe_spread(endpoint_count));
-        let last_send_number = self.random.below(FIRST_SEND_NUMBER);
-        // A trial comes first where it costs no time: where trials reach all endpoints in a second. Only a
-        // start that the list reports lets a new one be used at once: slow start bounds its load.
-        let trials_per_second = self.traffic.arrivals.at(self.now) * health::TRIAL_SHARE;
-        let trials_are_quick = trials_per_second > self.topology.endpoint_count() as f64;
-        let ejected = !is_first_list && (entry.started_at == 0 || trials_are_quick);
-        let failure_rate = FailureRate::new(if ejected { health::EJECTION_THRESHOLD } else { 0.0 });
-        let endpoint = Endpoint {
-            concurrency_limit: admission::CONCURRENCY_START,
-            confirmed: is_first_list,
-            ejected,
-            failure_rate,
-            next_probe_at,
-            last_send_number,
-            ..Endpoint::new(entry)
-        };
-        self.topology.add(index, endpoint);
-        index
-    }
 }
