--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -9,5 +9,6 @@
 mod pipelining;
 mod platform;
 mod races;
+mod random_faults;
 mod support;
 mod system_calls;
--- a/tests/proxy/support/member.rs
+++ b/tests/proxy/support/member.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Condvar, Mutex};
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// What a member does with its next request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -51,13 +51,19 @@
     ReplyHeld,
 }
 
+/// A statement that a member executed.
+#[derive(Clone, Debug)]
+pub struct Execution {
+    pub statement: String,
+    pub at: Instant,
+}
+
 /// What a member has received and executed, and what it does next.
 #[derive(Default)]
 struct MemberRecord {
     /// Types of messages and texts of statements, in order.
     received: Vec<String>,
-    /// Statements that were executed.
-    executed: Vec<String>,
+    executed: Vec<Execution>,
     plan: VecDeque<MemberBehavior>,
 }
 
@@ -156,6 +162,11 @@
 
     /// The statements that were executed.
     pub fn executed(&self) -> Vec<String> {
+        self.executions().into_iter().map(|execution| execution.statement).collect()
+    }
+
+    /// The statements that were executed, and when each was.
+    pub fn executions(&self) -> Vec<Execution> {
         self.record.lock().unwrap().executed.clone()
     }
 
@@ -179,7 +190,7 @@
     pub fn record_message(&self, description: String, executed: Option<String>) {
         let mut record = self.record.lock().unwrap();
         record.received.push(description);
-        record.executed.extend(executed);
+        record.executed.extend(executed.map(|statement| Execution { statement, at: Instant::now() }));
     }
 
     /// Waits until greetings are not held; reports if they are.
--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -18,7 +18,7 @@
 pub use faults::Faults;
 pub use fleet::Fleet;
 pub use fleet_limits::COST_LIMITS;
-pub use member::{MemberBehavior, MemberEvent, MockMember};
+pub use member::{Execution, MemberBehavior, MemberEvent, MockMember};
 pub use proxy::{Proxy, configuration, configuration_at, shell_without_probes, wait_for_counter};
 pub use wire::{extended_messages, read_query, simple_query, startup_message, write_query};
 
