--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,36 +1,38 @@
-//! Slow start: what an endpoint may be sent while it warms up.
+//! Slow start: the budget of an endpoint that warms up, and what is admitted against it.
 
-use super::*;
+use crate::Router;
+use crate::model::{Micros, Role};
+use crate::state::{EndpointIndex, PerRole, SlowStartBudget};
 
-/// The share of the overload threshold that an endpoint gets if all routers use up their budgets: for reads,
-/// and at a primary for primary-only work, as replicas serve the reads.
+/// The share of the overload threshold that an endpoint gets if all routers use up their budgets. It is
+/// larger for work that only a primary can serve, as replicas serve the reads there.
 const LOAD_SHARE: PerRole<f64> = PerRole { replica: 0.4, primary: 0.8 };
-/// The part of the overload window that budgets are saved for; half of that for primary-only work.
+/// The part of the overload window for which an unused budget is saved. Guards against an endpoint that is
+/// pushed over its threshold within one window by what all routers have saved.
 const SAVED_WINDOWS: f64 = 0.5;
+/// What [`SAVED_WINDOWS`] is divided by: primary-only work is saved for half as long, as its
+/// [`LOAD_SHARE`] is twice as large.
 const SAVED_DIVISOR: PerRole<f64> = PerRole { replica: 1.0, primary: 2.0 };
-/// The work per second of an endpoint that serves one request at a time: any endpoint that is warm serves as
-/// much.
-const SERIAL_WORK: f64 = 1e6;
-/// Where most endpoints are warming up, the share of the overload threshold that either role gets by what
-/// endpoints were seen to serve.
+/// The share of the overload threshold that an endpoint of either role gets where most endpoints are
+/// warming up, reckoned from what endpoints were seen to serve.
 const MEASURED_LOAD_SHARE: f64 = 0.8;
-/// Clients send a request that was not served up to three times more: at least this share of the demand is of
-/// first requests.
+/// The least share of the demand that first requests make up: clients repeat a request that was not served
+/// up to three times.
 const FIRST_REQUEST_SHARE: f64 = 0.25;
-/// The interval between two counts of the capacity, which changes slowly while endpoints warm up.
-pub(super) const CAPACITY_COUNT_INTERVAL: Micros = 1_000_000;
-/// All routers together try an endpoint of a group that is down once in this interval.
+/// The interval in which all routers together try an endpoint of a group that is down once.
 const LAST_RESORT_INTERVAL: Micros = 100_000;
-/// The list reports a restart within this; until then an endpoint that is back has just started.
+/// How long the list may take to report a restart. Until then, an endpoint that is back counts as just
+/// started.
 const RESTART_REPORT_DELAY: Micros = 4_000_000;
 
 impl Router {
-    /// Warming up by the list, down, or back so recently that the list may not report it yet.
+    /// Whether an endpoint is warming up by the list, is down, or is back so recently that the list may not
+    /// report its restart yet.
     pub(crate) fn is_warming_up(&self, index: EndpointIndex) -> bool {
         self.now < self.warm_at(index)
     }
 
-    /// Until then it is warming up; the end of time for one that is down.
+    /// The time until which an endpoint is warming up; [`Micros::MAX`] for one that is down.
     pub(super) fn warm_at(&self, index: EndpointIndex) -> Micros {
         let endpoint = &self.topology[index];
         if endpoint.down {
@@ -77,6 +79,8 @@
             && !self.topology.members(endpoint.group).iter().any(is_up)
     }
 
+    /// The part of a request's cost that may be staked on credit: the budget's share of the offered work of
+    /// the endpoint's group.
     fn slow_start_credit(&self, index: EndpointIndex, role: Role, cost: f64) -> f64 {
         let asked = self.traffic.offered_primary_work(&self.settings.classes, self.now);
         // The work offered so far, while little, counts as what an endpoint serves. Guards against surges.
@@ -93,10 +97,13 @@
         let budgets = &mut self.topology[index].slow_start;
         budgets[role] = SlowStartBudget { saved, updated_at: self.now };
         if role == Role::Replica {
-            budgets.primary.saved -= cost; // Budget used for reads there is not left for writes.
+            // Budget that an endpoint has used for reads is not left for writes.
+            budgets.primary.saved -= cost;
         }
     }
 
+    /// The budget that an endpoint has saved by now for requests of this class, in microseconds of unloaded
+    /// time.
     fn saved_budget(&self, index: EndpointIndex, class: usize) -> f64 {
         let role = self.settings.classes[class].role();
         let rate = self.slow_start_rate(index, role);
@@ -123,27 +130,9 @@
         work * self.capacity_share(index) * self.settings.overload_multiple
     }
 
-    /// The share of its full capacity that an endpoint has at least while it warms up.
-    fn capacity_share(&self, index: EndpointIndex) -> f64 {
-        let endpoint = &self.topology[index];
-        let started_at = self.topology.started_at(index);
-        let since = if endpoint.down { self.now } else { started_at.max(endpoint.recovered_at) };
-        let age = self.now.saturating_sub(since) as f64 / self.settings.slow_start_duration.max(1) as f64;
-        let least = self.settings.slow_start_capacity;
-        least + (1.0 - least) * age
-    }
-
-    /// Counts the capacity of the usable endpoints.
-    pub(super) fn count_serving_capacity(&mut self) {
-        let warm = self.usable_counts.warm(self.now) as f64;
-        let share = |index| self.capacity_share(index).min(1.0);
-        let warming: f64 = self.usable_counts.warming().map(share).sum();
-        self.serving_capacity.record(warm + warming, self.now);
-        self.serving_capacity.record_served(self.traffic.served_work(self.now), self.now);
-    }
-
-    /// Guards against a primary that falls under a few heavy writes more than usual: the less even the work,
-    /// the more is left to chance.
+    /// The share of the overload threshold that an endpoint gets, less at a primary where the work that only
+    /// it can serve is uneven: the less even it is, the more is left to chance. Guards against a primary that
+    /// falls under a few heavy writes more than usual.
     fn load_share(&self, role: Role) -> f64 {
         let dispersion = match role {
             Role::Replica => 1.0,
@@ -151,40 +140,4 @@
         };
         LOAD_SHARE[role] / dispersion.sqrt()
     }
-
-    /// The work per second that a warm endpoint serves for this router. Departure: for a group without a warm
-    /// member, as it was when a warm endpoint last answered, or this router's part of one request at a time,
-    /// if that is more. Guards against a budget that fades while a whole group is down and serves nothing.
-    fn work_per_endpoint(&self, index: EndpointIndex) -> f64 {
-        let is_warm = |member: &EndpointIndex| self.is_healthy(*member) && !self.is_warming_up(*member);
-        let has_warm_member = self.topology.members(self.topology[index].group).iter().any(is_warm);
-        let current = self.current_work_per_endpoint();
-        let least = SERIAL_WORK / f64::from(self.settings.instances.max(1));
-        if has_warm_member { current } else { current.max(self.last_warm_work).max(least) }
-    }
-
-    /// Remembers the work of a warm endpoint when it has answered.
-    pub(super) fn remember_warm_work(&mut self, index: EndpointIndex) {
-        if !self.is_warming_up(index) {
-            self.last_warm_work = self.current_work_per_endpoint();
-        }
-    }
-
-    /// The work per second that an endpoint serves for this router now, at most its share of offered work.
-    /// Guards against giving nothing to endpoints that warm up just after this router's start, when it has
-    /// seen nothing served.
-    fn current_work_per_endpoint(&self) -> f64 {
-        let served = self.traffic.served_work(self.now) / self.warm_endpoints.max(1.0);
-        let asked = self.traffic.offered_work(self.now) / self.usable_endpoints.max(1.0);
-        if self.has_history() && self.are_most_warm() { asked.min(served) } else { asked }
-    }
-
-    /// This router has run long enough for its rates to tell something.
-    fn has_history(&self) -> bool {
-        self.now > self.created_at + DecayingRate::SPAN as Micros
-    }
-
-    fn are_most_warm(&self) -> bool {
-        self.warm_endpoints * 2.0 >= self.usable_endpoints
-    }
 }
