--- a/soak/src/actions.rs
+++ b/soak/src/actions.rs
@@ -58,7 +58,7 @@
                 self.proxies[proxy].kill();
                 self.followups.push((now + down, Followup::Start(proxy)));
             }
-            Action::HoldUp { proxy, pause } => {
+            Action::PauseProcess { proxy, pause } => {
                 self.proxies[proxy].signal(Signal::STOP);
                 self.followups.push((now + pause, Followup::Continue(proxy)));
             }
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -82,8 +82,8 @@
     Restart { proxy: usize },
     /// A process is killed, and started again this much later.
     Kill { proxy: usize, down: Micros },
-    /// A process is stopped, and goes on this much later.
-    HoldUp { proxy: usize, pause: Micros },
+    /// A process is paused with SIGSTOP, and continues after `pause`.
+    PauseProcess { proxy: usize, pause: Micros },
     /// Clients fill the proxy's descriptors.
     Crowd { proxy: usize },
     /// Planted: the agent swallows changes that count as told.
@@ -280,7 +280,7 @@
             _ => {
                 for number in 0..draws.between(3, 12) {
                     let pause = draws.between(20, 150) * MS;
-                    self.actions.push((at + number * 600 * MS, Action::HoldUp { proxy, pause }));
+                    self.actions.push((at + number * 600 * MS, Action::PauseProcess { proxy, pause }));
                 }
             }
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -128,7 +128,7 @@
     }
 
     /// Fires the timers that are due, up to one that requests an effect: the reply to the effect comes before
-    /// the next timer. Guards against a process that was held up: the deadline of a request must not count an
+    /// the next timer. Guards against a process that was paused: the deadline of a request must not count an
     /// attempt whose cancellation has not been carried out yet.
     fn fire_due_timers(&mut self, now: Micros) {
         while self.effects.is_empty()
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -2,7 +2,7 @@
 
 use super::timers::TimerEvent;
 use super::{Core, Effect, FinalAnswer, NewRequest, Record};
-use crate::{Event, GiveUpReason, Idempotency, Micros, RequestId, hold_up_margin};
+use crate::{Event, GiveUpReason, Idempotency, Micros, RequestId, process_pause_margin};
 use std::sync::Arc;
 
 /// Answers are given this long before the client's deadline, so that they arrive in time.
@@ -40,11 +40,11 @@
     }
 
     /// How long a repeat may still be begun so that members recognize it by its idempotency key, though this
-    /// proxy is held up before it writes; [`Micros::MAX`] where no key is needed.
+    /// proxy is paused before it writes; [`Micros::MAX`] where no key is needed.
     pub fn deduplication_time_left(&self, now: Micros) -> Micros {
         match (self.idempotency, self.first_maybe_executed_at) {
             (Idempotency::Keyed { window, .. }, Some(first)) => {
-                (first + window).saturating_sub(now + hold_up_margin(window))
+                (first + window).saturating_sub(now + process_pause_margin(window))
             }
             _ => Micros::MAX,
         }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -4,7 +4,7 @@
 
 mod endpoint;
 mod event;
-mod hold_up;
+mod process_pause;
 mod request;
 mod settings;
 mod settings_document;
@@ -13,7 +13,7 @@
     EndpointCounts, EndpointEntry, EndpointId, EndpointState, GroupId, LoadReport, ResponseMetadata, Role,
 };
 pub use event::{Action, Event, GiveUpReason};
-pub use hold_up::hold_up_margin;
+pub use process_pause::process_pause_margin;
 pub use request::{AttemptResult, Class, Idempotency, Outcome, Request, RequestId, Requirement};
 pub use settings::{Settings, StaleReadBehavior};
 pub use settings_document::SettingsError;
--- a/src/net/discovery/call_policy.rs
+++ b/src/net/discovery/call_policy.rs
@@ -28,7 +28,7 @@
 }
 
 /// An agent that does not answer is called again after two fifths of the grace, and after half of that
-/// where the call failed: with the jitter and a hold-up of the process, an update is still applied within
+/// where the call failed: with the jitter and a process pause, an update is still applied within
 /// the grace.
 const AGENT_GRACE_FIFTHS: u32 = 2;
 const AGENT_MAX_ANSWER_LIMIT: Duration = Duration::from_millis(200);
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -75,7 +75,7 @@
 }
 
 /// Guards against a pause that fits the load on discovery and not the grace: an update must be heard of, and
-/// a process may be held up for 150 ms, within the grace and the 50 ms that sockets allow.
+/// a process may be paused for 150 ms, within the grace and the 50 ms that sockets allow.
 #[test]
 fn an_agent_is_called_again_well_within_any_grace() {
     for grace in [200, 250, 500, 1000, 2000] {
--- a/src/net/member/start_conditions.rs
+++ b/src/net/member/start_conditions.rs
@@ -12,7 +12,7 @@
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// Nothing may begin more than 0.1 s after its client has closed or cancelled: after half of that, what has
-/// arrived from clients is handled first. Guards against a proxy that was held up.
+/// arrived from clients is handled first. Guards against a proxy that was paused.
 const MAX_AGE_OF_CLIENT_STATE: Duration = Duration::from_millis(50);
 
 /// The conditions of a job. Its time limits count from the decision to start it, whatever delays the start:
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -2,7 +2,7 @@
 
 use super::Selection;
 use crate::Router;
-use crate::model::{Class, GroupId, Idempotency, Micros, RequestId, Requirement, Role, hold_up_margin};
+use crate::model::{Class, GroupId, Idempotency, Micros, RequestId, Requirement, Role, process_pause_margin};
 use crate::state::{EndpointIndex, PendingRequest};
 
 /// A read is long if it takes more than this many times as long as a request of the lightest class.
@@ -113,11 +113,11 @@
     }
 
     /// Departure: where endpoints serve stale data, a bound is not used to its end. Guards against a proxy
-    /// that is held up between the selection and the write.
+    /// that is paused between the selection and the write.
     fn staleness_margin(&self, class: &Class) -> Micros {
         match class.requirement {
             Requirement::BoundedStaleness(bound) if self.settings.endpoints_serve_stale() => {
-                hold_up_margin(bound)
+                process_pause_margin(bound)
             }
             _ => 0,
         }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -5,7 +5,8 @@
 use super::primary::SEARCH_INTERVAL;
 use crate::Router;
 use crate::model::{
-    Action, GiveUpReason, GroupId, Idempotency, Micros, Request, RequestId, Requirement, Role, hold_up_margin,
+    Action, GiveUpReason, GroupId, Idempotency, Micros, Request, RequestId, Requirement, Role,
+    process_pause_margin,
 };
 use crate::state::{EndpointIndex, OutstandingAttempt, PendingRequest};
 
@@ -115,7 +116,7 @@
             Idempotency::Idempotent => true,
             Idempotency::Keyed { window, .. } => {
                 let usable = (window as f64 * WINDOW_USED) as Micros;
-                self.now - first_run_at < usable.min(window - hold_up_margin(window))
+                self.now - first_run_at < usable.min(window - process_pause_margin(window))
             }
             Idempotency::AtMostOnce => false,
         };
@@ -178,7 +179,7 @@
                 let clock = self.topology.clock_of(index);
                 let position = self.topology[index].replication.known_position(clock, self.now);
                 let present = clock.present(self.now).unwrap_or(Micros::MAX);
-                (position + bound).saturating_sub(present.saturating_add(hold_up_margin(bound)))
+                (position + bound).saturating_sub(present.saturating_add(process_pause_margin(bound)))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
         }
--- a/src/server/shutdown/tests.rs
+++ b/src/server/shutdown/tests.rs
@@ -35,7 +35,7 @@
         assert!(left >= deadline.min(300_000), "{left} left of {deadline}: {schedule:?}");
         assert!(
             schedule.stop_waiting_at >= schedule.fail_pending_at + 150_000,
-            "a held-up process: {schedule:?}"
+            "a paused process: {schedule:?}"
         );
         assert!(schedule.stop_waiting_at < schedule.exit_at, "{schedule:?}");
     }
--- a/tests/policy/freshness.rs
+++ b/tests/policy/freshness.rs
@@ -198,9 +198,9 @@
     assert_eq!(sent_to(&harness.request(1, LATEST)), None, "member 2 has said since that it is a replica");
 }
 
-/// Guards against a read that is too old once it is written, as the proxy was held up after the selection.
+/// Guards against a read that is too old once it is written, as the proxy was paused after the selection.
 #[test]
-fn a_bounded_read_leaves_time_for_a_hold_up_where_endpoints_serve_stale() {
+fn a_bounded_read_leaves_time_for_a_process_pause_where_endpoints_serve_stale() {
     for (age, expected) in [(640, true), (660, false)] {
         let settings = Settings { probes: false, ..settings_serving_stale() };
         let mut harness = RouterHarness::with_known_roles(settings, 2);
@@ -217,9 +217,9 @@
     }
 }
 
-/// Guards against a repeat that is written after its window, as the proxy was held up after the decision.
+/// Guards against a repeat that is written after its window, as the proxy was paused after the decision.
 #[test]
-fn a_keyed_write_is_not_repeated_when_a_hold_up_could_carry_it_out_of_its_window() {
+fn a_keyed_write_is_not_repeated_when_a_process_pause_could_carry_it_out_of_its_window() {
     for (passed, expected) in [(1840, true), (1860, false)] {
         let mut harness = RouterHarness::with_known_roles(settings(), 2);
         let write = Request { remaining: 9000 * MS, ..request(1, WRITE) };
--- a/tests/proxy/races/deadlines.rs
+++ b/tests/proxy/races/deadlines.rs
@@ -118,7 +118,7 @@
     assert!(prepared <= 3, "prepared {prepared} times");
 }
 
-/// Guards against a process that is held up between reading its clock and writing: here before each write to
+/// Guards against a process that is paused between reading its clock and writing: here before each write to
 /// the member, that of the startup message among them.
 #[test]
 fn member_is_told_what_the_client_has_left_though_each_write_is_held_up() {
--- a/tests/proxy/races/discovery_outage.rs
+++ b/tests/proxy/races/discovery_outage.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// A drain must bind this long after discovery is back: the grace of 500 ms less a hold-up of 150 ms.
+/// A drain must bind this long after discovery is back: the grace of 500 ms less a process pause of 150 ms.
 const MAX_NOTICE: Duration = Duration::from_millis(350);
 /// Calls that fail before discovery returns: by then the pause between two is at its longest.
 const FAILED_CALLS: usize = 3;
--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -6,7 +6,7 @@
 mod deadlines;
 mod discovery;
 mod discovery_outage;
-mod held_up;
 mod members;
+mod process_pauses;
 mod short_deadlines;
 mod shutdown;
--- a/tests/proxy/races/held_up.rs
+++ b/tests/proxy/races/process_pauses.rs
@@ -1,4 +1,4 @@
-//! A process that is held up as a whole, while its members, clients and deadlines go on.
+//! A process that is paused as a whole, while its members, clients and deadlines go on.
 
 use crate::support::*;
 use std::time::Duration;
@@ -16,9 +16,9 @@
     }
 }
 
-/// Starts a write that waits for a member's greeting, and holds the process up for so long; during that, the
-/// greeting arrives and `event` happens. Returns the client, if `event` has left it.
-fn hold_up(
+/// Starts a write that waits for a member's greeting, and pauses the process for so long; during the pause,
+/// the greeting arrives and `event` happens. Returns the client, if `event` has left it.
+fn pause_process(
     proxy: &Proxy,
     primary: &MockMember,
     request: &[u8],
@@ -46,30 +46,30 @@
 }
 
 #[test]
-fn request_whose_time_runs_out_while_the_process_is_held_up_is_rejected_and_not_sent() {
+fn request_whose_time_runs_out_while_the_process_is_paused_is_rejected_and_not_sent() {
     for (extended, round) in [false, true].into_iter().flat_map(|e| (0..ROUNDS).map(move |round| (e, round)))
     {
         let primary = MockMember::start(true);
         let proxy = Proxy::start_with_shell(&[&primary], &shell_without_probes(""), "");
         let request = write(extended, 1, 300);
         let duration = Duration::from_millis(400);
-        let client = hold_up(&proxy, &primary, &request, extended, duration, Some);
+        let client = pause_process(&proxy, &primary, &request, extended, duration, Some);
         assert_eq!(client.unwrap().read_reply(), "E(53300) Z");
         assert_only_last_is_received(&proxy, &primary, &format!("extended {extended}, round {round}"));
     }
 }
 
-/// Guards against a member connection that comes up while the process is held up, and whose worker runs before
+/// Guards against a member connection that comes up while the process is paused, and whose worker runs before
 /// the threads that read from clients.
 #[test]
-fn request_is_not_sent_if_its_client_disconnects_while_the_process_is_held_up() {
+fn request_is_not_sent_if_its_client_disconnects_while_the_process_is_paused() {
     for (extended, round) in [false, true].into_iter().flat_map(|e| (0..ROUNDS).map(move |round| (e, round)))
     {
         let primary = MockMember::start(true);
         let proxy = Proxy::start_with_shell(&[&primary], &shell_without_probes(""), "");
         let request = write(extended, 1, 9000);
         let duration = Duration::from_millis(150);
-        hold_up(&proxy, &primary, &request, extended, duration, |client| {
+        pause_process(&proxy, &primary, &request, extended, duration, |client| {
             drop(client);
             None
         });
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn request_is_not_sent_if_its_client_disconnects_behind_unread_bytes_while_the_process_is_held_up() {
+fn request_is_not_sent_if_its_client_disconnects_behind_unread_bytes_while_the_process_is_paused() {
     for (extended, round) in [false, true].into_iter().flat_map(|e| (0..ROUNDS).map(move |round| (e, round)))
     {
         let primary = MockMember::start(true);
         let proxy = Proxy::start_with_shell(&[&primary], &shell_without_probes(""), "");
         let request = write(extended, 1, 9000);
         let duration = Duration::from_millis(150);
-        hold_up(&proxy, &primary, &request, extended, duration, |mut client| {
+        pause_process(&proxy, &primary, &request, extended, duration, |mut client| {
             client.send(&write(extended, 2, 9000));
             drop(client);
             None
@@ -96,7 +96,7 @@
     }
 }
 #[test]
-fn request_is_not_sent_if_it_is_cancelled_while_the_process_is_held_up() {
+fn request_is_not_sent_if_it_is_cancelled_while_the_process_is_paused() {
     for (extended, round) in [false, true].into_iter().flat_map(|e| (0..ROUNDS).map(move |round| (e, round)))
     {
         let primary = MockMember::start(true);
@@ -104,7 +104,7 @@
         let address = if extended { proxy.extended_address.unwrap() } else { proxy.address };
         let request = write(extended, 1, 9000);
         let duration = Duration::from_millis(150);
-        let client = hold_up(&proxy, &primary, &request, extended, duration, |client| {
+        let client = pause_process(&proxy, &primary, &request, extended, duration, |client| {
             let _cancel = client.send_cancel_to(address);
             Some(client)
         });
