--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -246,7 +246,7 @@
 fn may_have_executed(outcome: Outcome) -> bool {
     match outcome {
         Outcome::ConnectFailed
-        | Outcome::Full
+        | Outcome::RejectedByMember
         | Outcome::NotServable
         | Outcome::NeverSent
         | Outcome::LocalError => false,
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -103,7 +103,7 @@
     /// The endpoint answered with an error; it may have run.
     Error,
     /// Rejected without being executed, as the endpoint's queue was full.
-    Full,
+    RejectedByMember,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it did not run.
@@ -127,7 +127,7 @@
         match self {
             Outcome::Ok => "ok",
             Outcome::Error => "error",
-            Outcome::Full => "rejected_by_member",
+            Outcome::RejectedByMember => "rejected_by_member",
             Outcome::TimedOut => "timed_out",
             Outcome::ConnectFailed => "connect_failed",
             Outcome::Reset => "reset",
@@ -140,8 +140,8 @@
 
     /// Whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
-        use Outcome::{ConnectFailed, Full, LocalError, NeverSent, NotServable};
-        !matches!(self, Full | ConnectFailed | NeverSent | LocalError | NotServable)
+        use Outcome::{ConnectFailed, LocalError, NeverSent, NotServable, RejectedByMember};
+        !matches!(self, RejectedByMember | ConnectFailed | NeverSent | LocalError | NotServable)
     }
 }
 
--- a/src/net/member/connect.rs
+++ b/src/net/member/connect.rs
@@ -52,7 +52,7 @@
             ConnectError::Socket(error) if is_local_connect_error(error) => Outcome::LocalError,
             ConnectError::Handshake(error) if is_momentary_error(error) => Outcome::LocalError,
             ConnectError::Rejected(Some(code)) if code == pg::sqlstate::TOO_MANY_CONNECTIONS.as_bytes() => {
-                Outcome::Full
+                Outcome::RejectedByMember
             }
             _ => Outcome::ConnectFailed,
         }
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -159,7 +159,7 @@
         if error == Some(INVALID_SQL_STATEMENT_NAME) {
             // Guards against a member that lost its prepared statements: the batch has no effect, and the
             // next connection starts with an empty cache.
-            return JobReply::failed(Outcome::Full);
+            return JobReply::failed(Outcome::RejectedByMember);
         }
         JobReply::answered(outcome_of_reply(error), status, execution.response, self.connection)
     }
--- a/src/net/member/outcome.rs
+++ b/src/net/member/outcome.rs
@@ -38,7 +38,7 @@
     if code == READ_ONLY_SQL_TRANSACTION || code == SNAPSHOT_TOO_OLD {
         Outcome::NotServable
     } else if code == pg::sqlstate::TOO_MANY_CONNECTIONS.as_bytes() {
-        Outcome::Full
+        Outcome::RejectedByMember
     } else {
         Outcome::Error
     }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -41,7 +41,7 @@
             Outcome::Reset => self.record_disconnect(index, false),
             // Departure: a lost attempt is no evidence of queueing. Guards against counting losses as load.
             Outcome::TimedOut if self.is_lost(index, attempt) => self.record_failure(index, Failure::Lost),
-            Outcome::TimedOut | Outcome::Full => {
+            Outcome::TimedOut | Outcome::RejectedByMember => {
                 self.record_latency(index, attempt, None);
                 let endpoint = &mut self.topology[index];
                 let has_answered = endpoint.last_answer_at >= attempt.sent_at;
@@ -110,7 +110,7 @@
             Outcome::NotServable | Outcome::NeverSent => 0.0,
             // Guards against lost writes, which are not retried, using up the retries of reads.
             _ if pending.is_spent(class) => 0.0,
-            Outcome::Full => 1.0,
+            Outcome::RejectedByMember => 1.0,
             _ => (result.elapsed as f64 / unloaded).min(1.0),
         };
         if result.finished {
--- a/src/sim_adapter/events.rs
+++ b/src/sim_adapter/events.rs
@@ -123,7 +123,7 @@
     Ok(match status {
         STATUS_OK => Outcome::Ok,
         502 => Outcome::Error,
-        429 => Outcome::Full,
+        429 => Outcome::RejectedByMember,
         408 => Outcome::TimedOut,
         521 => Outcome::ConnectFailed,
         520 => Outcome::Reset,
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -62,7 +62,10 @@
         let mut attempt = 0;
         while let Some(to) = sent_to(&actions) {
             harness.now += MS / 2;
-            let full = AttemptResult { elapsed: MS / 2, ..attempt_result(id, attempt, to, Outcome::Full) };
+            let full = AttemptResult {
+                elapsed: MS / 2,
+                ..attempt_result(id, attempt, to, Outcome::RejectedByMember)
+            };
             actions = harness.handle(Event::AttemptEnded(full));
             attempt += 1;
         }
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_hung_endpoint_with_a_full_queue_does_not_look_idle() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
-    let at_sick = serve_reads(&mut harness, 1..200, 3, Outcome::Full);
+    let at_sick = serve_reads(&mut harness, 1..200, 3, Outcome::RejectedByMember);
     assert!(at_sick < 20, "{at_sick} of 200");
 }
 
--- a/tests/policy/rules.rs
+++ b/tests/policy/rules.rs
@@ -22,8 +22,8 @@
 
 impl ObservedAttempt {
     fn may_have_run(&self) -> bool {
-        use Outcome::{ConnectFailed, Full, LocalError, NeverSent, NotServable};
-        !matches!(self.outcome, Some(Full | ConnectFailed | NeverSent | LocalError | NotServable))
+        use Outcome::{ConnectFailed, LocalError, NeverSent, NotServable, RejectedByMember};
+        !matches!(self.outcome, Some(RejectedByMember | ConnectFailed | NeverSent | LocalError | NotServable))
     }
 }
 
@@ -180,7 +180,7 @@
         let (after, outcome) = match self.draws.below(12) {
             _ if is_write && endpoint != 1 => (2, Outcome::NotServable),
             0 => (3, Outcome::Error),
-            1 => (1, Outcome::Full),
+            1 => (1, Outcome::RejectedByMember),
             2 => (250, Outcome::ConnectFailed),
             3 => (40, Outcome::Reset),
             4 => (50, Outcome::NotServable),
