--- a/src/core/connections.rs
+++ b/src/core/connections.rs
@@ -27,8 +27,8 @@
 
 impl<W, A> Core<W, A> {
     /// Applies an update of the endpoint list, and cancels unsent attempts to members out of service.
-    pub(super) fn apply_endpoint_update(&mut self, now: Micros, full: bool, members: Vec<ListedMember>) {
-        let to_close = self.pool.apply_endpoint_update(now, full, &members);
+    pub(super) fn apply_endpoint_update(&mut self, now: Micros, complete: bool, members: Vec<ListedMember>) {
+        let to_close = self.pool.apply_endpoint_update(now, complete, &members);
         self.close_connections(to_close, CloseReason::EndpointListChange);
         let mut in_service = BTreeSet::new();
         let mut out_of_service = BTreeSet::new();
@@ -39,9 +39,9 @@
             };
         }
         let endpoints = members.into_iter().map(|member| member.entry).collect();
-        self.notify_router(now, Event::EndpointUpdate { full, endpoints });
+        self.notify_router(now, Event::EndpointUpdate { complete, endpoints });
         self.cancel_unsent(|_, job| {
-            let removed = full && !in_service.contains(&job.endpoint);
+            let removed = complete && !in_service.contains(&job.endpoint);
             removed || out_of_service.contains(&job.endpoint)
         });
     }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -73,7 +73,7 @@
         /// The revision of the list with this update.
         revision: u64,
         /// The members are the complete list: a member that is missing from it has been removed.
-        full: bool,
+        complete: bool,
         /// The members that the update names.
         members: Vec<ListedMember>,
     },
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -98,9 +98,9 @@
         match input {
             Input::RequestReceived(request) => self.admit_request(now, request),
             Input::ClientDisconnected(request) => self.abandon_request(now, request),
-            Input::EndpointUpdate { revision, full, members } => {
+            Input::EndpointUpdate { revision, complete, members } => {
                 self.list_revision = revision;
-                self.apply_endpoint_update(now, full, members);
+                self.apply_endpoint_update(now, complete, members);
             }
             Input::JobFinished { connection, job, result, reusable } => {
                 if reusable {
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -94,7 +94,7 @@
     pub fn apply_endpoint_update(
         &mut self,
         now: Micros,
-        full: bool,
+        complete: bool,
         listed: &[ListedMember],
     ) -> Vec<ConnectionId> {
         let mut states = BTreeMap::new();
@@ -102,7 +102,7 @@
             states.entry(entry.endpoint).or_insert(entry.state);
             self.members.entry(entry.endpoint).or_default().address = Some(*address);
         }
-        if full {
+        if complete {
             for endpoint in self.members.keys() {
                 states.entry(*endpoint).or_insert(EndpointState::Removed);
             }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -65,7 +65,7 @@
     };
     let mut core = Core::new(settings, 7, START, MAX_CONNECTIONS);
     let members = vec![member(1, EndpointState::Ready), member(2, EndpointState::Ready)];
-    core.step(START, Input::EndpointUpdate { revision: 1, full: true, members });
+    core.step(START, Input::EndpointUpdate { revision: 1, complete: true, members });
     core
 }
 
@@ -140,21 +140,21 @@
 
 #[test]
 fn unsent_attempt_is_cancelled_when_its_member_leaves_service_and_its_request_stays_pending() {
-    for full in [false, true] {
+    for complete in [false, true] {
         let mut core = core(true);
         let first = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
         core.step(START + MS, first.finished(Outcome::Ok, Role::Primary, START));
         let second = start_request(&mut core, START + 2 * MS, 2, AT_MOST_ONCE_WRITE);
-        let members = if full {
+        let members = if complete {
             vec![member(2, EndpointState::Ready)]
         } else {
             vec![member(1, EndpointState::Draining)]
         };
-        let effects = core.step(START + 3 * MS, Input::EndpointUpdate { revision: 1, full, members });
+        let effects = core.step(START + 3 * MS, Input::EndpointUpdate { revision: 1, complete, members });
         assert_eq!(unsent_cancellations(&effects), [second.job]);
         let effects = core.step(START + 3 * MS, second.cancelled_unsent());
         let answered = effects.iter().any(|effect| matches!(effect, Effect::Answer { .. }));
-        assert!(!answered, "the request goes on; full update: {full}");
+        assert!(!answered, "the request goes on; complete update: {complete}");
     }
 }
 
@@ -229,7 +229,7 @@
     let attempt = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
     let new_address = SocketAddr::from(([127, 0, 0, 1], 99));
     let moved = ListedMember { address: new_address, ..member(1, EndpointState::Ready) };
-    core.step(START + MS, Input::EndpointUpdate { revision: 1, full: false, members: vec![moved] });
+    core.step(START + MS, Input::EndpointUpdate { revision: 1, complete: false, members: vec![moved] });
     let effects = core.step(START + 2 * MS, attempt.finished(Outcome::Ok, Role::Primary, START));
     assert!(closes(&effects, attempt.connection));
     core.step(START + 2 * MS, Input::ConnectionClosed(attempt.connection));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -29,7 +29,7 @@
 //!     endpoint: EndpointId(n), group: 1, zone: 0, state: EndpointState::Ready, primary_hint, started_at: 0,
 //! };
 //! let members = vec![member(1, true), member(2, false)];
-//! router.handle(0, Event::EndpointUpdate { full: true, endpoints: members }, &mut actions);
+//! router.handle(0, Event::EndpointUpdate { complete: true, endpoints: members }, &mut actions);
 //! let token = |a: &Action| if let Action::SetTimer { token, .. } = a { Some(*token) } else { None };
 //! let wake = actions.iter().find_map(token);
 //!
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -8,7 +8,7 @@
     /// The endpoint list, or a change of it.
     EndpointUpdate {
         /// Whether the entries are the complete list: an endpoint that is missing from it is removed.
-        full: bool,
+        complete: bool,
         /// The entries.
         endpoints: Vec<EndpointEntry>,
     },
--- a/src/policy/endpoint_updates.rs
+++ b/src/policy/endpoint_updates.rs
@@ -8,8 +8,8 @@
 
 impl Router {
     /// Takes in an endpoint list, whole or changes of it, and lets requests go on that waited for it.
-    pub(crate) fn on_endpoint_update(&mut self, full: bool, entries: Vec<EndpointEntry>) {
-        if full {
+    pub(crate) fn on_endpoint_update(&mut self, complete: bool, entries: Vec<EndpointEntry>) {
+        if complete {
             let removed = self.topology.remove_unlisted(&entries);
             removed.into_iter().for_each(|index| self.update_indexes(index));
         }
--- a/src/router.rs
+++ b/src/router.rs
@@ -75,7 +75,7 @@
         self.now = self.now.max(now);
         self.check_ticks();
         match event {
-            Event::EndpointUpdate { full, endpoints } => self.on_endpoint_update(full, endpoints),
+            Event::EndpointUpdate { complete, endpoints } => self.on_endpoint_update(complete, endpoints),
             Event::EndpointListFailed => self.on_endpoint_list_failed(),
             Event::TimerFired(token) => self.on_timer(token),
             Event::Request(request) => self.on_request(request),
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -44,8 +44,8 @@
     }
 }
 
-fn update(full: bool, endpoints: Vec<EndpointEntry>) -> Event {
-    Event::EndpointUpdate { full, endpoints }
+fn update(complete: bool, endpoints: Vec<EndpointEntry>) -> Event {
+    Event::EndpointUpdate { complete, endpoints }
 }
 
 /// A router and its host, which answers each attempt and each probe as drawn.
--- a/src/server/endpoint_watch.rs
+++ b/src/server/endpoint_watch.rs
@@ -120,8 +120,8 @@
 
     /// Applies a list or an update of it, and logs what it changed.
     pub(super) fn apply_list(&mut self, now: Micros, source: ListSource, list: &EndpointList) {
-        let (revision, full, members) = (list.revision, list.complete, list.members());
-        self.step_reducer(now, Input::EndpointUpdate { revision, full, members });
+        let (revision, complete, members) = (list.revision, list.complete, list.members());
+        self.step_reducer(now, Input::EndpointUpdate { revision, complete, members });
         self.event_log.list_applied(now, source, list);
     }
 
--- a/src/sim_adapter/events.rs
+++ b/src/sim_adapter/events.rs
@@ -167,5 +167,5 @@
         return Ok(Event::EndpointListFailed);
     }
     let Some(endpoints) = tables.get(&table) else { return Err(WireError::UnknownTable(table)) };
-    Ok(Event::EndpointUpdate { full: how != 0, endpoints: endpoints.clone() })
+    Ok(Event::EndpointUpdate { complete: how != 0, endpoints: endpoints.clone() })
 }
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -95,7 +95,7 @@
 fn a_rarely_used_group_is_spared_after_a_few_delays() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     let other = |n| EndpointEntry { group: 2, ..endpoint_entry(n) };
-    harness.handle(Event::EndpointUpdate { full: false, endpoints: (11..=13).map(other).collect() });
+    harness.handle(Event::EndpointUpdate { complete: false, endpoints: (11..=13).map(other).collect() });
     (11..=13)
         .for_each(|s| harness.report(s, if s == 11 { Role::Primary } else { Role::Replica }, harness.now));
     let ask = |harness: &mut RouterHarness, id: u32, group, elapsed| {
--- a/tests/policy/clock_steps.rs
+++ b/tests/policy/clock_steps.rs
@@ -212,7 +212,7 @@
             let mut group = SteppedGroup::with_known_clock(lead);
             let started_at = group.clock() - age;
             group.harness.handle(Event::EndpointUpdate {
-                full: false,
+                complete: false,
                 endpoints: vec![EndpointEntry { started_at, ..endpoint_entry(3) }],
             });
             serve_reads(&mut group.harness, 1000..1010, 0, Outcome::Ok);
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -7,7 +7,7 @@
 fn where_only_draining_binds_an_endpoint_listed_as_removed_is_used_while_it_answers() {
     let lenient = Settings { removed_endpoints_usable: true, ..settings() };
     let mut harness = RouterHarness::with_known_roles(lenient.clone(), 4);
-    harness.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
+    harness.handle(Event::EndpointUpdate { complete: true, endpoints: Vec::new() });
     serve_reads(&mut harness, 1..40, 0, Outcome::Ok);
     assert_eq!(
         (1..=4).map(|n| send_count(&harness.log, n)).sum::<usize>(),
@@ -16,14 +16,14 @@
     );
     assert_eq!(sent_to(&harness.request(50, WRITE)), Some(1), "nor does it cost the primary");
     update_state(&mut harness, 3, EndpointState::Draining);
-    harness.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
+    harness.handle(Event::EndpointUpdate { complete: true, endpoints: Vec::new() });
     harness.log.clear();
     serve_reads(&mut harness, 60..100, 0, Outcome::Ok);
     assert_eq!(send_count(&harness.log, 3), 0, "one that has drained is not used");
     let at_removed = serve_reads(&mut harness, 100..200, 4, Outcome::ConnectFailed);
     assert!(at_removed <= 1, "one that is really removed costs one attempt, not {at_removed}");
     let mut strict = RouterHarness::with_known_roles(settings(), 4);
-    strict.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
+    strict.handle(Event::EndpointUpdate { complete: true, endpoints: Vec::new() });
     assert!(is_rejected(&strict.request(1, ANY), 1), "where removal binds too, the rule is kept");
 }
 
@@ -36,7 +36,7 @@
         serve_and_count(&mut harness, 1..100, 1..=4);
         let started = harness.now;
         let members = (5..=12).map(|n| EndpointEntry { started_at: started, ..endpoint_entry(n) }).collect();
-        harness.handle(Event::EndpointUpdate { full: false, endpoints: members });
+        harness.handle(Event::EndpointUpdate { complete: false, endpoints: members });
         serve_and_count(&mut harness, 100..190, 5..=12);
         serve_and_count(&mut harness, 200..220, 5..=12)
     };
@@ -67,7 +67,7 @@
         harness.end_attempt(id, 0, to, Outcome::Ok, None);
     }
     harness.handle(Event::EndpointUpdate {
-        full: false,
+        complete: false,
         endpoints: vec![EndpointEntry { started_at: harness.now, ..endpoint_entry(5) }],
     });
     harness.advance(9500 * MS);
@@ -75,7 +75,7 @@
     harness.log.clear();
     let started = harness.now - 9000 * MS;
     harness.handle(Event::EndpointUpdate {
-        full: false,
+        complete: false,
         endpoints: vec![EndpointEntry { started_at: started, ..endpoint_entry(6) }],
     });
     (3000..3040).for_each(|id| drop(harness.request(id, ANY)));
@@ -94,15 +94,17 @@
 fn a_restart_of_the_primary_clears_the_known_primary() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     let back = EndpointEntry { started_at: harness.now, ..endpoint_entry(1) };
-    harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![back] });
+    harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![back] });
     assert_ne!(sent_to(&harness.request(1, WRITE)), Some(1), "it comes back as a replica, and warms up");
 }
 
 #[test]
 fn unexpected_events_do_no_harm() {
     let mut harness = RouterHarness::with_known_roles(settings(), 2);
-    harness
-        .handle(Event::EndpointUpdate { full: false, endpoints: vec![endpoint_entry(1), endpoint_entry(1)] });
+    harness.handle(Event::EndpointUpdate {
+        complete: false,
+        endpoints: vec![endpoint_entry(1), endpoint_entry(1)],
+    });
     harness.end_attempt(77, 0, 1, Outcome::Ok, None);
     harness.end_attempt(77, 0, 99, Outcome::Ok, None);
     harness.handle(Event::ClientDisconnected(77));
@@ -111,7 +113,7 @@
     let to = sent_to(&harness.request(1, ANY)).unwrap();
     harness.handle(Event::ClientDisconnected(1));
     assert!(harness.end_attempt(1, 0, to, Outcome::TimedOut, None).is_empty(), "it is finished");
-    harness.handle(Event::EndpointUpdate { full: true, endpoints: Vec::new() });
+    harness.handle(Event::EndpointUpdate { complete: true, endpoints: Vec::new() });
     assert!(is_rejected(&harness.request(2, ANY), 2), "all are removed");
     assert!(is_rejected(&harness.handle(Event::Request(Request { group: 9, ..request(3, WRITE) })), 3));
     assert!(is_failed(&harness.request(4, 99), 4), "a class that is not in the settings");
@@ -152,7 +154,7 @@
     let removed = |n| EndpointEntry { state: EndpointState::Removed, ..endpoint_entry(n) };
     for n in 4..1_000 {
         harness.handle(Event::EndpointUpdate {
-            full: false,
+            complete: false,
             endpoints: vec![removed(n - 1), endpoint_entry(n)],
         });
         harness.report(n, Role::Replica, harness.now);
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -238,7 +238,7 @@
                     primary_hint: id == 1,
                     ..endpoint_entry(id)
                 };
-                let update = Event::EndpointUpdate { full: false, endpoints: vec![restarted] };
+                let update = Event::EndpointUpdate { complete: false, endpoints: vec![restarted] };
                 self.harnesses[router].handle(update);
             }
             FleetEvent::AttemptEnds { attempt, served } => self.end_attempt(now, router, attempt, served),
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -113,7 +113,7 @@
     fn driving(router: Router, now: Micros, endpoints: u64) -> RouterHarness {
         let mut harness = RouterHarness { router, now, log: Vec::new(), timer: None };
         harness.handle(Event::EndpointUpdate {
-            full: true,
+            complete: true,
             endpoints: (1..=endpoints).map(endpoint_entry).collect(),
         });
         harness
@@ -278,7 +278,7 @@
 /// Lets the list change the state of one endpoint.
 pub fn update_state(harness: &mut RouterHarness, endpoint: u64, state: EndpointState) {
     harness.handle(Event::EndpointUpdate {
-        full: false,
+        complete: false,
         endpoints: vec![EndpointEntry { state, ..endpoint_entry(endpoint) }],
     });
 }
--- a/tests/policy/probing.rs
+++ b/tests/policy/probing.rs
@@ -14,7 +14,7 @@
     let [hinted, unhinted] = [true, false].map(|primary_hint| {
         let mut harness = RouterHarness::new(settings(), 4);
         let primary = EndpointEntry { primary_hint, ..endpoint_entry(1) };
-        harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![primary] });
+        harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![primary] });
         for _ in 0..100 {
             // Probes time out: nothing is learnt of roles.
             harness.advance(100 * MS);
--- a/tests/policy/rules.rs
+++ b/tests/policy/rules.rs
@@ -249,7 +249,7 @@
             }
         }
         let entry = EndpointEntry { state, ..endpoint_entry(endpoint) };
-        self.harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![entry] })
+        self.harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![entry] })
     }
 }
 
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -38,7 +38,7 @@
     let warming_up = reads_sent_by_many(
         |harness| {
             let started = EndpointEntry { started_at: harness.now, ..endpoint_entry(3) };
-            harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![started] });
+            harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![started] });
         },
         3,
     );
@@ -49,7 +49,7 @@
 /// The list says that this member has just started, and whether it is the primary.
 fn restart_in_list(harness: &mut RouterHarness, n: u64, primary_hint: bool) {
     let started = EndpointEntry { started_at: harness.now, primary_hint, ..endpoint_entry(n) };
-    harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![started] });
+    harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![started] });
 }
 
 #[test]
@@ -140,7 +140,7 @@
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
     let started = harness.now;
     let members = (1..=4).map(|n| EndpointEntry { started_at: started, ..endpoint_entry(n) }).collect();
-    harness.handle(Event::EndpointUpdate { full: true, endpoints: members });
+    harness.handle(Event::EndpointUpdate { complete: true, endpoints: members });
     harness.advance(5000 * MS);
     let taken = serve_and_count(&mut harness, 1..40, 1..=4);
     assert!(taken >= 5, "{taken} of 39");
@@ -150,7 +150,7 @@
 fn an_endpoint_warming_up_gets_no_more_than_its_share() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
     let restarted = EndpointEntry { started_at: harness.now, ..endpoint_entry(4) };
-    harness.handle(Event::EndpointUpdate { full: false, endpoints: vec![restarted] });
+    harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![restarted] });
     let mut counts = BTreeMap::new();
     for id in 1..=600 {
         harness.advance(5 * MS);
