--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -179,7 +179,7 @@
             JobPurpose::Probe => {
                 let answered = result.outcome == Outcome::Ok;
                 let report = result.report;
-                self.notify_router(now, Event::Probed { endpoint: job.endpoint, answered, report });
+                self.notify_router(now, Event::ProbeEnded { endpoint: job.endpoint, answered, report });
             }
         }
     }
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -19,7 +19,7 @@
     /// An attempt ended.
     AttemptEnded(AttemptResult),
     /// A health check ended.
-    Probed {
+    ProbeEnded {
         /// The endpoint.
         endpoint: EndpointId,
         /// Whether it answered.
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -27,7 +27,7 @@
     }
 
     /// Takes in the end of a probe, and lets the reads that waited for it go on.
-    pub(crate) fn on_probed(&mut self, id: EndpointId, answered: bool, report: LoadReport) {
+    pub(crate) fn on_probe_ended(&mut self, id: EndpointId, answered: bool, report: LoadReport) {
         let Some(index) = self.topology.find(id) else { return };
         self.end_probe(index);
         self.topology[index].probe_unanswered = !answered;
--- a/src/router.rs
+++ b/src/router.rs
@@ -80,7 +80,9 @@
             Event::TimerFired(token) => self.on_timer(token),
             Event::Request(request) => self.on_request(request),
             Event::AttemptEnded(result) => self.on_attempt_ended(result),
-            Event::Probed { endpoint, answered, report } => self.on_probed(endpoint, answered, report),
+            Event::ProbeEnded { endpoint, answered, report } => {
+                self.on_probe_ended(endpoint, answered, report)
+            }
             Event::ProbeNotSent(endpoint) => self.on_probe_not_sent(endpoint),
             Event::ClientDisconnected(id) => self.finish(id),
         }
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -106,7 +106,7 @@
             }
             Action::Probe(endpoint) => {
                 let answered = self.random.below(3) > 0;
-                Some(Event::Probed { endpoint, answered, report: self.report(endpoint) })
+                Some(Event::ProbeEnded { endpoint, answered, report: self.report(endpoint) })
             }
             _ => None,
         }
--- a/src/sim_adapter/events.rs
+++ b/src/sim_adapter/events.rs
@@ -103,7 +103,7 @@
     let answered = fields.u16()? == STATUS_OK;
     let _elapsed = fields.u32()?;
     let report = values.load_report(&fields.floats()?);
-    Ok(Event::Probed { endpoint, answered, report })
+    Ok(Event::ProbeEnded { endpoint, answered, report })
 }
 
 fn decode_attempt(fields: &mut FieldReader<'_>, values: &ValueDecoder) -> Result<AttemptResult, WireError> {
--- a/tests/policy/freshness.rs
+++ b/tests/policy/freshness.rs
@@ -149,7 +149,7 @@
     };
     let answer = |harness: &mut RouterHarness, s, age| {
         let report = LoadReport { role: Some(Role::Replica), position: Some(harness.now - age) };
-        sent_to(&harness.handle(Event::Probed { endpoint: EndpointId(s), answered: true, report }))
+        sent_to(&harness.handle(Event::ProbeEnded { endpoint: EndpointId(s), answered: true, report }))
     };
     let first = asked(&mut harness, 1);
     assert_ne!(first, 1, "the primary stands at the present");
@@ -169,7 +169,7 @@
     let third = asked(&mut harness, 4);
     assert_eq!(sent_to(&harness.advance(100 * MS)), Some(1), "no answer: the primary serves it soon");
     let failed =
-        Event::Probed { endpoint: EndpointId(third), answered: false, report: LoadReport::default() };
+        Event::ProbeEnded { endpoint: EndpointId(third), answered: false, report: LoadReport::default() };
     harness.handle(failed);
     harness.log.clear();
     assert_ne!(asked(&mut harness, 5), third, "who did not answer is not the next to be asked");
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -150,7 +150,7 @@
     /// Lets a probe of this endpoint be answered.
     pub fn report(&mut self, endpoint: u64, role: Role, position: Micros) {
         let report = LoadReport { role: Some(role), position: Some(position) };
-        self.handle(Event::Probed { endpoint: EndpointId(endpoint), answered: true, report });
+        self.handle(Event::ProbeEnded { endpoint: EndpointId(endpoint), answered: true, report });
     }
 
     /// Lets time pass, with the router's timers coming due on the way.
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -125,7 +125,7 @@
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     for _ in 0..20 {
         let report = LoadReport::default();
-        harness.handle(Event::Probed { endpoint: EndpointId(3), answered: false, report });
+        harness.handle(Event::ProbeEnded { endpoint: EndpointId(3), answered: false, report });
     }
     serve_reads(&mut harness, 1..41, 0, Outcome::Ok);
     assert!(send_count(&harness.log, 3) >= 15, "{} of 40", send_count(&harness.log, 3));
--- a/tests/policy/probing.rs
+++ b/tests/policy/probing.rs
@@ -20,7 +20,7 @@
             harness.advance(100 * MS);
             (1..=4).for_each(|n| {
                 let report = LoadReport::default();
-                harness.handle(Event::Probed { endpoint: EndpointId(n), answered: false, report });
+                harness.handle(Event::ProbeEnded { endpoint: EndpointId(n), answered: false, report });
             });
             harness.handle(Event::Request(request(harness.log.len() as u32, ANY)));
         }
@@ -43,7 +43,7 @@
                 ..attempt_result(id, 0, to, Outcome::Ok)
             }));
             harness.report(1, Role::Primary, harness.now);
-            harness.handle(Event::Probed {
+            harness.handle(Event::ProbeEnded {
                 endpoint: EndpointId(2),
                 answered: false,
                 report: LoadReport::default(),
