--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -58,7 +58,7 @@
 /// The messages up to a Sync or a Flush, or a simple query by itself.
 pub struct ClientBatch {
     /// When the last byte was read.
-    pub at: Micros,
+    pub received_at: Micros,
     /// The messages.
     pub messages: Vec<Vec<u8>>,
     /// The message that ended it.
--- a/src/client/simple_query.rs
+++ b/src/client/simple_query.rs
@@ -47,7 +47,7 @@
 /// A simple query and what was parsed from its comment.
 pub struct SimpleQuery {
     /// When its last byte was read.
-    pub at: Micros,
+    pub received_at: Micros,
     /// The statement, without the terminating zero.
     pub text: Vec<u8>,
     /// What routing needs, or why the query is rejected.
--- a/src/front/connection_manager/tests.rs
+++ b/src/front/connection_manager/tests.rs
@@ -51,7 +51,7 @@
         member_request: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
     };
     ClientEvent::Command(SimpleQuery {
-        at: 0,
+        received_at: 0,
         text: Vec::new(),
         fields: Ok(ParsedQuery::Request(Box::new(request), 0..0)),
     })
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -19,7 +19,7 @@
     type Context = ();
 
     fn read_at(query: &SimpleQuery) -> Micros {
-        query.at
+        query.received_at
     }
 
     fn start(&mut self, (): &mut (), query: SimpleQuery, service: ServiceState) -> CommandStep<Self> {
--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -183,7 +183,7 @@
     type Context = UnitContext;
 
     fn read_at(batch: &ClientBatch) -> Micros {
-        batch.at
+        batch.received_at
     }
 
     /// A unit that depends on statements of an unfinished one waits for it, as do all units after a Flush.
--- a/src/net/client/commands.rs
+++ b/src/net/client/commands.rs
@@ -48,7 +48,7 @@
             Some((frontend::QUERY, message)) => {
                 let text = query_text(message)?;
                 ClientEvent::Command(SimpleQuery {
-                    at: self.last_read_at,
+                    received_at: self.last_read_at,
                     text: text.to_vec(),
                     fields: ParsedQuery::read(text, settings),
                 })
@@ -116,7 +116,7 @@
     fn report_batch(&mut self, end: BatchEnd, events: &EventSink) {
         let ParseState::Extended(batch) = &mut self.parse_state else { return };
         let PartialBatch { messages, bytes } = std::mem::take(batch);
-        let batch = ClientBatch { at: self.last_read_at, messages, end };
+        let batch = ClientBatch { received_at: self.last_read_at, messages, end };
         self.count_command(bytes);
         events(ReactorEvent::Extended(self.shared.id, ClientEvent::Command(batch)));
     }
