--- a/src/client/simple_query.rs
+++ b/src/client/simple_query.rs
@@ -99,7 +99,7 @@
             is_retry: fields.is_retry,
             external_id: external_id.ok_or(InvalidQuery::MissingExternalId)?.to_vec(),
             timeout: from_unix_ms(millis),
-            member_request: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
+            member_request: MemberRequest::SimpleQuery { text: Vec::new(), timeout_digits: None },
         };
         Ok(ParsedQuery::Request(Box::new(request), digits))
     }
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -12,7 +12,7 @@
         /// The text, as received.
         text: Vec<u8>,
         /// The digits of the client's timeout in its comment: they are replaced by the remaining time.
-        wait_digits: Option<Range<usize>>,
+        timeout_digits: Option<Range<usize>>,
     },
     /// Extended-query messages up to a Sync or a Flush.
     Extended(ExtendedBatch),
--- a/src/front/connection_manager/tests.rs
+++ b/src/front/connection_manager/tests.rs
@@ -48,7 +48,7 @@
         is_retry: false,
         external_id: vec![id],
         timeout: 1_000_000,
-        member_request: MemberRequest::SimpleQuery { text: Vec::new(), wait_digits: None },
+        member_request: MemberRequest::SimpleQuery { text: Vec::new(), timeout_digits: None },
     };
     ClientEvent::Command(SimpleQuery {
         received_at: 0,
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -34,7 +34,7 @@
             },
             Ok(ParsedQuery::Request(request, timeout_digits)) => {
                 let member_request =
-                    MemberRequest::SimpleQuery { text: query.text, wait_digits: Some(timeout_digits) };
+                    MemberRequest::SimpleQuery { text: query.text, timeout_digits: Some(timeout_digits) };
                 CommandStep::Forward(ParsedRequest { member_request, ..*request }, ())
             }
             Err(invalid) => {
--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -107,7 +107,7 @@
         };
         let member_request = MemberRequest::SimpleQuery {
             text: text.to_vec(),
-            wait_digits: statement::parse_fields(text).timeout.map(|timeout| timeout.digits),
+            timeout_digits: statement::parse_fields(text).timeout.map(|timeout| timeout.digits),
         };
         let request = self.analyzer.combine(&statements, member_request)?;
         session.end_unit();
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -91,8 +91,8 @@
             JobSpec::Probe => self.run_simple_query(HEALTH_CHECK, None, true),
             JobSpec::Attempt { work, .. } => match work.as_ref() {
                 MemberRequest::Extended(batch) => self.run_batch(batch, statements),
-                MemberRequest::SimpleQuery { text, wait_digits } => {
-                    self.run_simple_query(text, wait_digits.as_ref(), false)
+                MemberRequest::SimpleQuery { text, timeout_digits } => {
+                    self.run_simple_query(text, timeout_digits.as_ref(), false)
                 }
             },
         }
@@ -101,7 +101,7 @@
     fn run_simple_query(
         &mut self,
         text: &[u8],
-        wait_digits: Option<&Range<usize>>,
+        timeout_digits: Option<&Range<usize>>,
         health_check: bool,
     ) -> Option<JobReply> {
         let Some(time_left) = self.conditions.time_left() else {
@@ -110,7 +110,7 @@
         if !self.state.begin() {
             return None;
         }
-        if self.write(&simple_query(text, wait_digits, time_left)).is_err() {
+        if self.write(&simple_query(text, timeout_digits, time_left)).is_err() {
             // The connection broke before the last byte was written: the query was never executed.
             return Some(JobReply::failed(Outcome::ConnectFailed));
         }
@@ -141,9 +141,9 @@
     pub(super) written: usize,
 }
 
-/// The query message of a statement, with the remaining time of this proxy's wait in place of `wait_digits`.
-fn simple_query(text: &[u8], wait_digits: Option<&Range<usize>>, time_left: Duration) -> Vec<u8> {
-    match wait_digits {
+/// The query message of a statement, with the remaining time of this proxy's wait in place of `timeout_digits`.
+fn simple_query(text: &[u8], timeout_digits: Option<&Range<usize>>, time_left: Duration) -> Vec<u8> {
+    match timeout_digits {
         None => pg::query_message(&[text]),
         Some(digits) => {
             let wait = time_left.as_millis().to_string();
