--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -20,7 +20,7 @@
         secret: u32,
     },
     /// A startup packet.
-    Opening(StartupPacket),
+    Startup(StartupPacket),
     /// A complete command.
     Command(C),
     /// A message that this front does not support.
--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -159,7 +159,7 @@
                 self.connections.insert(id, Connection::new(secret, now));
             }
             // A cancel request is valid even if its connection was rejected for lack of capacity.
-            ClientEvent::Opening(StartupPacket::CancelRequest { process, secret }) => {
+            ClientEvent::Startup(StartupPacket::CancelRequest { process, secret }) => {
                 self.client_disconnected(registry, id, ClientCloseReason::CancelRequest, &mut effects);
                 self.cancel(registry, now, process, secret, &mut effects);
             }
@@ -180,11 +180,11 @@
         effects: &mut Vec<FrontEffect>,
     ) {
         match event {
-            ClientEvent::Connected { .. } | ClientEvent::Opening(StartupPacket::CancelRequest { .. }) => {}
-            ClientEvent::Opening(StartupPacket::EncryptionRequest) => {
+            ClientEvent::Connected { .. } | ClientEvent::Startup(StartupPacket::CancelRequest { .. }) => {}
+            ClientEvent::Startup(StartupPacket::EncryptionRequest) => {
                 effects.push(FrontEffect::Write(id, ENCRYPTION_NOT_SUPPORTED.to_vec()));
             }
-            ClientEvent::Opening(StartupPacket::Startup) => self.write_startup_response(id, effects),
+            ClientEvent::Startup(StartupPacket::Startup) => self.write_startup_response(id, effects),
             ClientEvent::Command(command) => {
                 if let Some(connection) = self.connections.get_mut(&id) {
                     connection.pipeline.push(command);
--- a/src/net/client/commands.rs
+++ b/src/net/client/commands.rs
@@ -28,7 +28,7 @@
         };
         let is_startup = packet == StartupPacket::Startup;
         let is_cancel = matches!(packet, StartupPacket::CancelRequest { .. });
-        self.report(ConnectionEvent::Opening(packet), events);
+        self.report(ConnectionEvent::Startup(packet), events);
         if is_startup {
             self.parse_state = match self.extended {
                 true => ParseState::Extended(PartialBatch::default()),
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -69,7 +69,7 @@
 
 /// An event that connections of both protocols have.
 pub(super) enum ConnectionEvent {
-    Opening(StartupPacket),
+    Startup(StartupPacket),
     Malformed(ProtocolError),
     Disconnected,
 }
@@ -77,7 +77,7 @@
 impl<C> From<ConnectionEvent> for ClientEvent<C> {
     fn from(event: ConnectionEvent) -> ClientEvent<C> {
         match event {
-            ConnectionEvent::Opening(packet) => ClientEvent::Opening(packet),
+            ConnectionEvent::Startup(packet) => ClientEvent::Startup(packet),
             ConnectionEvent::Malformed(error) => ClientEvent::Malformed(error),
             ConnectionEvent::Disconnected => ClientEvent::Disconnected,
         }
@@ -241,7 +241,7 @@
         }
         self.frames.push(bytes);
         if let Ok(Some(packet @ StartupPacket::CancelRequest { .. })) = self.frames.next_startup_packet() {
-            self.report(ConnectionEvent::Opening(packet), events);
+            self.report(ConnectionEvent::Startup(packet), events);
         }
         self.frames = FrameReader::default();
     }
