--- a/src/net/client/handle.rs
+++ b/src/net/client/handle.rs
@@ -52,7 +52,7 @@
     }
 
     /// Closes the connection at once, discarding unwritten bytes.
-    pub fn cut(&self) {
+    pub fn abort(&self) {
         let _ = self.shared.stream.shutdown(Shutdown::Both);
     }
 }
--- a/src/net/member/connect.rs
+++ b/src/net/member/connect.rs
@@ -15,7 +15,7 @@
 
 /// A connection that has reached the member, with the bytes read from it.
 pub(super) struct OpenConnection {
-    /// The socket, shared with the owner that may cut the connection.
+    /// The socket, shared with the owner that may abort the connection.
     pub(super) stream: Arc<TcpStream>,
     /// Bytes that have arrived but are not parsed yet.
     pub(super) frames: FrameReader,
--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -24,7 +24,7 @@
     connect_timeout: Duration,
     events: MemberEvents,
     /// The current socket, for cutting the connection.
-    cut_target: Mutex<Option<Arc<TcpStream>>>,
+    abort_target: Mutex<Option<Arc<TcpStream>>>,
     /// The state of the connection while no job is running; a job takes it. `None` also once it has ended.
     idle_state: Mutex<Option<ConnectionState>>,
 }
@@ -65,14 +65,14 @@
             address,
             connect_timeout,
             events,
-            cut_target: Mutex::new(None),
+            abort_target: Mutex::new(None),
             idle_state: Mutex::new(Some(ConnectionState::default())),
         }
     }
 
     /// Ends the connection, whatever its state.
-    pub(super) fn cut(&self) {
-        if let Some(stream) = self.cut_target().as_ref() {
+    pub(super) fn abort(&self) {
+        if let Some(stream) = self.abort_target().as_ref() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -84,7 +84,7 @@
         if let Some(state) = state.and_then(|state| self.run_job_with(state, &job, &mut events)) {
             *self.idle_state() = Some(state);
         } else {
-            *self.cut_target() = None;
+            *self.abort_target() = None;
             events.push(Input::ConnectionClosed(self.link));
         }
         events
@@ -95,8 +95,8 @@
         self.events.send(event);
     }
 
-    fn cut_target(&self) -> MutexGuard<'_, Option<Arc<TcpStream>>> {
-        self.cut_target.lock().unwrap_or_else(|e| e.into_inner())
+    fn abort_target(&self) -> MutexGuard<'_, Option<Arc<TcpStream>>> {
+        self.abort_target.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     fn idle_state(&self) -> MutexGuard<'_, Option<ConnectionState>> {
@@ -146,7 +146,7 @@
     /// Closes a connection that can't be used; returns the state of one not opened yet. Guards against a
     /// socket that stays open, and that nobody reads, while the next one is being opened.
     fn discard(&self, state: ConnectionState) -> ConnectionState {
-        *self.cut_target() = None;
+        *self.abort_target() = None;
         drop(state);
         ConnectionState::default()
     }
@@ -193,7 +193,7 @@
             }
             outcome
         })?;
-        *self.cut_target() = Some(open.stream.clone());
+        *self.abort_target() = Some(open.stream.clone());
         Ok(open)
     }
 }
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -141,7 +141,8 @@
     pub(super) written: usize,
 }
 
-/// The query message of a statement, with the remaining time of this proxy's wait in place of `timeout_digits`.
+/// The query message of a statement, with the remaining time of this proxy's wait in place of the timeout's
+/// digits.
 fn simple_query(text: &[u8], timeout_digits: Option<&Range<usize>>, time_left: Duration) -> Vec<u8> {
     match timeout_digits {
         None => pg::query_message(&[text]),
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -33,13 +33,13 @@
 pub struct Withdrawal {
     /// The last byte of the request may have been sent, so that the member may execute it.
     pub maybe_sent: bool,
-    /// The connection can be given another job. If not, it has been cut.
+    /// The connection can be given another job. If not, it has been aborted.
     pub reusable: bool,
 }
 
 impl Withdrawal {
-    /// The job had started, and the connection was cut.
-    pub const CUT: Withdrawal = Withdrawal { maybe_sent: true, reusable: false };
+    /// The job had started, and the connection was aborted.
+    pub const ABORTED: Withdrawal = Withdrawal { maybe_sent: true, reusable: false };
 }
 
 /// The event loop's handle of a member connection.
@@ -83,7 +83,7 @@
     }
 
     /// Withdraws a job that has not started; `None` if it has. A connection in use for a liveness check,
-    /// or for the messages before an Execute, is cut.
+    /// or for the messages before an Execute, is aborted.
     pub fn withdraw_unsent(&self, job: JobId) -> Option<Withdrawal> {
         if self.job != job {
             return None;
@@ -92,22 +92,22 @@
             return Some(Withdrawal { maybe_sent: false, reusable: true });
         }
         if self.state.withdraw_preparing() {
-            self.cut();
+            self.abort();
             return Some(Withdrawal { maybe_sent: false, reusable: false });
         }
         None
     }
 
-    /// Withdraws a job, whether it has started or not. If it has started, the connection is cut.
+    /// Withdraws a job, whether it has started or not. If it has started, the connection is aborted.
     pub fn abandon(&self, job: JobId) -> Withdrawal {
         self.withdraw_unsent(job).unwrap_or_else(|| {
-            self.cut();
-            Withdrawal::CUT
+            self.abort();
+            Withdrawal::ABORTED
         })
     }
 
     /// Ends the connection, whatever its state.
-    pub fn cut(&self) {
-        self.connection.cut();
+    pub fn abort(&self) {
+        self.connection.abort();
     }
 }
--- a/src/server/clients.rs
+++ b/src/server/clients.rs
@@ -105,7 +105,7 @@
                 if let Some(client) = self.clients.get(&id)
                     && !client.write(bytes)
                 {
-                    client.cut();
+                    client.abort();
                     self.count_client_close(now, id, ClientCloseReason::SlowReader);
                 }
             }
--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -83,7 +83,7 @@
 
     fn cancel_job(&mut self, now: Micros, connection: ConnectionId, job: JobId) {
         let handle = self.member_connections.get(&connection);
-        let withdrawal = handle.map_or(Withdrawal::CUT, |handle| handle.abandon(job));
+        let withdrawal = handle.map_or(Withdrawal::ABORTED, |handle| handle.abandon(job));
         self.finish_cancellation(now, connection, job, withdrawal);
     }
 
@@ -110,7 +110,7 @@
 
     fn close_member_connection(&mut self, now: Micros, connection: ConnectionId) {
         if let Some(handle) = self.member_connections.remove(&connection) {
-            handle.cut();
+            handle.abort();
         }
         // No thread runs this connection that could report it.
         self.step_reducer(now, Input::ConnectionClosed(connection));
