--- a/src/server/clients.rs
+++ b/src/server/clients.rs
@@ -9,9 +9,9 @@
 use crate::pg::{put_error_response, sqlstate};
 use crate::stable_hash::stable_hash;
 
-/// Clients hold a third of the descriptors at most. Once kept connections use one in this many descriptors,
+/// Clients hold a third of the descriptors at most. Once retained connections use one in this many descriptors,
 /// idle connections are closed as soon as they may be.
-const KEPT_CONNECTIONS_DIVISOR: usize = 4;
+const RETAINED_CONNECTIONS_DIVISOR: usize = 4;
 
 impl Server {
     /// Admits a new connection, or rejects it where there is no capacity.
@@ -51,13 +51,13 @@
     /// request and keep their connection forever: with all client capacity used by these, new clients cannot
     /// connect, however much capacity for requests is left.
     pub(super) fn next_idle_close(&self) -> Option<(Micros, ClientId)> {
-        let kept = self.fronts.kept_connections();
-        let are_many = kept.count * KEPT_CONNECTIONS_DIVISOR >= self.max_descriptors;
-        if are_many { kept.longest_idle } else { None }
+        let retained = self.fronts.retained_connections();
+        let are_many = retained.count * RETAINED_CONNECTIONS_DIVISOR >= self.max_descriptors;
+        if are_many { retained.longest_idle } else { None }
     }
 
-    /// Closes the kept connections that are due.
-    pub(super) fn close_kept_connections(&mut self, now: Micros) {
+    /// Closes the retained connections that are due.
+    pub(super) fn close_retained_connections(&mut self, now: Micros) {
         while let Some((close_at, id)) = self.next_idle_close()
             && close_at <= now
         {
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -53,7 +53,7 @@
             self.become_ready(now);
         }
         self.retry_reload_if_due(now);
-        self.close_kept_connections(now);
+        self.close_retained_connections(now);
         self.drain_if_due(now);
     }
 
--- a/src/server/fronts.rs
+++ b/src/server/fronts.rs
@@ -9,7 +9,7 @@
 use crate::{Micros, RequestId};
 
 /// Connections that have sent a request and are kept open.
-pub(super) struct KeptConnections {
+pub(super) struct RetainedConnections {
     /// How many there are.
     pub(super) count: usize,
     /// The one that has been idle longest, with the time from which it may be closed.
@@ -136,12 +136,12 @@
     }
 
     /// The connections that clients keep open between requests.
-    pub(super) fn kept_connections(&self) -> KeptConnections {
+    pub(super) fn retained_connections(&self) -> RetainedConnections {
         let of_platform = self.platform.retained_connections();
         let of_postgres = self.postgres.as_ref().map(ConnectionManager::retained_connections);
         let of_postgres = of_postgres.unwrap_or_default();
         let evictable = of_platform.next_evictable.into_iter().chain(of_postgres.next_evictable);
-        KeptConnections {
+        RetainedConnections {
             count: of_platform.count + of_postgres.count,
             longest_idle: evictable.min().map(|next| (next.evictable_at, next.client)),
         }
