--- a/src/core/connections.rs
+++ b/src/core/connections.rs
@@ -94,7 +94,7 @@
     }
 
     /// A connection was dropped by the network while it was idle: the others may have been as well.
-    pub(super) fn distrust_idle_connections(&mut self, now: Micros) {
+    pub(super) fn require_revalidation(&mut self, now: Micros) {
         self.revalidate_until = now + REVALIDATION_PERIOD;
     }
 
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -225,7 +225,7 @@
             });
         }
         if outcome == Outcome::Reset && job.reused && elapsed < STALE_RESET_LIMIT {
-            self.distrust_idle_connections(now);
+            self.require_revalidation(now);
         }
         let finished = !self.requests.contains_key(&request);
         let ended = AttemptResult {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -110,7 +110,7 @@
             }
             Input::AttemptWritten => self.counters.attempts_written += 1,
             Input::ConnectionIdle(connection) => self.check_in(now, connection),
-            Input::StaleConnectionFound => self.distrust_idle_connections(now),
+            Input::StaleConnectionFound => self.require_revalidation(now),
             Input::ConnectionClosed(connection) => self.connection_closed(now, connection),
             Input::JobCancelled { job, maybe_sent, reusable } => {
                 self.job_cancelled(now, job, maybe_sent, reusable);
--- a/src/estimators/latency_baseline.rs
+++ b/src/estimators/latency_baseline.rs
@@ -41,7 +41,7 @@
     }
 
     /// The time in microseconds that a request of this class takes at an idle endpoint.
-    pub(crate) fn unloaded(&self, class: usize) -> f64 {
+    pub(crate) fn unloaded_latency(&self, class: usize) -> f64 {
         self.classes[class].unloaded
     }
 
--- a/src/estimators/rate.rs
+++ b/src/estimators/rate.rs
@@ -20,12 +20,12 @@
 
     /// Counts one event.
     pub(crate) fn record(&mut self, now: Micros) {
-        self.per_second = self.at(now) + 1e6 / Self::SPAN;
+        self.per_second = self.per_second_at(now) + 1e6 / Self::SPAN;
         self.updated_at = now;
     }
 
     /// The rate per second as it stands now, with no event since the last one recorded.
-    pub(crate) fn at(&self, now: Micros) -> f64 {
+    pub(crate) fn per_second_at(&self, now: Micros) -> f64 {
         self.per_second * (-(now.saturating_sub(self.updated_at) as f64) / Self::SPAN).exp()
     }
 }
--- a/src/estimators/tests.rs
+++ b/src/estimators/tests.rs
@@ -22,21 +22,21 @@
     for event in 1..=1000 {
         rate.record(event * SECOND / 50);
     }
-    let settled = rate.at(20 * SECOND);
+    let settled = rate.per_second_at(20 * SECOND);
     assert!((45.0..55.0).contains(&settled), "{settled}");
-    let later = rate.at(20 * SECOND + DecayingRate::SPAN as Micros);
+    let later = rate.per_second_at(20 * SECOND + DecayingRate::SPAN as Micros);
     assert!((later / settled - (-1.0f64).exp()).abs() < 1e-9, "{later}");
 }
 
 #[test]
 fn a_baseline_follows_faster_answers_quickly_and_slower_ones_slowly() {
     let mut baselines = LatencyBaselines::new(&[class(400_000)]);
-    assert_eq!(baselines.unloaded(0), 100_000.0);
+    assert_eq!(baselines.unloaded_latency(0), 100_000.0);
     (0..200).for_each(|_| baselines.record(0, 20_000));
-    let fast = baselines.unloaded(0);
+    let fast = baselines.unloaded_latency(0);
     assert!((19_000.0..25_000.0).contains(&fast), "{fast}");
     (0..100).for_each(|_| baselines.record(0, 300_000));
-    let loaded = baselines.unloaded(0);
+    let loaded = baselines.unloaded_latency(0);
     assert!(loaded < 1.2 * fast, "load must not become the norm: {loaded}");
 }
 
@@ -44,7 +44,7 @@
 fn a_class_without_answers_shares_the_pace_of_the_others() {
     let mut baselines = LatencyBaselines::new(&[class(400_000), class(800_000)]);
     (0..50).for_each(|_| baselines.record(0, 10_000));
-    assert!(baselines.unloaded(1) < 60_000.0, "{}", baselines.unloaded(1));
+    assert!(baselines.unloaded_latency(1) < 60_000.0, "{}", baselines.unloaded_latency(1));
 }
 
 #[test]
--- a/src/estimators/traffic.rs
+++ b/src/estimators/traffic.rs
@@ -53,16 +53,18 @@
         let needs_primary = |class: &usize| classes[*class].role() == Role::Primary;
         let primary_work = self.offered_primary_work(classes, now);
         let squares = (0..classes.len()).filter(needs_primary).map(|class| {
-            let unloaded = self.baselines.unloaded(class);
-            self.offered[class].at(now) * unloaded * unloaded
+            let unloaded = self.baselines.unloaded_latency(class);
+            self.offered[class].per_second_at(now) * unloaded * unloaded
         });
-        let requests: f64 = self.offered.iter().map(|rate| rate.at(now)).sum();
+        let requests: f64 = self.offered.iter().map(|rate| rate.per_second_at(now)).sum();
         let mean_work = self.offered_work(now) / requests.max(1e-12);
         (squares.sum::<f64>() / (primary_work * mean_work).max(1e-12)).max(1.0)
     }
 
     fn work(&self, rates: &[DecayingRate], now: Micros, weight: impl Fn(usize) -> f64) -> f64 {
-        let class_work = |class: usize| weight(class) * rates[class].at(now) * self.baselines.unloaded(class);
+        let class_work = |class: usize| {
+            weight(class) * rates[class].per_second_at(now) * self.baselines.unloaded_latency(class)
+        };
         (0..rates.len()).map(class_work).sum()
     }
 }
--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -23,7 +23,7 @@
     /// For opening the connection, and for a liveness check.
     connect_timeout: Duration,
     events: MemberEvents,
-    /// The current socket, for cutting the connection.
+    /// The current socket, for aborting the connection.
     abort_target: Mutex<Option<Arc<TcpStream>>>,
     /// The state of the connection while no job is running; a job takes it. `None` also once it has ended.
     idle_state: Mutex<Option<ConnectionState>>,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -54,7 +54,7 @@
     /// only the primary can serve them; all that replicas can serve ranks lower there.
     fn priority_rank(&self, pending: &PendingRequest, index: EndpointIndex) -> f64 {
         let class = &self.settings.classes[pending.request.class];
-        let unloaded = self.unloaded(pending.request.class);
+        let unloaded = self.unloaded_latency(pending.request.class);
         let best = if class.requirement == Requirement::Write {
             class.priority_weight / unloaded
         } else {
@@ -72,8 +72,8 @@
     }
 
     /// The time that a request of this class takes without load, in microseconds.
-    pub(super) fn unloaded(&self, class: usize) -> f64 {
-        self.traffic.baselines.unloaded(class)
+    pub(super) fn unloaded_latency(&self, class: usize) -> f64 {
+        self.traffic.baselines.unloaded_latency(class)
     }
 
     /// Records how long an attempt took. One that was not answered has no time and counts as a full delay,
@@ -91,7 +91,7 @@
         let objective = self.settings.classes[attempt.class].latency_objective as f64;
         let delay = elapsed.map_or(1.0, |elapsed| {
             self.traffic.baselines.record(attempt.class, elapsed);
-            let unloaded = self.traffic.baselines.unloaded(attempt.class);
+            let unloaded = self.traffic.baselines.unloaded_latency(attempt.class);
             ((elapsed as f64 - unloaded) / objective).clamp(0.0, 1.0)
         });
         self.topology.record_delay(index, delay, self.now);
--- a/src/policy/endpoint_updates.rs
+++ b/src/policy/endpoint_updates.rs
@@ -56,7 +56,7 @@
         let last_send_number = self.random.below(FIRST_SEND_NUMBER);
         // A trial comes first where it costs no time: where trials reach all endpoints in a second. Only a
         // start that the list reports lets a new one be used at once: slow start bounds its load.
-        let trials_per_second = self.traffic.arrivals.at(self.now) * health::TRIAL_SHARE;
+        let trials_per_second = self.traffic.arrivals.per_second_at(self.now) * health::TRIAL_SHARE;
         let trials_are_quick = trials_per_second > self.topology.endpoint_count() as f64;
         let ejected = !is_first_list && (entry.started_at == 0 || trials_are_quick);
         let failure_rate = FailureRate::new(if ejected { health::EJECTION_THRESHOLD } else { 0.0 });
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -13,7 +13,7 @@
         let group = endpoint.group;
         let primary_before = self.topology.primary(group);
         // The unloaded time is taken before this attempt's own time is recorded, which may change it.
-        let unloaded = self.unloaded(attempt.class);
+        let unloaded = self.unloaded_latency(attempt.class);
         self.topology[index].record_outcome(result.outcome, self.now);
         let is_usable = self.is_usable(index);
         // A keyed write that had run before is answered with the time of its first run.
@@ -100,7 +100,7 @@
             self.commits.record(session, group, position);
         }
         if outcome.may_have_run() {
-            pending.record_run(attempt.sent_at);
+            pending.record_possible_run(attempt.sent_at);
         }
         // A request that failed with an error at the primary may be retried there.
         if outcome != Outcome::Error || class.role() == Role::Replica {
@@ -109,7 +109,7 @@
         let cost = match outcome {
             Outcome::NotServable | Outcome::NeverSent => 0.0,
             // Guards against lost writes, which are not retried, using up the retries of reads.
-            _ if pending.is_spent(class) => 0.0,
+            _ if pending.must_not_run_again(class) => 0.0,
             Outcome::RejectedByMember => 1.0,
             _ => (result.elapsed as f64 / unloaded).min(1.0),
         };
--- a/src/policy/probe_timing.rs
+++ b/src/policy/probe_timing.rs
@@ -24,7 +24,7 @@
         let observed_before = self.now.checked_sub(usual.max(PROBE_INTERVAL_MIN));
         let mut candidates = self.probe_schedule.due(self.now, observed_before);
         candidates.extend(self.probe_schedule.down());
-        for group in self.probe_schedule.unled_groups() {
+        for group in self.probe_schedule.groups_without_healthy_primary() {
             candidates.extend(self.topology.members(group));
         }
         candidates
@@ -60,7 +60,7 @@
 
     /// The usual interval between two probes of an endpoint.
     pub(crate) fn probe_interval(&self) -> Micros {
-        let rate = PROBE_SHARE * self.traffic.arrivals.at(self.now);
+        let rate = PROBE_SHARE * self.traffic.arrivals.per_second_at(self.now);
         (self.topology.endpoint_count() as f64 / rate.max(0.001) * 1e6) as Micros
     }
 
@@ -100,19 +100,19 @@
         self.probe_schedule.record(index, may_answer.then_some(times));
     }
 
-    /// A group counts as led also where only the list names its primary. Guards against all routers that have
-    /// just started probing at a high rate.
-    fn is_led(&self, group: GroupId) -> bool {
+    /// Whether a group has a healthy primary, also where only the list names that primary. Guards against all
+    /// routers that have just started probing at a high rate.
+    fn has_healthy_primary(&self, group: GroupId) -> bool {
         self.topology.presumed_primary(group).is_some_and(|primary| self.is_healthy(primary))
     }
 
-    /// Updates whether a group is led.
+    /// Updates whether a group has a healthy primary.
     pub(super) fn update_leadership(&mut self, group: GroupId) {
-        let is_led = self.is_led(group);
-        self.probe_schedule.record_led(group, is_led);
+        let has_healthy_primary = self.has_healthy_primary(group);
+        self.probe_schedule.record_primary_health(group, has_healthy_primary);
     }
 
     fn is_probe_urgent(&self, index: EndpointIndex) -> bool {
-        self.topology[index].down || !self.is_led(self.topology[index].group)
+        self.topology[index].down || !self.has_healthy_primary(self.topology[index].group)
     }
 }
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -225,7 +225,7 @@
     fn is_long_read(&self, class: usize) -> bool {
         let lightest = self.traffic.baselines.all().fold(f64::INFINITY, f64::min);
         let needs_no_freshness = self.settings.classes[class].requirement == Requirement::Any;
-        needs_no_freshness && self.unloaded(class) > LONG_READ_MULTIPLE * lightest
+        needs_no_freshness && self.unloaded_latency(class) > LONG_READ_MULTIPLE * lightest
     }
 
     /// Whether sending to an endpoint costs a crossing between zones.
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -35,7 +35,7 @@
     pub(crate) fn on_request(&mut self, request: Request) {
         let shed_draw = self.random.fraction();
         self.traffic.arrivals.record(self.now);
-        let retries_per_second = self.traffic.arrivals.at(self.now) * RETRY_SHARE;
+        let retries_per_second = self.traffic.arrivals.per_second_at(self.now) * RETRY_SHARE;
         self.retry_budget = (self.retry_budget + RETRY_SHARE).min(retries_per_second.max(1.0));
         self.trial_budget = (self.trial_budget + health::TRIAL_SHARE).min(1.0);
         let Some(class) = self.settings.classes.get(request.class) else {
@@ -47,7 +47,7 @@
         let mut priority = class.priority_weight * if request.is_retry { retry_value } else { 1.0 };
         if let Some(rate) = self.traffic.tenants.get_mut(request.tenant) {
             rate.record(self.now);
-            let rate_at_all_routers = rate.at(self.now) * f64::from(self.settings.instances);
+            let rate_at_all_routers = rate.per_second_at(self.now) * f64::from(self.settings.instances);
             if rate_at_all_routers > self.settings.quotas[request.tenant] {
                 priority *= self.settings.over_quota_weight;
             }
@@ -85,7 +85,7 @@
     fn hold(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         let (class, useful_until) = (pending.request.class, pending.useful_until);
-        let reserve = (self.unloaded(class) as Micros / 2).max(2 * self.tick_interval());
+        let reserve = (self.unloaded_latency(class) as Micros / 2).max(2 * self.tick_interval());
         let last_hold = useful_until.saturating_sub(reserve);
         if self.now >= last_hold {
             return self.give_up(id, GiveUpReason::HoldEnded);
@@ -153,7 +153,7 @@
     /// against counting an endpoint as idle that still works on what was given up, and against clients that
     /// repeat a request that is about to be answered.
     fn attempt_timeout(&self, pending: &PendingRequest, exploratory: bool) -> Micros {
-        let unloaded = self.unloaded(pending.request.class);
+        let unloaded = self.unloaded_latency(pending.request.class);
         let most = match self.settings.classes[pending.request.class].idempotency {
             Idempotency::AtMostOnce => f64::INFINITY,
             _ if exploratory => unloaded * EXPLORATORY_TIMEOUT_MULTIPLE,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -55,7 +55,7 @@
             return true;
         }
         let role = self.settings.classes[class].role();
-        let cost = self.unloaded(class);
+        let cost = self.unloaded_latency(class);
         let saved = self.saved_budget(index, class);
         let credit = if on_credit { self.slow_start_credit(index, role, cost) + saved.min(0.0) } else { 0.0 };
         let stake = saved.max(credit).clamp(0.0, cost);
@@ -92,7 +92,7 @@
     /// Deducts a request that is sent from the budget.
     pub(super) fn charge_slow_start(&mut self, index: EndpointIndex, class: usize) {
         let role = self.settings.classes[class].role();
-        let cost = self.unloaded(class);
+        let cost = self.unloaded_latency(class);
         let saved = (self.saved_budget(index, class) - cost).max(-cost);
         let budgets = &mut self.topology[index].slow_start;
         budgets[role] = SlowStartBudget { saved, updated_at: self.now };
@@ -110,7 +110,7 @@
         let window = self.settings.overload_window as f64;
         let most = rate * window * SAVED_WINDOWS / SAVED_DIVISOR[role] / 1e6;
         // Enough for one complete primary-only request may be saved, as these are rare at one router.
-        let most = most.max(if role == Role::Primary { self.unloaded(class) } else { 0.0 });
+        let most = most.max(if role == Role::Primary { self.unloaded_latency(class) } else { 0.0 });
         let endpoint = &self.topology[index];
         let budget = endpoint.slow_start[role];
         let elapsed = self.now.saturating_sub(budget.updated_at.max(self.topology.started_at(index)));
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -170,11 +170,11 @@
 }
 
 /// How often a router with so many endpoints looks at one of them in the course of these steps.
-fn lookups(members: u64, steps: impl Fn(&mut Host)) -> usize {
+fn count_lookups(members: u64, steps: impl Fn(&mut Host)) -> usize {
     let mut host = Host::new(members);
-    let before = host.router.topology.lookups();
+    let before = host.router.topology.lookup_count();
     steps(&mut host);
-    host.router.topology.lookups() - before
+    host.router.topology.lookup_count() - before
 }
 
 /// Guards against work that grows with the endpoints that there are, not with those that change or are used.
@@ -189,7 +189,7 @@
             host.tick();
         }
     };
-    let (usual, large) = (lookups(200, steps), lookups(3200, steps));
+    let (usual, large) = (count_lookups(200, steps), count_lookups(3200, steps));
     assert!(large <= usual, "{large} lookups with 3,200 endpoints, {usual} with 200");
 }
 
@@ -197,7 +197,7 @@
 #[test]
 fn a_complete_list_looks_at_each_endpoint_a_few_times() {
     let complete = |count: u64| {
-        lookups(count, |host| {
+        count_lookups(count, |host| {
             host.handle(update(true, (0..count).map(|id| entry(id, EndpointState::Ready, 0)).collect()));
             host.handle(update(true, Vec::new()));
             host.handle(update(
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -62,7 +62,7 @@
 
     /// How often an endpoint was looked at so far.
     #[cfg(test)]
-    pub(crate) fn lookups(&self) -> usize {
+    pub(crate) fn lookup_count(&self) -> usize {
         self.lookups.get()
     }
 
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -59,12 +59,12 @@
     }
 
     /// Records that an attempt sent at this time may have run.
-    pub(crate) fn record_run(&mut self, sent_at: Micros) {
+    pub(crate) fn record_possible_run(&mut self, sent_at: Micros) {
         self.first_run_at = Some(self.first_run_at.unwrap_or(sent_at).min(sent_at));
     }
 
     /// Whether it may have run, and must not run again.
-    pub(crate) fn is_spent(&self, class: &Class) -> bool {
+    pub(crate) fn must_not_run_again(&self, class: &Class) -> bool {
         self.first_run_at.is_some() && class.idempotency == Idempotency::AtMostOnce
     }
 
--- a/src/state/probe_schedule.rs
+++ b/src/state/probe_schedule.rs
@@ -24,7 +24,7 @@
     /// Endpoints that are down: their last observation does not matter.
     down: BTreeSet<EndpointIndex>,
     /// Groups without a healthy primary: the same holds for their members.
-    unled: BTreeSet<GroupId>,
+    without_healthy_primary: BTreeSet<GroupId>,
 }
 
 impl ProbeSchedule {
@@ -50,8 +50,8 @@
     }
 
     /// Records whether a group has a healthy primary.
-    pub(crate) fn record_led(&mut self, group: GroupId, is_led: bool) {
-        set_member(&mut self.unled, group, !is_led);
+    pub(crate) fn record_primary_health(&mut self, group: GroupId, has_healthy_primary: bool) {
+        set_member(&mut self.without_healthy_primary, group, !has_healthy_primary);
     }
 
     /// The endpoints that are due and were last observed at this time or before; none without a time.
@@ -78,8 +78,8 @@
     }
 
     /// The groups without a healthy primary.
-    pub(crate) fn unled_groups(&self) -> impl Iterator<Item = GroupId> {
-        self.unled.iter().copied()
+    pub(crate) fn groups_without_healthy_primary(&self) -> impl Iterator<Item = GroupId> {
+        self.without_healthy_primary.iter().copied()
     }
 }
 
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -45,8 +45,8 @@
 
     /// How often an endpoint was looked at so far.
     #[cfg(test)]
-    pub(crate) fn lookups(&self) -> usize {
-        self.endpoints.lookups()
+    pub(crate) fn lookup_count(&self) -> usize {
+        self.endpoints.lookup_count()
     }
 
     /// The number of endpoints, including removed ones.
