--- a/src/server/clients.rs
+++ b/src/server/clients.rs
@@ -9,8 +9,8 @@
 use crate::pg::{put_error_response, sqlstate};
 use crate::stable_hash::stable_hash;
 
-/// Clients hold a third of the descriptors at most. Once retained connections use one in this many descriptors,
-/// idle connections are closed as soon as they may be.
+/// Clients hold a third of the descriptors at most. Once retained connections use one in this many
+/// descriptors, idle connections are closed as soon as they may be.
 const RETAINED_CONNECTIONS_DIVISOR: usize = 4;
 
 impl Server {
