--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -134,14 +134,14 @@
     }
 
     /// A command of this connection is arriving: it is not idle.
-    pub fn touch(&mut self, now: Micros, id: ClientId) {
+    pub fn mark_active(&mut self, now: Micros, id: ClientId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.idle_since = now;
         }
     }
 
     /// A connection has been closed between requests.
-    pub fn forget(&mut self, id: ClientId) {
+    pub fn remove_connection(&mut self, id: ClientId) {
         self.connections.remove(&id);
     }
 
--- a/src/server/clients.rs
+++ b/src/server/clients.rs
@@ -42,7 +42,7 @@
                 return true;
             }
             // Its next command is arriving: it is not idle, but another connection may be.
-            self.fronts.touch(now, id);
+            self.fronts.mark_active(now, id);
         }
         false
     }
@@ -62,7 +62,7 @@
             && close_at <= now
         {
             if !self.close_if_idle(now, id, ClientCloseReason::KeptIdle) {
-                self.fronts.touch(now, id);
+                self.fronts.mark_active(now, id);
             }
         }
     }
--- a/src/server/fronts.rs
+++ b/src/server/fronts.rs
@@ -148,18 +148,18 @@
     }
 
     /// A command of this client is arriving: its connection is not idle.
-    pub(super) fn touch(&mut self, now: Micros, client: ClientId) {
-        self.platform.touch(now, client);
+    pub(super) fn mark_active(&mut self, now: Micros, client: ClientId) {
+        self.platform.mark_active(now, client);
         if let Some(postgres) = &mut self.postgres {
-            postgres.touch(now, client);
+            postgres.mark_active(now, client);
         }
     }
 
     /// Removes a client whose connection has been closed between requests.
     pub(super) fn remove(&mut self, client: ClientId) {
-        self.platform.forget(client);
+        self.platform.remove_connection(client);
         if let Some(postgres) = &mut self.postgres {
-            postgres.forget(client);
+            postgres.remove_connection(client);
         }
     }
 }
