--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -1,6 +1,6 @@
 //! One client connection and the progress of its commands.
 
-use super::pipeline::{Pipeline, Queued, Ready};
+use super::pipeline::{Pipeline, Queued, ReadyRequest};
 use super::{CommandStep, FrontEffect, Protocol, RequestRegistry, ServiceState};
 use crate::client::{ClientId, ParsedRequest};
 use crate::core::NewRequest;
@@ -59,14 +59,14 @@
         service: ServiceState,
         effects: &mut Vec<FrontEffect>,
     ) {
-        while let Some(Queued { index, command, unfinished }) = self.pipeline.next_queued() {
+        while let Some(Queued { index, command, unfinished }) = self.pipeline.take_queued() {
             if P::must_wait(&command, &unfinished) {
-                return self.pipeline.put_back(index, command);
+                return self.pipeline.requeue(index, command);
             }
             let step = protocol.start(&mut self.session, command, service);
             effects.extend(protocol.take_store_changes().into_iter().map(FrontEffect::RecordChange));
             match step {
-                CommandStep::Defer(command) => return self.pipeline.put_back(index, command),
+                CommandStep::Defer(command) => return self.pipeline.requeue(index, command),
                 CommandStep::Reply(reply) => self.pipeline.reply(index, reply),
                 CommandStep::Forward(request, context) => self.pipeline.defer(index, request, context),
             }
@@ -75,7 +75,7 @@
 
     /// Writes the replies that are next in order.
     pub fn write_replies(&mut self, id: ClientId, now: Micros, effects: &mut Vec<FrontEffect>) {
-        while let Some(reply) = self.pipeline.next_reply(now) {
+        while let Some(reply) = self.pipeline.pop_reply(now) {
             self.idle_since = now;
             effects.push(FrontEffect::Write(id, reply));
             effects.push(FrontEffect::CommandAnswered(id));
@@ -94,7 +94,7 @@
         let mut first = 0;
         loop {
             let only_first = only_first || self.pipeline.buffered_bytes() >= MAX_REORDERED_BYTES;
-            let Some(index) = self.pipeline.next_ready(first, only_first) else { return begun };
+            let Some(index) = self.pipeline.next_ready_index(first, only_first) else { return begun };
             first = index + 1;
             let Some(mut ready) = self.pipeline.take_ready(index) else { continue };
             let external_id = std::mem::take(&mut ready.request.external_id);
@@ -121,8 +121,8 @@
 
 /// A request in the core's form. Its time counts from when its last byte was read, also if it had to
 /// wait for earlier commands: its client counts from when it was sent.
-fn new_request(id: RequestId, now: Micros, ready: Ready) -> NewRequest<MemberRequest> {
-    let Ready { read_at, request: parsed } = ready;
+fn new_request(id: RequestId, now: Micros, ready: ReadyRequest) -> NewRequest<MemberRequest> {
+    let ReadyRequest { read_at, request: parsed } = ready;
     let ParsedRequest { required_position, timeout, .. } = parsed;
     let request = Request {
         id,
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -1,21 +1,21 @@
 //! The commands of one client connection that have been read but not answered yet.
 //!
 //! Commands run concurrently where PostgreSQL's order allows it, and their replies are sent in the order of
-//! the commands. `docs/design-pipelining.md` describes which pairs may overlap, and why.
+//! the commands. `docs/design-pipelining.md` describes which pairs of commands may overlap, and why.
 
 use super::Protocol;
 use crate::client::ParsedRequest;
 use crate::{Micros, RequestId};
 use std::collections::VecDeque;
 
-/// The effect of a command on its group's data, as far as the order of commands depends on it.
+/// The properties of a command that decide which other commands it may overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Access {
-    /// It changes data.
+    /// Whether the command changes data.
     writes: bool,
-    /// The group that it concerns.
+    /// The group that stores the data.
     group: u32,
-    /// The session, 0 where it is not known.
+    /// The client's session, 0 if unknown.
     session: u64,
 }
 
@@ -24,9 +24,10 @@
         Access { writes: request.writes, group: request.group, session: request.session }
     }
 
-    /// Whether this command must wait for an earlier one of its connection to end. A read sees what an
-    /// earlier write wrote, writes keep their order, and a read does not see a later write of its own
-    /// session.
+    /// Whether this command may start only after an earlier command of the same connection has finished.
+    ///
+    /// Within a group, a read must see earlier writes, writes must keep their order, and a read must not see
+    /// a later write of its own session. An unknown session counts as equal to every other session.
     fn must_follow(&self, earlier: &Access) -> bool {
         let same_session = self.session == earlier.session || self.session == 0 || earlier.session == 0;
         self.group == earlier.group && (earlier.writes || (self.writes && same_session))
@@ -34,25 +35,27 @@
 }
 
 enum Stage<P: Protocol> {
-    /// Read, but not started yet.
+    /// Read from the client, but not processed by the protocol yet.
     Queued(P::Command),
-    /// It waits for earlier commands.
+    /// A request that waits for earlier commands to finish.
     Deferred(Box<ParsedRequest>, P::Context),
-    /// It was forwarded to the core.
+    /// A request that was forwarded to the core.
     Running(RequestId, P::Context),
-    /// Its reply waits for those of earlier commands.
+    /// Answered; the reply waits for the replies to earlier commands.
     Finished(Vec<u8>),
 }
 
+/// A command and its progress.
 struct Entry<P: Protocol> {
     read_at: Micros,
+    /// Set once the command is known to be a request for the core.
     access: Option<Access>,
-    /// The position of the commit of a write that has been served.
+    /// The commit position of a served write.
     commit_position: Option<Micros>,
     stage: Stage<P>,
 }
 
-/// A write of this connection whose reply has been sent.
+/// A write of this connection whose reply has been written to the client.
 struct RepliedWrite {
     access: Access,
     commit_position: Micros,
@@ -79,24 +82,24 @@
     }
 }
 
-/// Replied writes that a connection remembers: as many writes as can be beside a read in one pipeline.
+/// The number of replied writes that a connection remembers: a pipeline holds no more writes beside a read.
 const MAX_REPLIED_WRITES: usize = 8;
 
-/// A request that may start now.
-pub struct Ready {
-    /// When its last byte was read.
+/// A request that no longer waits for earlier commands.
+pub struct ReadyRequest {
+    /// The time at which the command's last byte was read.
     pub read_at: Micros,
     /// The request for the core.
     pub request: ParsedRequest,
 }
 
-/// A command that is ready to be processed.
+/// A command that the protocol has not processed yet, taken out of its entry.
 pub struct Queued<'a, P: Protocol> {
-    /// The index of its entry.
+    /// The index of the command's entry.
     pub index: usize,
     /// The command.
     pub command: P::Command,
-    /// The contexts of the unfinished requests before it.
+    /// The contexts of unfinished requests that precede the command.
     pub unfinished: Vec<&'a P::Context>,
 }
 
@@ -113,7 +116,7 @@
 }
 
 impl<P: Protocol> Pipeline<P> {
-    /// Whether no command waits for its reply.
+    /// Whether every command has been answered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -129,8 +132,9 @@
         });
     }
 
-    /// Takes the first unprocessed command, with the contexts of the unfinished ones before it.
-    pub fn next_queued(&mut self) -> Option<Queued<'_, P>> {
+    /// Takes the first unprocessed command out of its entry. The caller must record the next stage of that
+    /// entry with [`Pipeline::requeue`], [`Pipeline::reply`] or [`Pipeline::defer`].
+    pub fn take_queued(&mut self) -> Option<Queued<'_, P>> {
         let index = self.entries.iter().position(|entry| matches!(entry.stage, Stage::Queued(_)))?;
         let stage = std::mem::replace(&mut self.entries[index].stage, Stage::Finished(Vec::new()));
         let Stage::Queued(command) = stage else { return None };
@@ -141,25 +145,25 @@
         Some(Queued { index, command, unfinished: earlier.collect() })
     }
 
-    /// Puts back a command that can't be processed yet.
-    pub fn put_back(&mut self, index: usize, command: P::Command) {
+    /// Returns a taken command, which cannot be processed yet, to its entry.
+    pub fn requeue(&mut self, index: usize, command: P::Command) {
         self.entries[index].stage = Stage::Queued(command);
     }
 
-    /// Records a command that is answered without the core.
+    /// Records the reply to a command that is answered without the core.
     pub fn reply(&mut self, index: usize, reply: Vec<u8>) {
         self.entries[index].stage = Stage::Finished(reply);
     }
 
-    /// Records a command that is a request; it starts once the order of commands allows it.
+    /// Records that a command is a request, which may start after the earlier commands that it must follow.
     pub fn defer(&mut self, index: usize, request: ParsedRequest, context: P::Context) {
         self.entries[index].access = Some(Access::of(&request));
         self.entries[index].stage = Stage::Deferred(Box::new(request), context);
     }
 
-    /// The first command at or after `from` that may start. With `only_first`, none starts after an earlier
-    /// unfinished one.
-    pub fn next_ready(&self, from: usize, only_first: bool) -> Option<usize> {
+    /// The index of the first request at or after `from` that may start. With `only_first`, a request may start
+    /// only if all earlier commands have finished.
+    pub fn next_ready_index(&self, from: usize, only_first: bool) -> Option<usize> {
         (from..self.entries.len()).find(|index| {
             let entry = &self.entries[*index];
             let Some(access) = entry.access.filter(|_| matches!(entry.stage, Stage::Deferred(..))) else {
@@ -172,9 +176,9 @@
         })
     }
 
-    /// Takes the request of a command; the command itself stays in place until [`Pipeline::mark_running`] or
-    /// [`Pipeline::reply`].
-    pub fn take_ready(&mut self, index: usize) -> Option<Ready> {
+    /// Takes the request out of an entry and sets the position that a read must see. The entry keeps its place;
+    /// the caller must then call [`Pipeline::mark_running`] or [`Pipeline::reply`].
+    pub fn take_ready(&mut self, index: usize) -> Option<ReadyRequest> {
         let commit_position = self.required_commit_position(index);
         let entry = &mut self.entries[index];
         match std::mem::replace(&mut entry.stage, Stage::Finished(Vec::new())) {
@@ -182,7 +186,7 @@
                 let read_at = entry.read_at;
                 entry.stage = Stage::Running(0, context);
                 request.required_position = request.required_position.max(commit_position);
-                Some(Ready { read_at, request: *request })
+                Some(ReadyRequest { read_at, request: *request })
             }
             stage => {
                 entry.stage = stage;
@@ -191,8 +195,12 @@
         }
     }
 
-    /// The latest commit before a read that its client may not have been notified of when it sent it, or
-    /// that is of the read's own session.
+    /// The position that a read must see: the latest commit among earlier writes of this connection to the
+    /// read's group that belong to the read's session, or whose reply had not been written when the read
+    /// arrived. `None` for a write, and if there is no such commit.
+    ///
+    /// A client that has received the reply to a write can name the commit's position in a read. For a write
+    /// that was unanswered when the client sent the read, it cannot.
     fn required_commit_position(&self, index: usize) -> Option<Micros> {
         let entry = &self.entries[index];
         let read = entry.access.filter(|access| !access.writes)?;
@@ -208,20 +216,20 @@
         replied_commits.chain(unreplied_commits).max()
     }
 
-    /// Records that the command was forwarded to the core as this request.
+    /// Records the id under which a taken request is forwarded to the core.
     pub fn mark_running(&mut self, index: usize, request: RequestId) {
         if let Stage::Running(number, _) = &mut self.entries[index].stage {
             *number = request;
         }
     }
 
-    /// The index of a request's entry.
+    /// The index of the entry whose request is running under this id.
     pub fn index_of(&self, request: RequestId) -> Option<usize> {
         self.entries.iter().position(|entry| entry.request() == Some(request))
     }
 
-    /// Records a request's final answer, from which `reply` builds the client's reply; `commit_position` is
-    /// that of a served write.
+    /// Records the final answer to a running request. `reply` builds the reply to the client;
+    /// `commit_position` is ignored unless the request is a write.
     pub fn finish(
         &mut self,
         index: usize,
@@ -235,8 +243,8 @@
         }
     }
 
-    /// Takes the first reply, if every command before it has been answered.
-    pub fn next_reply(&mut self, now: Micros) -> Option<Vec<u8>> {
+    /// Removes the first command if it has been answered, and returns its reply.
+    pub fn pop_reply(&mut self, now: Micros) -> Option<Vec<u8>> {
         let entry = self.entries.pop_front_if(|entry| entry.is_finished())?;
         if let Some((access, commit_position)) = entry.access.zip(entry.commit_position) {
             self.replied_writes.truncate(MAX_REPLIED_WRITES - 1);
@@ -248,17 +256,17 @@
         }
     }
 
-    /// Bytes of replies that wait for earlier replies.
+    /// The bytes of replies that wait for earlier replies.
     pub fn buffered_bytes(&self) -> usize {
         self.entries.iter().map(Entry::buffered_bytes).sum()
     }
 
-    /// Requests that are running in the core, in the order of their commands.
+    /// The requests that are running in the core, in the order of their commands.
     pub fn running(&self) -> impl Iterator<Item = RequestId> {
         self.entries.iter().filter_map(Entry::request)
     }
 
-    /// The request of the first command that is running in the core and not answered.
+    /// The first request that is running in the core.
     pub fn first_running(&self) -> Option<RequestId> {
         self.running().next()
     }
