--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection and the progress of its commands.
+//! A client connection and the progress of its commands.
 
 use super::pipeline::{Pipeline, Queued, ReadyRequest};
 use super::{CommandStep, FrontEffect, Protocol, RequestRegistry, ServiceState};
@@ -8,35 +8,36 @@
 use crate::pg;
 use crate::{Micros, Request, RequestId};
 
-/// With this many bytes of finished replies of one connection waiting for an earlier one, no command of it
-/// starts after an unfinished one.
+/// While this many bytes of one connection's replies wait for an earlier reply, each further request starts
+/// only after all earlier commands of the connection have finished.
 const MAX_REORDERED_BYTES: usize = 160 * 1024;
 
 /// A client connection.
 pub struct Connection<P: Protocol> {
-    /// The secret of its cancel key.
+    /// The secret of the connection's cancel key.
     pub secret: u32,
-    /// Whether it has made a request that a member serves.
+    /// Whether a request of this connection has been forwarded to the core.
     pub has_requested: bool,
-    /// The commands that are not answered yet.
+    /// The commands that have not been answered yet.
     pub pipeline: Pipeline<P>,
-    /// When it was opened, or when its last reply was sent.
+    /// The time at which the connection was opened, its last reply was written, or part of a command was
+    /// found to have arrived, whichever is latest.
     pub idle_since: Micros,
-    /// The state that the protocol keeps for it.
+    /// The protocol's state for this connection.
     pub session: P::Session,
 }
 
-/// The requests that a connection may start, and whether further commands are to be processed.
+/// The result of [`Connection::start_requests`].
 #[derive(Default)]
-pub struct BegunRequests {
-    /// The requests, in order.
+pub struct StartedRequests {
+    /// The requests to forward to the core, in the order of their commands.
     pub requests: Vec<NewRequest<MemberRequest>>,
-    /// Whether a command was answered at once, so that others may follow.
+    /// Whether a command was answered without the core, so that later commands may have to be processed.
     pub answered_locally: bool,
 }
 
 impl<P: Protocol> Connection<P> {
-    /// A connection that has just been opened.
+    /// Creates the state of a connection that has just been opened.
     pub fn new(secret: u32, now: Micros) -> Self {
         Connection {
             secret,
@@ -47,12 +48,12 @@
         }
     }
 
-    /// Whether it may be closed between commands.
+    /// Whether all commands have been answered, so that the connection may be closed.
     pub fn is_idle(&self) -> bool {
         self.pipeline.is_empty()
     }
 
-    /// Processes the commands that have arrived, in order, up to one that must wait.
+    /// Processes the queued commands in order, up to the first command that must wait.
     pub fn start_queued_commands(
         &mut self,
         protocol: &mut P,
@@ -82,31 +83,33 @@
         }
     }
 
-    /// Starts the requests whose order allows it. With `only_first`, none starts after an unfinished one.
-    pub fn begin_requests(
+    /// Starts the requests that do not have to wait for earlier commands. With `only_first`, a request starts
+    /// only if all earlier commands have finished.
+    pub fn start_requests(
         &mut self,
         id: ClientId,
         now: Micros,
         only_first: bool,
         registry: &mut RequestRegistry,
-    ) -> BegunRequests {
-        let mut begun = BegunRequests::default();
+    ) -> StartedRequests {
+        let mut started = StartedRequests::default();
         let mut first = 0;
         loop {
             let only_first = only_first || self.pipeline.buffered_bytes() >= MAX_REORDERED_BYTES;
-            let Some(index) = self.pipeline.next_ready_index(first, only_first) else { return begun };
+            let Some(index) = self.pipeline.next_ready_index(first, only_first) else { return started };
             first = index + 1;
             let Some(mut ready) = self.pipeline.take_ready(index) else { continue };
             let external_id = std::mem::take(&mut ready.request.external_id);
-            // Guards against a response that would be matched to another request.
+            // An external id names at most one open request; with two, a response could be matched to the
+            // wrong request.
             let Some(request_id) = registry.open(id, external_id) else {
                 self.pipeline.reply(index, duplicate_id_reply());
-                begun.answered_locally = true;
+                started.answered_locally = true;
                 continue;
             };
             self.pipeline.mark_running(index, request_id);
             self.has_requested = true;
-            begun.requests.push(new_request(request_id, now, ready));
+            started.requests.push(new_request(request_id, now, ready));
         }
     }
 }
@@ -119,8 +122,9 @@
     bytes
 }
 
-/// A request in the core's form. Its time counts from when its last byte was read, also if it had to
-/// wait for earlier commands: its client counts from when it was sent.
+/// Converts a request to the core's form. The remaining time is reduced by the time since the last byte of
+/// the command was read, including the wait for earlier commands, because the client's timeout has been
+/// running since it sent the command.
 fn new_request(id: RequestId, now: Micros, ready: ReadyRequest) -> NewRequest<MemberRequest> {
     let ReadyRequest { read_at, request: parsed } = ready;
     let ParsedRequest { required_position, timeout, .. } = parsed;
--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -1,4 +1,4 @@
-//! The connections of a front.
+//! Manages the client connections of a front: commands, replies, cancel requests, eviction and closing.
 
 use super::connection::Connection;
 use super::{FrontEffect, Protocol, RequestRegistry, ServiceState};
@@ -9,57 +9,57 @@
 use crate::{Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// A connection that has made requests may be closed to free capacity when it has been idle this long.
+/// A connection that has made requests may be closed to free capacity after it has been idle for this long.
 const EVICTABLE_AFTER_IDLE: Micros = 2_000_000;
-/// A connection that has made no request may be closed to free capacity this long after it was opened.
+/// A connection that has made no request may be closed to free capacity after it has been idle for this long.
 const EVICTABLE_WITHOUT_REQUEST_AFTER: Micros = 200_000;
-/// The reply to a client that requests an encrypted connection.
+/// The reply to an SSLRequest or GSSENCRequest: encryption is not supported.
 const ENCRYPTION_NOT_SUPPORTED: &[u8] = b"N";
 
-/// A connection that may be closed to free capacity. The greatest one is closed first.
+/// A connection that may be closed to free capacity. The greatest candidate is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionCandidate {
-    /// It has made no request.
+    /// Whether the client has made no request.
     pub never_requested: bool,
-    /// How long it has been idle.
+    /// How long the connection has been idle.
     pub idle_for: Micros,
     /// The connection.
     pub client: ClientId,
 }
 
-/// A connection that has made requests and is idle. The least one is closed first.
+/// An idle connection that has made requests. The least one is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictableConnection {
-    /// The time from which it may be closed.
+    /// The time from which the connection may be closed.
     pub evictable_at: Micros,
     /// The connection.
     pub client: ClientId,
 }
 
-/// The connections that have made a request.
+/// A summary of the connections that have made a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetainedConnections {
-    /// How many there are.
+    /// The number of these connections, idle or not.
     pub count: usize,
-    /// The one of them that has been idle longest.
+    /// The one that has been idle longest.
     pub next_evictable: Option<EvictableConnection>,
 }
 
-/// The connections of a front.
+/// The client connections of a front.
 pub struct ConnectionManager<P: Protocol> {
     protocol: P,
     connections: BTreeMap<ClientId, Connection<P>>,
     service: ServiceState,
-    /// Whether connections are closed between requests.
+    /// Whether connections are closed as soon as they are idle.
     closing: bool,
-    /// Bytes of replies that wait for earlier replies, over all connections.
+    /// The bytes of replies that wait for earlier replies, over all connections.
     reordered_bytes: usize,
     max_reordered_bytes: usize,
 }
 
 impl<P: Protocol> ConnectionManager<P> {
-    /// A front without connections. At most `max_reordered_bytes` of finished replies may wait for earlier
-    /// ones.
+    /// Creates a manager without connections. At most `max_reordered_bytes` of replies may wait for earlier
+    /// replies.
     pub fn new(protocol: P, max_reordered_bytes: usize) -> Self {
         ConnectionManager {
             protocol,
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Sets whether the proxy is in service, and resumes commands that waited for that.
+    /// Sets the service state, and resumes commands that waited for the state to change. Connections are no
+    /// longer closed between requests unless the state is [`ServiceState::OutOfService`].
     pub fn set_service_state(
         &mut self,
         service: ServiceState,
@@ -87,7 +88,7 @@
         effects
     }
 
-    /// Starts to close connections between requests.
+    /// Closes idle connections, and from now on each connection when it becomes idle.
     pub fn close_between_requests(&mut self) -> Vec<FrontEffect> {
         self.closing = true;
         let mut effects = Vec::new();
@@ -106,8 +107,8 @@
         self.connections.len()
     }
 
-    /// The connection to close first to free capacity: one that has made no request, or the one that has been
-    /// idle longest, if that is long enough.
+    /// The connection to close first to free capacity, among those that have been idle long enough: those
+    /// that have made no request come first, then those that have been idle longest.
     pub fn best_eviction_candidate(&self, now: Micros) -> Option<EvictionCandidate> {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
         let evictable = idle.filter_map(|(id, connection)| {
@@ -122,7 +123,7 @@
         evictable.max()
     }
 
-    /// The connections that have made a request, and may be kept open forever by their clients.
+    /// The connections that have made a request; their clients may keep them open indefinitely.
     pub fn retained_connections(&self) -> RetainedConnections {
         let retained = self.connections.iter().filter(|(_, connection)| connection.has_requested);
         let idle = retained.clone().filter(|(_, connection)| connection.is_idle());
@@ -133,19 +134,19 @@
         RetainedConnections { count: retained.count(), next_evictable: evictable.min() }
     }
 
-    /// A command of this connection is arriving: it is not idle.
+    /// Restarts the idle time of a connection on which part of a command has arrived.
     pub fn mark_active(&mut self, now: Micros, id: ClientId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.idle_since = now;
         }
     }
 
-    /// A connection has been closed between requests.
+    /// Removes a connection that the host has closed between requests.
     pub fn remove_connection(&mut self, id: ClientId) {
         self.connections.remove(&id);
     }
 
-    /// Handles an event from the reader of a client.
+    /// Handles an event that a client's reader reports.
     pub fn handle_event(
         &mut self,
         registry: &mut RequestRegistry,
@@ -160,7 +161,7 @@
             }
             // A cancel request is valid even if its connection was rejected for lack of capacity.
             ClientEvent::Startup(StartupPacket::CancelRequest { process, secret }) => {
-                self.client_disconnected(registry, id, ClientCloseReason::CancelRequest, &mut effects);
+                self.close_connection(registry, id, ClientCloseReason::CancelRequest, &mut effects);
                 self.cancel(registry, now, process, secret, &mut effects);
             }
             event if self.connections.contains_key(&id) => {
@@ -201,7 +202,7 @@
                 self.close_with_error(registry, id, pg::sqlstate::PROTOCOL_VIOLATION, &text, effects);
             }
             ClientEvent::Terminate | ClientEvent::Disconnected => {
-                self.client_disconnected(registry, id, ClientCloseReason::ClosedByClient, effects);
+                self.close_connection(registry, id, ClientCloseReason::ClosedByClient, effects);
             }
         }
     }
@@ -213,7 +214,7 @@
         effects.push(FrontEffect::Write(id, bytes));
     }
 
-    /// Gives a request its final answer.
+    /// Records the final answer to a request of a connection, and writes the replies that are next in order.
     pub fn answer(
         &mut self,
         registry: &mut RequestRegistry,
@@ -225,7 +226,8 @@
         let mut effects = Vec::new();
         let Some(connection) = self.connections.get_mut(&id) else { return effects };
         let Some(index) = connection.pipeline.index_of(request) else { return effects };
-        // Guards against replies that fill the memory while an earlier one is missing.
+        // While an earlier reply is missing, later replies are buffered. A response that would exceed the
+        // limit is replaced by an error, as replies would otherwise use memory without bound.
         let answer = match answer {
             FinalAnswer::Served(response)
                 if index > 0 && self.reordered_bytes + response.bytes.len() > self.max_reordered_bytes =>
@@ -250,8 +252,8 @@
         effects
     }
 
-    /// Advances a client's commands: processes new ones, writes the replies that are next in order, and
-    /// starts requests that may start. Replies are sent in the order of the connection's commands.
+    /// Advances the commands of a connection: processes new commands, writes the replies that are next in
+    /// order, and starts the requests that may start. Replies are sent in the order of the commands.
     fn advance(
         &mut self,
         registry: &mut RequestRegistry,
@@ -265,11 +267,12 @@
         let mut requests = Vec::new();
         loop {
             connection.start_queued_commands(&mut self.protocol, self.service, effects);
-            // Before any request is started: its answer may arrive at once, and must follow these replies.
+            // These replies precede the effects that start requests: the host may answer a request while it
+            // carries out its start, and that answer must be written after these replies.
             connection.write_replies(id, now, effects);
-            let begun = connection.begin_requests(id, now, only_first, registry);
-            requests.extend(begun.requests);
-            if !begun.answered_locally {
+            let started = connection.start_requests(id, now, only_first, registry);
+            requests.extend(started.requests);
+            if !started.answered_locally {
                 break;
             }
         }
@@ -277,6 +280,7 @@
         effects.extend(requests.into_iter().map(FrontEffect::StartRequest));
     }
 
+    /// Requests the close of an idle connection if connections are to be closed between requests.
     fn close_if_idle(&mut self, id: ClientId, effects: &mut Vec<FrontEffect>) {
         let idle = self.connections.get(&id).is_some_and(Connection::is_idle);
         if self.closing && idle {
@@ -284,7 +288,8 @@
         }
     }
 
-    fn client_disconnected(
+    /// Removes a connection and abandons its running requests.
+    fn close_connection(
         &mut self,
         registry: &mut RequestRegistry,
         id: ClientId,
@@ -300,7 +305,7 @@
         effects.push(FrontEffect::Close(id, reason));
     }
 
-    /// Reports an error that ends the connection.
+    /// Sends a FATAL error and closes the connection.
     fn close_with_error(
         &mut self,
         registry: &mut RequestRegistry,
@@ -316,10 +321,11 @@
             pg::sqlstate::PROTOCOL_VIOLATION => ClientCloseReason::ProtocolViolation,
             _ => ClientCloseReason::NotSupported,
         };
-        self.client_disconnected(registry, id, reason, effects);
+        self.close_connection(registry, id, reason, effects);
     }
 
-    /// Cancels the first unanswered command: in PostgreSQL, the one that is running.
+    /// Cancels the first running request of the connection with this cancel key. PostgreSQL, which executes
+    /// one command at a time, cancels the command that is running.
     fn cancel(
         &mut self,
         registry: &mut RequestRegistry,
@@ -340,7 +346,7 @@
     }
 }
 
-/// The process id that a client is given for cancel requests.
+/// The process id in a client's cancel key.
 fn process_id(id: ClientId) -> u32 {
     id as u32
 }
--- a/src/front/connection_manager/tests.rs
+++ b/src/front/connection_manager/tests.rs
@@ -27,12 +27,12 @@
         self.manager.handle_event(&mut self.registry, now, CLIENT, event)
     }
 
-    /// Sends reads with these ids; returns the requests that were started.
+    /// Sends one read per id, and returns the requests that were started.
     fn send_queries(&mut self, ids: impl Iterator<Item = u8>) -> Vec<RequestId> {
         ids.flat_map(|id| started_requests(self.handle(0, query(id)))).collect()
     }
 
-    /// Answers a request; returns what is written to the client.
+    /// Answers a request with a response of `length` bytes, and returns the writes to the client.
     fn answer(&mut self, now: Micros, request: RequestId, length: usize) -> Vec<Vec<u8>> {
         written(self.manager.answer(&mut self.registry, now, CLIENT, request, served(length)))
     }
@@ -81,12 +81,12 @@
 fn reply_that_exceeds_the_reorder_buffer_is_replaced_by_an_error() {
     let mut harness = Harness::connected();
     let requests = harness.send_queries(1..=3);
-    assert_eq!(requests.len(), 3, "they run side by side");
+    assert_eq!(requests.len(), 3, "all reads run concurrently");
     assert!(harness.answer(1, requests[2], 900).is_empty());
     assert!(harness.answer(2, requests[1], 900).is_empty());
     let replies = harness.answer(3, requests[0], 5000);
     assert_eq!(replies.len(), 3);
-    assert!(replies[0].len() > 5000, "the first one waits for nothing and needs no capacity");
+    assert!(replies[0].len() > 5000, "the first reply is not buffered, so the limit does not apply");
     assert!(replies[1].windows(5).any(|code| code == b"08007"));
     assert!(replies[2].len() > 900);
     assert_eq!(harness.manager.reordered_bytes, 0);
--- a/src/front/effect.rs
+++ b/src/front/effect.rs
@@ -13,7 +13,8 @@
     /// Close a client's connection once everything has been written.
     Close(ClientId, ClientCloseReason),
     /// Close it unless part of another command has arrived; the host notifies the connection manager with
-    /// [`ConnectionManager::remove_connection`](super::ConnectionManager::remove_connection) if it was closed.
+    /// [`ConnectionManager::remove_connection`](super::ConnectionManager::remove_connection) if it was
+    /// closed.
     CloseIfIdle(ClientId),
     /// A command is answered: the client may send one more.
     CommandAnswered(ClientId),
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -161,8 +161,8 @@
         self.entries[index].stage = Stage::Deferred(Box::new(request), context);
     }
 
-    /// The index of the first request at or after `from` that may start. With `only_first`, a request may start
-    /// only if all earlier commands have finished.
+    /// The index of the first request at or after `from` that may start. With `only_first`, a request may
+    /// start only if all earlier commands have finished.
     pub fn next_ready_index(&self, from: usize, only_first: bool) -> Option<usize> {
         (from..self.entries.len()).find(|index| {
             let entry = &self.entries[*index];
@@ -176,8 +176,8 @@
         })
     }
 
-    /// Takes the request out of an entry and sets the position that a read must see. The entry keeps its place;
-    /// the caller must then call [`Pipeline::mark_running`] or [`Pipeline::reply`].
+    /// Takes the request out of an entry and sets the position that a read must see. The entry keeps its
+    /// place; the caller must then call [`Pipeline::mark_running`] or [`Pipeline::reply`].
     pub fn take_ready(&mut self, index: usize) -> Option<ReadyRequest> {
         let commit_position = self.required_commit_position(index);
         let entry = &mut self.entries[index];
