--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -67,7 +67,7 @@
             let step = protocol.start(&mut self.session, command, service);
             effects.extend(protocol.take_store_changes().into_iter().map(FrontEffect::RecordChange));
             match step {
-                CommandStep::Defer(command) => return self.pipeline.requeue(index, command),
+                CommandStep::AwaitServiceState(command) => return self.pipeline.requeue(index, command),
                 CommandStep::Reply(reply) => self.pipeline.reply(index, reply),
                 CommandStep::Forward(request, context) => self.pipeline.defer(index, request, context),
             }
--- a/src/front/effect.rs
+++ b/src/front/effect.rs
@@ -1,4 +1,4 @@
-//! Effects that the fronts request from the host.
+//! The effects that the fronts request from the host.
 
 use crate::RequestId;
 use crate::client::{ClientCloseReason, ClientId};
@@ -6,22 +6,22 @@
 use crate::exchange::MemberRequest;
 use crate::store::Change;
 
-/// An effect that a front requests. The order of effects matters: the host carries them out one by one.
+/// An effect that a front requests. The host carries out effects one by one, in the order of the list.
 pub enum FrontEffect {
-    /// Write to a client.
+    /// Write these bytes to a client.
     Write(ClientId, Vec<u8>),
-    /// Close a client's connection once everything has been written.
+    /// Close a client's connection after the bytes that are still to be written.
     Close(ClientId, ClientCloseReason),
-    /// Close it unless part of another command has arrived; the host notifies the connection manager with
-    /// [`ConnectionManager::remove_connection`](super::ConnectionManager::remove_connection) if it was
-    /// closed.
+    /// Close a client's connection unless part of another command has arrived. If the host closes the
+    /// connection, it calls
+    /// [`ConnectionManager::remove_connection`](super::ConnectionManager::remove_connection).
     CloseIfIdle(ClientId),
-    /// A command is answered: the client may send one more.
+    /// Count a client's oldest command as answered, which lets its reader pass on another command.
     CommandAnswered(ClientId),
-    /// Start a request.
+    /// Start a request in the core.
     StartRequest(NewRequest<MemberRequest>),
-    /// A request's client has disconnected or cancelled it.
+    /// Abandon a request, which its client has cancelled or whose client has disconnected.
     AbandonRequest(RequestId),
-    /// Record a change in the store.
+    /// Propose a change to the store.
     RecordChange(Change),
 }
--- a/src/front/final_answer.rs
+++ b/src/front/final_answer.rs
@@ -4,7 +4,7 @@
 use crate::exchange::{MemberResponse, millis_rounded_up};
 use crate::pg::{put_error_response, sqlstate};
 
-/// Appends the member's response, or an ErrorResponse with the reason why there is none.
+/// Appends the member's response or, if the request was rejected or failed, an ErrorResponse.
 pub fn append_final_answer(out: &mut Vec<u8>, answer: &FinalAnswer<MemberResponse>) {
     match answer {
         FinalAnswer::Served(response) => out.extend_from_slice(&response.bytes),
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,6 +1,7 @@
-//! The fronts: each turns client commands into requests for the core, and final answers into replies. They
-//! share the [`ConnectionManager`]: connections, the pipelines of their commands, cancel requests and
-//! closing. They differ in the [`Protocol`].
+//! The fronts: each turns client commands into requests for the core, and final answers into replies.
+//!
+//! All fronts share the [`ConnectionManager`], which handles connections, the pipelines of their commands,
+//! cancel requests and closing. They differ in their [`Protocol`].
 
 mod connection;
 mod connection_manager;
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: simple queries, one statement each, described by the comment that they carry.
+//! The platform's front: simple queries of one statement each, whose comment holds the routing properties.
 
 use super::final_answer::append_final_answer;
 use super::{CommandStep, Protocol, ServiceState};
@@ -24,9 +24,10 @@
 
     fn start(&mut self, (): &mut (), query: SimpleQuery, service: ServiceState) -> CommandStep<Self> {
         match query.fields {
-            // The front layer's readiness query: whether it may send clients.
+            // The layer in front of the proxies sends empty queries as health checks, to decide whether this
+            // proxy may get clients.
             Ok(ParsedQuery::Empty) => match service {
-                ServiceState::Starting => CommandStep::Defer(query),
+                ServiceState::Starting => CommandStep::AwaitServiceState(query),
                 ServiceState::InService => CommandStep::Reply(empty_query_reply()),
                 ServiceState::OutOfService => {
                     CommandStep::Reply(error_reply(pg::sqlstate::CANNOT_CONNECT_NOW, "out of service"))
--- a/src/front/protocol.rs
+++ b/src/front/protocol.rs
@@ -1,4 +1,4 @@
-//! The differences between the fronts.
+//! The [`Protocol`] trait: the part of a front that depends on the protocol of its clients.
 
 use crate::Micros;
 use crate::client::ParsedRequest;
@@ -6,46 +6,47 @@
 use crate::exchange::MemberResponse;
 use crate::store::Change;
 
-/// The proxy's readiness for clients, as set by the host.
+/// Whether the proxy accepts clients, as set by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
-    /// Not known yet: empty queries wait.
+    /// The proxy is starting. On the platform's front, empty queries, which serve as health checks, wait for
+    /// the next state.
     Starting,
-    /// Clients may be sent here.
+    /// The proxy accepts clients.
     InService,
     /// An operator has taken this proxy out of service. Open connections are still served.
     OutOfService,
 }
 
-/// The next step of a command.
+/// How a command proceeds.
 pub enum CommandStep<P: Protocol + ?Sized> {
-    /// The command waits until the service state changes.
-    Defer(P::Command),
+    /// The command waits until the service state changes, and is then started again.
+    AwaitServiceState(P::Command),
     /// The command is answered with these bytes, without the core.
     Reply(Vec<u8>),
-    /// The command is a request for the core.
+    /// The command is a request for the core, with the context that the reply depends on.
     Forward(ParsedRequest, P::Context),
 }
 
 /// The protocol that a front speaks with its clients.
 pub trait Protocol {
-    /// A command, as passed on by the reader.
+    /// A command, as the client's reader reports it.
     type Command;
-    /// The state of a connection that outlives a command.
+    /// The state that a connection keeps from command to command.
     type Session: Default;
-    /// The context of a request that its reply depends on.
+    /// The context of a request, which its reply depends on.
     type Context;
 
-    /// When the command's last byte was read.
+    /// The time at which the command's last byte was read.
     fn read_at(command: &Self::Command) -> Micros;
 
-    /// Whether the command can be processed only once these earlier ones of its connection have been
-    /// answered.
+    /// Whether the command can be processed only after unfinished requests of its connection. `unfinished`
+    /// holds the contexts of all requests that precede the command and have no final answer yet.
     fn must_wait(_command: &Self::Command, _unfinished: &[&Self::Context]) -> bool {
         false
     }
 
-    /// Starts a connection's next command.
+    /// Starts the next command of a connection.
     fn start(
         &mut self,
         session: &mut Self::Session,
@@ -53,12 +54,13 @@
         service: ServiceState,
     ) -> CommandStep<Self>;
 
-    /// Takes the changes that the store is to record since the last call.
+    /// Removes and returns the changes for the store that have been collected since the last call.
     fn take_store_changes(&mut self) -> Vec<Change> {
         Vec::new()
     }
 
-    /// The reply to a request that [`Protocol::start`] forwarded, up to ReadyForQuery.
+    /// Builds the reply to a request that [`Protocol::start`] forwarded, with ReadyForQuery where the
+    /// protocol demands it.
     fn finish(
         &mut self,
         session: &mut Self::Session,
--- a/src/front/request_registry.rs
+++ b/src/front/request_registry.rs
@@ -1,25 +1,27 @@
-//! The numbers of open requests.
+//! The ids and the clients of open requests.
 
 use crate::RequestId;
 use crate::client::ClientId;
 use std::collections::{BTreeMap, HashSet};
 
+/// The client of an open request, and the id that it chose for the request.
 struct Owner {
     client: ClientId,
     external_id: Vec<u8>,
 }
 
-/// Assigns request numbers for all fronts, and maps each open request to its client.
+/// Assigns the request ids of all fronts, and maps each open request to its client.
 #[derive(Default)]
 pub struct RequestRegistry {
     last_id: RequestId,
     owners: BTreeMap<RequestId, Owner>,
-    /// The external ids of open requests, as chosen by the clients.
+    /// The ids that the clients chose for open requests.
     external_ids: HashSet<Vec<u8>>,
 }
 
 impl RequestRegistry {
-    /// Assigns a number to a request; `None` if a request with the same external id is open.
+    /// Opens a request and returns its id; `None` if an open request has the same external id. An empty
+    /// external id, for none, matches no other.
     pub(super) fn open(&mut self, client: ClientId, external_id: Vec<u8>) -> Option<RequestId> {
         if !external_id.is_empty() && !self.external_ids.insert(external_id.clone()) {
             return None;
@@ -43,7 +45,7 @@
         self.owners.get(&request).map(|owner| owner.client)
     }
 
-    /// The id that its client gave an open request; empty if it gave none.
+    /// The external id of an open request; empty if its client gave none.
     pub fn external_id(&self, request: RequestId) -> Option<&[u8]> {
         self.owners.get(&request).map(|owner| owner.external_id.as_slice())
     }
