--- a/src/front/postgres/analysis.rs
+++ b/src/front/postgres/analysis.rs
@@ -1,4 +1,4 @@
-//! The routing properties of a statement, read from its text.
+//! Reads the routing properties of statements from their text.
 
 use super::config::{ExtendedListenerConfig, UnknownClassError};
 use super::error::BatchError;
@@ -10,39 +10,39 @@
 use crate::{Idempotency, Micros, Requirement, Settings};
 use std::sync::Arc;
 
-/// The longest timeout of a request, which keeps sums of times from overflowing.
+/// The maximum timeout of a request. Without this limit, sums of times could overflow.
 const MAX_TIMEOUT: Micros = 1 << 40;
 
-/// A statement and its routing properties, read from its text.
+/// A statement and the routing properties that were read from its text.
 #[derive(Clone)]
-pub struct StatementDescription {
+pub struct AnalyzedStatement {
     /// The statement.
     pub prepared: Arc<PreparedStatement>,
     /// The index of the request class.
     pub class: usize,
     /// The group that stores its data.
     pub group: u32,
-    /// How long the client waits.
+    /// How long the client waits for the reply.
     pub timeout: Micros,
-    /// The position that a read must see.
+    /// The commit position that a read must see, as time on the core's clock.
     pub required_position: Option<Micros>,
-    /// Whether this is a retry by the client.
+    /// Whether the client marked the statement as a retry.
     pub is_retry: bool,
-    /// The session that its key names, 0 for none.
+    /// The session that the statement's key identifies, 0 for none.
     pub session_key: u64,
 }
 
-/// The statements of a batch, to be combined into one request.
+/// The statements of a batch, which [`StatementAnalyzer::combine`] combines into one request.
 pub struct BatchStatements<'a> {
     /// The statements that the batch prepares, binds or describes.
-    pub statements: &'a [StatementDescription],
-    /// The session, 0 for none.
+    pub statements: &'a [AnalyzedStatement],
+    /// The client's session, 0 if unknown.
     pub session_key: u64,
-    /// The session's last commit.
+    /// The position of the session's last commit, if known.
     pub last_commit: Option<Micros>,
 }
 
-/// Analyzes statements, with the listener's defaults for properties that their text lacks.
+/// Analyzes statements. The listener's configuration provides the properties that their text lacks.
 pub struct StatementAnalyzer {
     /// The listener's configuration.
     pub config: ExtendedListenerConfig,
@@ -50,19 +50,17 @@
 }
 
 impl StatementAnalyzer {
-    /// An analyzer with these defaults, whose classes must exist.
+    /// Creates an analyzer with the defaults of `config`. Fails if a default class does not exist.
     pub fn new(config: ExtendedListenerConfig, settings: Arc<Settings>) -> Result<Self, UnknownClassError> {
         config.check(&settings)?;
         Ok(StatementAnalyzer { config, settings })
     }
 
-    /// Analyzes a statement. A statement whose effect outlives a unit, or more than one statement, is
-    /// rejected: the next request may go to another member.
-    pub fn describe_statement(
-        &self,
-        sql: &[u8],
-        parameter_types: &[u8],
-    ) -> Result<StatementDescription, BatchError> {
+    /// Reads the routing properties of a statement.
+    ///
+    /// Rejects a statement whose effect could outlive its implicit transaction, such as SET, because the
+    /// client's next request may be sent to another member. Also rejects a text of several statements.
+    pub fn analyze(&self, sql: &[u8], parameter_types: &[u8]) -> Result<AnalyzedStatement, BatchError> {
         let keyword = statement::first_keyword(sql);
         let writes = match keyword.as_str() {
             "select" | "values" | "show" => false,
@@ -74,12 +72,13 @@
         }
         let fields = statement::parse_fields(sql);
         let class = self.class_of(&fields, writes).ok_or(BatchError::UnknownClass)?;
-        // Guards against a change that is declared as a read, and would then be retried.
+        // A write in a class of reads would be retried like a read, and might be executed more than once. The
+        // proxy cannot tell whether a WITH writes, so it accepts either class for it.
         if writes && keyword != "with" && !self.is_write_class(class) {
             return Err(BatchError::WriteInReadClass { keyword });
         }
         let timeout_ms = fields.timeout.as_ref().map_or(self.config.wait_ms, |timeout| timeout.millis);
-        Ok(StatementDescription {
+        Ok(AnalyzedStatement {
             prepared: Arc::new(PreparedStatement {
                 sql: sql.to_vec(),
                 parameter_types: parameter_types.to_vec(),
@@ -107,12 +106,14 @@
         self.settings.classes[class].requirement == Requirement::Write
     }
 
-    /// Whether requests of the class may take effect any number of times.
+    /// Whether requests of the class may be executed any number of times.
     pub fn is_idempotent(&self, class: usize) -> bool {
         self.settings.classes[class].idempotency == Idempotency::Idempotent
     }
 
-    /// Combines the statements of a batch into one request, of the strictest class among them.
+    /// Combines the statements of a batch into one request, which gets the strictest class and the shortest
+    /// timeout among them, and must see the latest of their required positions and the session's last commit.
+    /// The statements must be for the same group.
     pub fn combine(
         &self,
         batch: &BatchStatements<'_>,
@@ -133,7 +134,8 @@
             session: batch.session_key,
             required_position: required_position.max(batch.last_commit),
             is_retry: statements.iter().any(|statement| statement.is_retry),
-            // A statement is prepared once, and its id is repeated with every execution.
+            // The `id` in the comment of a prepared statement is the same for every execution, so it does not
+            // identify a request.
             external_id: Vec::new(),
             timeout: timeout.unwrap_or(first.timeout),
             member_request,
@@ -159,7 +161,8 @@
     }
 }
 
-/// How strict a class is: first by how often a request may take effect, then by what it requires of a member.
+/// The order of classes by strictness: first by how often a request may be executed, then by what it
+/// requires of a member. Greater values are stricter.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Strictness {
     idempotency: u8,
--- a/src/front/postgres/batch_planner.rs
+++ b/src/front/postgres/batch_planner.rs
@@ -1,6 +1,6 @@
-//! Turns the messages of a batch into the messages for a member.
+//! Converts the messages of a client's batch to messages for a member.
 
-use super::analysis::{StatementAnalyzer, StatementDescription};
+use super::analysis::{AnalyzedStatement, StatementAnalyzer};
 use super::bind::parse_parameters;
 use super::error::BatchError;
 use super::session::{ParsedStatement, Portal, Session};
@@ -9,55 +9,55 @@
 use crate::pg::message_tags::{describe_targets, frontend};
 use crate::pg::{self, statement};
 
-/// The longest statement that is prepared.
+/// The maximum length of a prepared statement's text.
 const MAX_STATEMENT_BYTES: usize = 32 * 1024;
-/// The most bytes of prepared statements of one client.
+/// The maximum length of the texts of one client's prepared statements together.
 const MAX_STATEMENT_BYTES_PER_CLIENT: usize = 128 * 1024;
-/// The length of a parameter's type in a Parse.
+/// The length of a parameter's type number in a Parse.
 const TYPE_BYTES: usize = 4;
 /// The length of the row limit in an Execute.
 const ROW_LIMIT_BYTES: usize = 4;
 
-/// The plan of a batch.
+/// The messages that a batch sends to a member, and the statements that it uses and prepares.
 #[derive(Default)]
 pub struct BatchPlan {
-    /// The messages for the member.
+    /// The messages for the member, in order.
     pub messages: Vec<ExtendedMessage>,
-    /// The statements that they prepare, bind or describe.
-    pub statements: Vec<StatementDescription>,
+    /// The statements that the messages prepare, bind or describe.
+    pub statements: Vec<AnalyzedStatement>,
     /// The statements that the batch prepares.
     pub parsed: Vec<ParsedStatement>,
-    /// The session that the first bound portal names, 0 for none.
+    /// The session of the first bound portal that has one, 0 if none has.
     pub session_key: u64,
 }
 
 impl BatchPlan {
-    /// Whether it executes a portal.
+    /// Whether the batch executes a portal.
     pub fn executes(&self) -> bool {
         self.messages.iter().any(|message| matches!(message, ExtendedMessage::Execute { .. }))
     }
 
-    fn set_session_key_once(&mut self, session_key: u64) {
+    fn set_session_key_if_unset(&mut self, session_key: u64) {
         if self.session_key == 0 {
             self.session_key = session_key;
         }
     }
 }
 
-/// Plans a batch, message by message.
+/// Builds the [`BatchPlan`] of a batch, message by message.
 pub struct BatchPlanner<'a> {
-    /// Analyzes statements.
+    /// The analyzer of the statements.
     pub analyzer: &'a StatementAnalyzer,
-    /// Records statements that are prepared.
+    /// The recorder of statements for the store's catalogue.
     pub recorder: &'a mut StatementRecorder,
     /// The connection's statements and portals.
     pub session: &'a mut Session,
-    /// The plan so far.
+    /// The plan for the messages that have been added.
     pub plan: BatchPlan,
 }
 
 impl BatchPlanner<'_> {
-    /// Plans a message.
+    /// Adds the next message of the batch to the plan, and updates the session's statements and portals.
     pub fn add_message(&mut self, message: &[u8]) -> Result<(), BatchError> {
         let body = pg::message_body(message);
         match message.first() {
@@ -73,11 +73,11 @@
     fn add_parse(&mut self, body: &[u8]) -> Result<(), BatchError> {
         let (name, rest) = pg::split_c_string(body).ok_or(BatchError::MalformedMessage)?;
         let (sql, parameter_types) = pg::split_c_string(rest).ok_or(BatchError::MalformedMessage)?;
-        if !are_parameter_types(parameter_types) {
+        if !is_parameter_type_list(parameter_types) {
             return Err(BatchError::MalformedMessage);
         }
         self.check_may_prepare(name, sql)?;
-        let statement = self.analyzer.describe_statement(sql, parameter_types)?;
+        let statement = self.analyzer.analyze(sql, parameter_types)?;
         self.recorder.record(&statement.prepared);
         self.plan.messages.push(ExtendedMessage::Parse(statement.prepared.clone()));
         self.plan.statements.push(statement.clone());
@@ -107,7 +107,7 @@
         let statement = self.statement(name)?;
         let session_key =
             self.session_parameter(&parameters).map_or(statement.session_key, statement::session_id);
-        self.plan.set_session_key_once(session_key);
+        self.plan.set_session_key_if_unset(session_key);
         let bound = Portal {
             statement: statement.clone(),
             session_key,
@@ -166,7 +166,8 @@
             }
             Target::Portal(name) => match self.session.portals.remove(name) {
                 Some(portal) if !portal.flushed => ExtendedMessage::ClosePortal(name.to_vec()),
-                // The member does not have it: the client still gets its CloseComplete.
+                // The member does not have the portal: the proxy sends CloseComplete itself, as for a
+                // statement.
                 _ => ExtendedMessage::CloseStatement,
             },
         };
@@ -174,17 +175,18 @@
         Ok(())
     }
 
-    fn statement(&self, name: &[u8]) -> Result<StatementDescription, BatchError> {
+    fn statement(&self, name: &[u8]) -> Result<AnalyzedStatement, BatchError> {
         let statement = self.session.statements.get(name).cloned();
         statement.ok_or_else(|| BatchError::unknown_statement(name))
     }
 
-    /// Makes sure that the member will have a portal: one that was bound before a Flush is bound again.
+    /// Ensures that the portal exists at the member when a later message uses it: a portal that was bound
+    /// before a Flush is bound again.
     fn ensure_bound(&mut self, name: &[u8]) -> Result<(), BatchError> {
         let portal = self.session.portals.get_mut(name).ok_or_else(|| BatchError::unknown_portal(name))?;
         if portal.flushed {
             portal.flushed = false;
-            self.plan.set_session_key_once(portal.session_key);
+            self.plan.set_session_key_if_unset(portal.session_key);
             self.plan.messages.push(ExtendedMessage::Bind {
                 portal: name.to_vec(),
                 statement: portal.statement.prepared.clone(),
@@ -213,8 +215,8 @@
     }
 }
 
-/// Whether these bytes are a count and as many type numbers.
-fn are_parameter_types(bytes: &[u8]) -> bool {
+/// Whether these bytes of a Parse are a count and as many type numbers.
+fn is_parameter_type_list(bytes: &[u8]) -> bool {
     bytes
         .split_first_chunk()
         .is_some_and(|(count, types)| types.len() == TYPE_BYTES * usize::from(u16::from_be_bytes(*count)))
--- a/src/front/postgres/bind.rs
+++ b/src/front/postgres/bind.rs
@@ -1,11 +1,12 @@
 //! Parses the arguments of a Bind message.
 
-/// The length that encodes a NULL.
+/// The length field that encodes a NULL.
 const NULL_LENGTH: i32 = -1;
 /// The length of a format code.
 const FORMAT_BYTES: usize = 2;
 
-/// The parameter values after a Bind's names, `None` for a NULL, if everything is well formed.
+/// Parses the part of a Bind message after the names, and returns the parameter values, each `None` for a
+/// NULL. Returns `None` for malformed input.
 pub fn parse_parameters(arguments: &[u8]) -> Option<Vec<Option<&[u8]>>> {
     let (parameter_formats, rest) = split_u16(arguments)?;
     let rest = rest.get(FORMAT_BYTES * parameter_formats..)?;
@@ -25,7 +26,7 @@
     Some((usize::from(u16::from_be_bytes(*head)), rest))
 }
 
-/// Splits off a value; returns it and the bytes after it.
+/// Splits off a length and a value; returns the value, `None` for a NULL, and the bytes after it.
 fn split_value(bytes: &[u8]) -> Option<(Option<&[u8]>, &[u8])> {
     let (head, rest) = bytes.split_first_chunk()?;
     let length = i32::from_be_bytes(*head);
--- a/src/front/postgres/config.rs
+++ b/src/front/postgres/config.rs
@@ -4,27 +4,27 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The file under `deploy/` with this front's listen address and its defaults.
+/// The listen address of the extended front and its defaults, as read from the file given with `--postgres`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExtendedListenerConfig {
-    /// Where clients connect.
+    /// The address on which the front accepts clients.
     pub listen: SocketAddr,
-    /// The class of reads whose statement names none.
+    /// The class of reads whose comment names no class.
     pub read_class: String,
-    /// The class of writes whose statement names none.
+    /// The class of writes whose comment names no class.
     pub write_class: String,
-    /// The group of statements that name none.
+    /// The group of statements whose comment names no group.
     pub group: u32,
-    /// How long a client waits whose statement gives no timeout, in milliseconds.
+    /// The timeout of statements whose comment gives none, in milliseconds.
     pub wait_ms: u64,
-    /// The parameter that names the session, counted from 1; 0 for none.
+    /// The number of the statement parameter that identifies the session, counted from 1; 0 for none.
     pub session_parameter: usize,
-    /// The most statements that one client may have prepared.
+    /// The maximum number of prepared statements of one client.
     pub statements: usize,
 }
 
-/// The configuration names a request class that the settings lack.
+/// The error for a configured class that the settings do not define.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("class {name} of the extended listener does not exist")]
 pub struct UnknownClassError {
@@ -33,7 +33,7 @@
 }
 
 impl ExtendedListenerConfig {
-    /// Checks that the configured classes exist.
+    /// Checks that the settings define the configured classes.
     pub fn check(&self, settings: &Settings) -> Result<(), UnknownClassError> {
         for name in [&self.read_class, &self.write_class] {
             if settings.class(name.as_bytes()).is_none() {
--- a/src/front/postgres/dependencies.rs
+++ b/src/front/postgres/dependencies.rs
@@ -1,11 +1,11 @@
-//! Which prepared statements a batch depends on.
+//! Finds the prepared statements that a batch depends on.
 
 use crate::client::ClientBatch;
 use crate::pg;
 use crate::pg::message_tags::{describe_targets, frontend};
 
-/// The names of statements that a batch prepares, closes or uses. The unnamed statement does not count where
-/// the batch prepares it for itself.
+/// The names of the statements that a batch prepares, closes, binds or describes. The unnamed statement is
+/// left out from the first Parse on that prepares it, as the batch then does not depend on an earlier one.
 pub fn statement_names(batch: &ClientBatch) -> Vec<&[u8]> {
     let mut names = Vec::new();
     let mut prepares_unnamed = false;
@@ -17,7 +17,7 @@
     names
 }
 
-/// The name of the statement that a message prepares, closes or uses.
+/// The name of the statement that a message prepares, closes, binds or describes.
 fn statement_name(message: &[u8]) -> Option<&[u8]> {
     let body = pg::message_body(message);
     let starts_with_name = match *message.first()? {
--- a/src/front/postgres/error.rs
+++ b/src/front/postgres/error.rs
@@ -1,14 +1,14 @@
-//! Why a batch is rejected without having been sent to a member.
+//! The errors with which the proxy itself rejects a batch.
 
 use crate::pg::sqlstate;
 
-/// Why a batch is rejected. The text is sent to the client.
+/// The reason why a batch was rejected without a member. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BatchError {
     /// A message violates the protocol.
     #[error("malformed message")]
     MalformedMessage,
-    /// The comment names a class that does not exist.
+    /// The comment of a statement names a class that does not exist.
     #[error("unknown class")]
     UnknownClass,
     /// Statements that start with this keyword are not supported.
@@ -17,10 +17,10 @@
         /// The keyword, in lower case.
         keyword: String,
     },
-    /// A query contains more than one statement.
+    /// A Query or Parse message contains more than one statement.
     #[error("one statement a query, please")]
     SeveralStatements,
-    /// A statement that writes names a class of reads.
+    /// A statement that writes is in a class of reads.
     #[error("{keyword} in a class that is not for writes")]
     WriteInReadClass {
         /// The keyword, in lower case.
@@ -29,16 +29,16 @@
     /// The statements of a batch are for different groups.
     #[error("statements of more than one group before a Sync")]
     SeveralGroups,
-    /// The implicit transaction ended at the Flush after an Execute.
+    /// An Execute follows a Flush that ended the implicit transaction of an earlier Execute at the member.
     #[error("a further execute in a unit that was flushed after one")]
     ExecuteAfterFlush,
-    /// The name of a statement is in use.
+    /// The name in a Parse message is in use.
     #[error("a statement of that name exists")]
     DuplicateStatement,
-    /// The client has reached its limits on prepared statements.
+    /// The client has reached the limit on the number or the total length of its prepared statements.
     #[error("too many prepared statements")]
     TooManyStatements,
-    /// The text of a statement is too long.
+    /// The text of a statement is too long to be prepared.
     #[error("statement too long to prepare")]
     StatementTooLong,
     /// There is no prepared statement of this name.
@@ -59,7 +59,7 @@
 }
 
 impl BatchError {
-    /// The SQLSTATE that the client gets.
+    /// The SQLSTATE that is sent to the client.
     pub fn sqlstate(&self) -> &'static str {
         match self {
             BatchError::MalformedMessage | BatchError::UnknownClass => sqlstate::PROTOCOL_VIOLATION,
@@ -76,12 +76,12 @@
         }
     }
 
-    /// No prepared statement has this name.
+    /// Creates the error for a name that no prepared statement has.
     pub fn unknown_statement(name: &[u8]) -> Self {
         BatchError::UnknownStatement { name: String::from_utf8_lossy(name).into_owned() }
     }
 
-    /// No portal has this name.
+    /// Creates the error for a name that no portal has.
     pub fn unknown_portal(name: &[u8]) -> Self {
         BatchError::UnknownPortal { name: String::from_utf8_lossy(name).into_owned() }
     }
--- a/src/front/postgres/mod.rs
+++ b/src/front/postgres/mod.rs
@@ -1,9 +1,11 @@
-//! The extended front: prepared statements, portals and pipelines. Messages up to a Sync are one request,
-//! with the effect of its strictest class and one final answer.
+//! The extended front: prepared statements, portals and pipelines. The messages up to a Sync are one implicit
+//! transaction. They are forwarded as one request, which has the strictest class among their statements and
+//! gets one final answer.
 //!
-//! A Flush before the Sync turns the messages so far into a request. Portals bound there are bound again,
-//! invisibly to the client, where the rest of the unit uses them; after an Execute, such a unit accepts no
-//! further one, as the implicit transaction has ended at the member.
+//! A Flush before the Sync makes a request of the messages up to it, and the implicit transaction ends at the
+//! member with that request. Later messages before the Sync may still use a portal that was bound before the
+//! Flush: it is bound again, and the client does not see the second BindComplete. An Execute is rejected if
+//! one preceded the Flush, because both could not be executed in one transaction.
 
 mod analysis;
 mod batch_planner;
@@ -39,12 +41,14 @@
 use statement_recorder::StatementRecorder;
 use std::sync::Arc;
 
-/// The length of a Query message whose text is empty.
+/// The length of a Query message with an empty text: type byte, length field and terminating zero.
 const EMPTY_QUERY_BYTES: usize = 6;
 
-/// The context of a request that its reply depends on.
-pub struct UnitContext {
+/// The context of a forwarded batch, which its reply depends on.
+pub struct BatchContext {
+    /// The statements that the batch prepares.
     parsed: Vec<ParsedStatement>,
+    /// The client's session, 0 if unknown.
     session_key: u64,
     /// The type of the message that ended the batch.
     end: BatchEnd,
@@ -58,7 +62,7 @@
 }
 
 impl Postgres {
-    /// A front with these defaults, whose classes must exist.
+    /// Creates a front with the defaults of `config`. Fails if a default class does not exist.
     pub fn new(config: ExtendedListenerConfig, settings: Arc<Settings>) -> Result<Self, UnknownClassError> {
         Ok(Postgres {
             analyzer: StatementAnalyzer::new(config, settings)?,
@@ -75,7 +79,8 @@
     ) -> Result<CommandStep<Self>, BatchError> {
         match batch.messages.first() {
             Some(message) if batch.end == BatchEnd::Query => {
-                // The front layer's readiness query: whether it may send clients.
+                // The layer in front of the proxies sends empty queries as health checks, to decide whether
+                // this proxy may get clients.
                 if service == ServiceState::OutOfService && message.len() == EMPTY_QUERY_BYTES {
                     return Err(BatchError::OutOfService);
                 }
@@ -98,7 +103,7 @@
             pg::put_ready_for_query(&mut reply);
             return Ok(CommandStep::Reply(reply));
         }
-        let statement = self.analyzer.describe_statement(text, &[])?;
+        let statement = self.analyzer.analyze(text, &[])?;
         let session_key = statement.session_key;
         let statements = BatchStatements {
             statements: &[statement],
@@ -110,8 +115,8 @@
             timeout_digits: statement::parse_fields(text).timeout.map(|timeout| timeout.digits),
         };
         let request = self.analyzer.combine(&statements, member_request)?;
-        session.end_unit();
-        let context = UnitContext { parsed: Vec::new(), session_key, end: BatchEnd::Query };
+        session.end_transaction();
+        let context = BatchContext { parsed: Vec::new(), session_key, end: BatchEnd::Query };
         Ok(CommandStep::Forward(request, context))
     }
 
@@ -122,18 +127,18 @@
     ) -> Result<CommandStep<Self>, BatchError> {
         let plan = self.plan_batch(session, batch)?;
         if plan.statements.is_empty() {
-            // Only Close messages, which don't involve a member.
+            // The batch is empty or consists of Close messages, which are answered without a member.
             let mut reply = Vec::new();
             plan.messages.iter().for_each(|_| pg::put_message(&mut reply, backend::CLOSE_COMPLETE, &[]));
             session.end_batch(batch.end, &mut reply);
             return Ok(CommandStep::Reply(reply));
         }
         let executes = plan.executes();
-        if executes && session.executed {
+        if executes && session.executed_before_flush {
             session.undo_parses(plan.parsed, 0);
             return Err(BatchError::ExecuteAfterFlush);
         }
-        session.executed |= executes;
+        session.executed_before_flush |= executes;
         let statements = BatchStatements {
             statements: &plan.statements,
             session_key: plan.session_key,
@@ -152,9 +157,9 @@
             extended.confirm_before_execute = !self.analyzer.is_idempotent(request.class);
         }
         if batch.end != BatchEnd::Flush {
-            session.end_unit();
+            session.end_transaction();
         }
-        let context = UnitContext { parsed: plan.parsed, session_key: plan.session_key, end: batch.end };
+        let context = BatchContext { parsed: plan.parsed, session_key: plan.session_key, end: batch.end };
         Ok(CommandStep::Forward(request, context))
     }
 
@@ -180,16 +185,17 @@
 impl Protocol for Postgres {
     type Command = ClientBatch;
     type Session = Session;
-    type Context = UnitContext;
+    type Context = BatchContext;
 
     fn read_at(batch: &ClientBatch) -> Micros {
         batch.received_at
     }
 
-    /// A unit that depends on statements of an unfinished one waits for it, as do all units after a Flush.
-    fn must_wait(batch: &ClientBatch, unfinished: &[&UnitContext]) -> bool {
+    /// A batch waits for unfinished batches that prepare a statement which it names, and for unfinished
+    /// batches that ended with a Flush.
+    fn must_wait(batch: &ClientBatch, unfinished: &[&BatchContext]) -> bool {
         let names = statement_names(batch);
-        let prepares_a_dependency = |context: &UnitContext| {
+        let prepares_a_dependency = |context: &BatchContext| {
             context.parsed.iter().any(|parsed| names.contains(&parsed.name.as_slice()))
         };
         unfinished.iter().any(|context| context.end == BatchEnd::Flush || prepares_a_dependency(context))
@@ -202,7 +208,7 @@
         service: ServiceState,
     ) -> CommandStep<Self> {
         let mut reply = Vec::new();
-        if session.skipping {
+        if session.skipping_until_sync {
             if batch.end == BatchEnd::Sync {
                 session.end_batch(batch.end, &mut reply);
             }
@@ -210,7 +216,7 @@
         }
         self.start_batch(session, &batch, service).unwrap_or_else(|error| {
             pg::put_error_response(&mut reply, "ERROR", error.sqlstate(), &error.to_string(), None);
-            session.skipping = batch.end == BatchEnd::Flush;
+            session.skipping_until_sync = batch.end == BatchEnd::Flush;
             session.end_batch(batch.end, &mut reply);
             CommandStep::Reply(reply)
         })
@@ -223,14 +229,14 @@
     fn finish(
         &mut self,
         session: &mut Session,
-        context: UnitContext,
+        context: BatchContext,
         answer: FinalAnswer<MemberResponse>,
     ) -> Vec<u8> {
         let mut reply = Vec::new();
         append_final_answer(&mut reply, &answer);
         let ReplySummary { parse_completes, has_error } = ReplySummary::of(&reply);
         session.undo_parses(context.parsed, if has_error { parse_completes } else { usize::MAX });
-        session.skipping |= has_error && context.end == BatchEnd::Flush;
+        session.skipping_until_sync |= has_error && context.end == BatchEnd::Flush;
         if let FinalAnswer::Served(MemberResponse { commit_position: Some(position), .. }) = answer
             && !has_error
             && context.session_key != 0
@@ -240,7 +246,8 @@
         if context.end == BatchEnd::Flush {
             session.end_batch(context.end, &mut reply);
         } else {
-            // A later unit may be running already: what this unit's Sync ends was ended when that one began.
+            // `Session::end_transaction` was called when this batch was started. The session may now hold the
+            // portals of a later transaction, which must not be cleared.
             pg::put_ready_for_query(&mut reply);
         }
         reply
--- a/src/front/postgres/reply_summary.rs
+++ b/src/front/postgres/reply_summary.rs
@@ -1,4 +1,4 @@
-//! What a member's response shows about a batch.
+//! Summarizes a member's response to a batch.
 
 use crate::pg::message_tags::backend;
 
@@ -8,14 +8,14 @@
 /// A summary of the messages of a response.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplySummary {
-    /// How many statements were prepared.
+    /// The number of ParseComplete messages, one for each statement that was prepared.
     pub parse_completes: usize,
     /// Whether one of the messages is an ErrorResponse.
     pub has_error: bool,
 }
 
 impl ReplySummary {
-    /// Reads the messages of a response.
+    /// Summarizes the messages of a response.
     pub fn of(mut messages: &[u8]) -> Self {
         let mut summary = ReplySummary::default();
         while let Some((header, _)) = messages.split_first_chunk::<HEADER_BYTES>() {
--- a/src/front/postgres/session.rs
+++ b/src/front/postgres/session.rs
@@ -1,6 +1,6 @@
-//! The state of a connection across batches: its prepared statements and portals.
+//! The state that a connection keeps from batch to batch: its prepared statements and portals.
 
-use super::analysis::StatementDescription;
+use super::analysis::AnalyzedStatement;
 use crate::client::BatchEnd;
 use crate::extended::PreparedStatement;
 use crate::pg;
@@ -10,71 +10,75 @@
 /// A portal that the client has bound.
 #[derive(Clone)]
 pub struct Portal {
-    /// Its statement.
-    pub statement: StatementDescription,
-    /// The session that its parameters or its statement name, 0 for none.
+    /// The statement that the portal executes.
+    pub statement: AnalyzedStatement,
+    /// The session that a parameter or else the statement identifies, 0 for none.
     pub session_key: u64,
-    /// The rest of its Bind after the names.
+    /// The part of the Bind message after the names: formats and parameter values, as received.
     pub arguments: Vec<u8>,
-    /// It was bound before the last Flush: the member no longer has it.
+    /// Whether a Flush has ended the portal at the member since it was last bound there.
     pub flushed: bool,
 }
 
 /// A statement that a batch prepares.
 pub struct ParsedStatement {
-    /// Its name.
+    /// The name that the client gave the statement.
     pub name: Vec<u8>,
     /// The statement.
     pub prepared: Arc<PreparedStatement>,
-    /// The statement that it replaces under this name.
-    pub previous: Option<StatementDescription>,
+    /// The statement that had this name before, if any.
+    pub previous: Option<AnalyzedStatement>,
 }
 
-/// The state of a connection.
+/// The state that a connection keeps from batch to batch.
 #[derive(Default)]
 pub struct Session {
     /// The prepared statements, by name.
-    pub statements: BTreeMap<Vec<u8>, StatementDescription>,
-    /// The portals of the current unit, by name.
+    pub statements: BTreeMap<Vec<u8>, AnalyzedStatement>,
+    /// The portals of the current implicit transaction, by name.
     pub portals: BTreeMap<Vec<u8>, Portal>,
-    /// After an error before a Flush: everything up to the Sync is skipped.
-    pub skipping: bool,
-    /// The unit has executed something before a Flush.
-    pub executed: bool,
+    /// Whether messages up to the next Sync are skipped, after an error in a batch that ended with a Flush.
+    pub skipping_until_sync: bool,
+    /// Whether a batch of the current implicit transaction that ended with a Flush has executed a portal.
+    pub executed_before_flush: bool,
 }
 
 impl Session {
-    /// Bytes of the texts of all prepared statements.
+    /// The length of the texts of all prepared statements together.
     pub fn statement_bytes(&self) -> usize {
         self.statements.values().map(|statement| statement.prepared.sql.len()).sum()
     }
 
-    /// Prepares a statement; returns what [`Session::undo_parses`] needs.
-    pub fn prepare(&mut self, name: &[u8], statement: StatementDescription) -> ParsedStatement {
+    /// Stores a prepared statement under a name. The result is for [`Session::undo_parses`].
+    pub fn prepare(&mut self, name: &[u8], statement: AnalyzedStatement) -> ParsedStatement {
         let prepared = statement.prepared.clone();
         let previous = self.statements.insert(name.to_vec(), statement);
         ParsedStatement { name: name.to_vec(), prepared, previous }
     }
 
-    /// Clears what a Sync ends. The next unit may be started before this one is answered.
-    pub fn end_unit(&mut self) {
+    /// Clears the state that ends with an implicit transaction, at a Sync or a simple query. A forwarded
+    /// batch ends its transaction when it is started, as the next transaction may start before the batch is
+    /// answered.
+    pub fn end_transaction(&mut self) {
         self.portals.clear();
-        self.skipping = false;
-        self.executed = false;
+        self.skipping_until_sync = false;
+        self.executed_before_flush = false;
     }
 
-    /// Ends a batch: with ReadyForQuery after a Sync or a query, without after a Flush.
+    /// Ends a batch. A Flush marks all portals as flushed; a Sync or a simple query ends the implicit
+    /// transaction, and ReadyForQuery is appended to `reply`.
     pub fn end_batch(&mut self, end: BatchEnd, reply: &mut Vec<u8>) {
         if end == BatchEnd::Flush {
             self.portals.values_mut().for_each(|portal| portal.flushed = true);
         } else {
-            self.end_unit();
+            self.end_transaction();
             pg::put_ready_for_query(reply);
         }
     }
 
-    /// Undoes what a batch prepared beyond its first `confirmed` statements, except under names that a
-    /// later batch has prepared again.
+    /// Undoes the Parse messages of a batch after the first `confirmed` ones: each name gets its previous
+    /// statement back, or is removed if it had none. A name under which another statement has been prepared
+    /// since is left unchanged.
     pub fn undo_parses(&mut self, parsed: Vec<ParsedStatement>, confirmed: usize) {
         for ParsedStatement { name, prepared, previous } in parsed.into_iter().skip(confirmed).rev() {
             let current = self.statements.get(&name);
--- a/src/front/postgres/session_commits.rs
+++ b/src/front/postgres/session_commits.rs
@@ -1,12 +1,13 @@
-//! The last commit of each session, so that the session's reads see it on any connection.
+//! The last commit of each session, which the session's reads must see, also on other connections.
 
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Sessions whose last commit is remembered, over all clients; the oldest are evicted.
+/// The maximum number of sessions whose last commit is remembered, over all clients. The session whose first
+/// commit is the oldest is evicted first.
 const MAX_SESSIONS: usize = 16 * 1024;
 
-/// The last commit of each session.
+/// The position of the last commit of each session.
 #[derive(Default)]
 pub struct SessionCommits {
     positions: BTreeMap<u64, Micros>,
@@ -20,7 +21,7 @@
         self.positions.get(&session_key).copied()
     }
 
-    /// Records a commit of a session.
+    /// Records the position of a session's last commit.
     pub fn record(&mut self, session_key: u64, position: Micros) {
         if self.positions.insert(session_key, position).is_none() {
             self.insertion_order.push_back(session_key);
--- a/src/front/postgres/statement_recorder.rs
+++ b/src/front/postgres/statement_recorder.rs
@@ -1,16 +1,17 @@
-//! Which prepared statements have been recorded in the store's catalogue.
+//! Selects the prepared statements to record in the store's catalogue.
 
 use crate::extended::PreparedStatement;
 use crate::store::{Change, Statement};
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// The longest statement that the store's catalogue accepts.
+/// The maximum length of a statement that the store's catalogue accepts.
 const MAX_RECORDED_BYTES: usize = 8 * 1024;
-/// Statements remembered as recorded before they are recorded again.
+/// The maximum number of statements remembered as recorded. When it is reached, all are forgotten, and each
+/// is recorded again when a client next prepares it.
 const MAX_REMEMBERED: usize = 1024;
 
-/// Collects the statements that the store's catalogue is to record, each once.
+/// Collects the statements to record in the store's catalogue, each once.
 #[derive(Default)]
 pub struct StatementRecorder {
     pending: Vec<Change>,
@@ -18,7 +19,7 @@
 }
 
 impl StatementRecorder {
-    /// Records a statement that a client prepares.
+    /// Collects a statement that a client prepares, unless it has been recorded, is too long or is not UTF-8.
     pub fn record(&mut self, prepared: &Arc<PreparedStatement>) {
         if self.recorded.len() >= MAX_REMEMBERED {
             self.recorded.clear();
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Removes and returns the changes that have been collected.
+    /// Removes and returns the collected changes.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.pending)
     }
--- a/src/front/postgres/tests.rs
+++ b/src/front/postgres/tests.rs
@@ -22,7 +22,7 @@
 fn bind_arguments_that_are_incomplete_too_long_or_of_negative_length_are_malformed() {
     let arguments = b"\0\0\0\x01\0\0\0\x02ab\0\x01\0\0";
     for end in 0..arguments.len() {
-        assert_eq!(parse_parameters(&arguments[..end]), None, "cut at {end}");
+        assert_eq!(parse_parameters(&arguments[..end]), None, "arguments cut off after {end} bytes");
     }
     assert!(parse_parameters(arguments).is_some());
     assert_eq!(parse_parameters(&[arguments.as_slice(), b"\0"].concat()), None);
@@ -56,15 +56,15 @@
 #[test]
 fn undone_parse_restores_the_previous_statement_unless_prepared_anew() {
     let analyzer = analyzer();
-    let describe = |sql: &str| analyzer.describe_statement(sql.as_bytes(), &[]).ok().unwrap();
+    let analyze_text = |sql: &str| analyzer.analyze(sql.as_bytes(), &[]).ok().unwrap();
     let text = |session: &Session| session.statements[b"".as_slice()].prepared.sql.clone();
     let mut session = Session::default();
-    session.prepare(b"", describe("select 1"));
-    let second = session.prepare(b"", describe("select 2"));
+    session.prepare(b"", analyze_text("select 1"));
+    let second = session.prepare(b"", analyze_text("select 2"));
     session.undo_parses(vec![second], 0);
     assert_eq!(text(&session), b"select 1");
-    let third = session.prepare(b"", describe("select 3"));
-    session.prepare(b"", describe("select 4"));
+    let third = session.prepare(b"", analyze_text("select 3"));
+    session.prepare(b"", analyze_text("select 4"));
     session.undo_parses(vec![third], 0);
     assert_eq!(text(&session), b"select 4");
 }
