--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -19,7 +19,7 @@
 /// A connection that may be closed to free capacity. The greatest candidate is closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionCandidate {
-    /// Whether the client has made no request.
+    /// Whether the connection has made no request.
     pub never_requested: bool,
     /// How long the connection has been idle.
     pub idle_for: Micros,
--- a/src/front/effect.rs
+++ b/src/front/effect.rs
@@ -10,7 +10,7 @@
 pub enum FrontEffect {
     /// Write these bytes to a client.
     Write(ClientId, Vec<u8>),
-    /// Close a client's connection after the bytes that are still to be written.
+    /// Close a client's connection once all bytes for the client have been written.
     Close(ClientId, ClientCloseReason),
     /// Close a client's connection unless part of another command has arrived. If the host closes the
     /// connection, it calls
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -24,7 +24,7 @@
         Access { writes: request.writes, group: request.group, session: request.session }
     }
 
-    /// Whether this command may start only after an earlier command of the same connection has finished.
+    /// Whether this command may start only after `earlier`, a command of the same connection, has finished.
     ///
     /// Within a group, a read must see earlier writes, writes must keep their order, and a read must not see
     /// a later write of its own session. An unknown session counts as equal to every other session.
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: simple queries of one statement each, whose comment holds the routing properties.
+//! The platform's front: simple queries of one statement each, with a comment that describes the request.
 
 use super::final_answer::append_final_answer;
 use super::{CommandStep, Protocol, ServiceState};
--- a/src/front/protocol.rs
+++ b/src/front/protocol.rs
@@ -6,13 +6,13 @@
 use crate::exchange::MemberResponse;
 use crate::store::Change;
 
-/// Whether the proxy accepts clients, as set by the host.
+/// Whether new clients may be sent to this proxy, as set by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceState {
     /// The proxy is starting. On the platform's front, empty queries, which serve as health checks, wait for
     /// the next state.
     Starting,
-    /// The proxy accepts clients.
+    /// New clients may be sent to this proxy.
     InService,
     /// An operator has taken this proxy out of service. Open connections are still served.
     OutOfService,
--- a/src/front/request_registry.rs
+++ b/src/front/request_registry.rs
@@ -4,8 +4,8 @@
 use crate::client::ClientId;
 use std::collections::{BTreeMap, HashSet};
 
-/// The client of an open request, and the id that it chose for the request.
-struct Owner {
+/// An open request's client, and the id that the client chose for the request.
+struct OpenRequest {
     client: ClientId,
     external_id: Vec<u8>,
 }
@@ -14,7 +14,7 @@
 #[derive(Default)]
 pub struct RequestRegistry {
     last_id: RequestId,
-    owners: BTreeMap<RequestId, Owner>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     /// The ids that the clients chose for open requests.
     external_ids: HashSet<Vec<u8>>,
 }
@@ -28,13 +28,13 @@
         }
         let id = self.next_free_id();
         self.last_id = id;
-        self.owners.insert(id, Owner { client, external_id });
+        self.open_requests.insert(id, OpenRequest { client, external_id });
         Some(id)
     }
 
     fn next_free_id(&self) -> RequestId {
         let mut id = self.last_id.wrapping_add(1);
-        while self.owners.contains_key(&id) {
+        while self.open_requests.contains_key(&id) {
             id = id.wrapping_add(1);
         }
         id
@@ -42,17 +42,17 @@
 
     /// The client of an open request.
     pub fn client_of(&self, request: RequestId) -> Option<ClientId> {
-        self.owners.get(&request).map(|owner| owner.client)
+        self.open_requests.get(&request).map(|open_request| open_request.client)
     }
 
     /// The external id of an open request; empty if its client gave none.
     pub fn external_id(&self, request: RequestId) -> Option<&[u8]> {
-        self.owners.get(&request).map(|owner| owner.external_id.as_slice())
+        self.open_requests.get(&request).map(|open_request| open_request.external_id.as_slice())
     }
 
     /// Closes a request and returns the client that it belongs to; `None` if it is not open.
     pub fn close(&mut self, request: RequestId) -> Option<ClientId> {
-        let Owner { client, external_id } = self.owners.remove(&request)?;
+        let OpenRequest { client, external_id } = self.open_requests.remove(&request)?;
         self.external_ids.remove(&external_id);
         Some(client)
     }
