--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::Settings;
 use crate::core::Counters;
-use crate::sockets::MomentaryErrors;
+use crate::sockets::TransientErrorRetries;
 use crate::threads::spawn;
 use crossbeam_channel::{Sender, bounded};
 use http::{HttpResponse, RequestError, Status};
@@ -125,7 +125,7 @@
 fn read_request(mut stream: &TcpStream) -> Result<AdminRequest, RequestError> {
     let deadline = Instant::now() + REQUEST_TIMEOUT;
     let mut received = Vec::new();
-    let mut momentary = MomentaryErrors::default();
+    let mut retries = TransientErrorRetries::default();
     let mut chunk = [0; READ_BYTES];
     loop {
         if let Some(request) = http::parse_request(&received)? {
@@ -137,7 +137,7 @@
         }
         match stream.read(&mut chunk) {
             Ok(length) if length > 0 => received.extend_from_slice(&chunk[..length]),
-            Err(error) if momentary.wait_out(&error) => {}
+            Err(error) if retries.should_retry_after(&error) => {}
             _ => return Err(RequestError::Incomplete),
         }
     }
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -5,7 +5,7 @@
 use crate::client::ClientEvent;
 use crate::clock::Clock;
 use crate::pg::{FrameReader, ProtocolError, StartupPacket};
-use crate::sockets::is_momentary_error;
+use crate::sockets::is_transient_error;
 use crate::{Micros, Settings};
 use rustix::event::epoll::EventFlags;
 use std::io::{Error, ErrorKind, Read};
@@ -303,5 +303,5 @@
 
 /// Whether the socket is still usable after this error.
 fn is_transient(error: &Error) -> bool {
-    error.kind() == ErrorKind::WouldBlock || is_momentary_error(error)
+    error.kind() == ErrorKind::WouldBlock || is_transient_error(error)
 }
--- a/src/net/client/write_buffer.rs
+++ b/src/net/client/write_buffer.rs
@@ -1,6 +1,6 @@
 //! The answers that wait for one client's socket.
 
-use crate::sockets::is_momentary_error;
+use crate::sockets::is_transient_error;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -75,7 +75,7 @@
                 Ok(written) => self.written_of_first += written,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 // What is left is written when the socket is reported as writable.
-                Err(error) => return error.kind() == ErrorKind::WouldBlock || is_momentary_error(&error),
+                Err(error) => return error.kind() == ErrorKind::WouldBlock || is_transient_error(&error),
             }
             if self.written_of_first == first.len() {
                 total_bytes.fetch_sub(first.len(), Ordering::SeqCst);
--- a/src/net/member/connect.rs
+++ b/src/net/member/connect.rs
@@ -3,7 +3,7 @@
 use crate::Outcome;
 use crate::pg::message_tags::backend;
 use crate::pg::{self, FrameReader};
-use crate::sockets::{is_local_connect_error, is_momentary_error};
+use crate::sockets::{is_local_connect_error, is_transient_error};
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -50,7 +50,7 @@
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             ConnectError::Socket(error) if is_local_connect_error(error) => Outcome::LocalError,
-            ConnectError::Handshake(error) if is_momentary_error(error) => Outcome::LocalError,
+            ConnectError::Handshake(error) if is_transient_error(error) => Outcome::LocalError,
             ConnectError::Rejected(Some(code)) if code == pg::sqlstate::TOO_MANY_CONNECTIONS.as_bytes() => {
                 Outcome::RejectedByMember
             }
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -7,7 +7,7 @@
 use crate::core::{JobId, JobResult, JobSpec};
 use crate::exchange::{MemberRequest, MemberResponse};
 use crate::extended::PreparedStatementCache;
-use crate::sockets::MomentaryErrors;
+use crate::sockets::TransientErrorRetries;
 use crate::{Outcome, pg};
 use std::io::Write;
 use std::ops::Range;
@@ -123,11 +123,11 @@
     /// Writes all bytes.
     pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), WriteError> {
         let mut written = 0;
-        let mut momentary = MomentaryErrors::default();
+        let mut retries = TransientErrorRetries::default();
         while written < bytes.len() {
             match (&*self.connection.stream).write(&bytes[written..]) {
                 Ok(n) if n > 0 => written += n,
-                Err(error) if momentary.wait_out(&error) => {}
+                Err(error) if retries.should_retry_after(&error) => {}
                 _ => return Err(WriteError { written }),
             }
         }
--- a/src/pg/frame_reader.rs
+++ b/src/pg/frame_reader.rs
@@ -3,7 +3,7 @@
 use super::HEADER_BYTES;
 use super::error::ProtocolError;
 use super::message_tags::backend;
-use crate::sockets::MomentaryErrors;
+use crate::sockets::TransientErrorRetries;
 use std::io::Read;
 use std::ops::RangeInclusive;
 
@@ -67,10 +67,10 @@
         }
         let filled = self.buffer.len();
         self.buffer.resize(filled + READ_BYTES, 0);
-        let mut momentary = MomentaryErrors::default();
+        let mut retries = TransientErrorRetries::default();
         let result = loop {
             match stream.read(&mut self.buffer[filled..]) {
-                Err(error) if momentary.wait_out(&error) => {}
+                Err(error) if retries.should_retry_after(&error) => {}
                 other => break other,
             }
         };
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -26,7 +26,7 @@
     Errno::PERM,
 ];
 /// Errors of a call on an open socket that leave it as it was: a signal, or no memory for a moment.
-const MOMENTARY_ERRORS: [Errno; 3] = [Errno::INTR, Errno::NOBUFS, Errno::NOMEM];
+const TRANSIENT_ERRORS: [Errno; 3] = [Errno::INTR, Errno::NOBUFS, Errno::NOMEM];
 
 /// Listens at an address. Guards against a failed start where the previous process is still shutting down.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
@@ -47,8 +47,8 @@
 }
 
 /// Whether a call on an open socket failed in a way that leaves the connection as it was.
-pub fn is_momentary_error(error: &Error) -> bool {
-    Errno::from_io_error(error).is_some_and(|errno| MOMENTARY_ERRORS.contains(&errno))
+pub fn is_transient_error(error: &Error) -> bool {
+    Errno::from_io_error(error).is_some_and(|errno| TRANSIENT_ERRORS.contains(&errno))
 }
 
 /// Whether an idle connection can't be used any more: the peer has closed it, or has sent unexpected
@@ -64,26 +64,26 @@
 }
 
 /// How often a call on a blocking socket is made again after a lack of memory, and the pause before it.
-const MAX_MOMENTARY_ERRORS: u32 = 100;
-const MOMENTARY_ERROR_PAUSE: Duration = Duration::from_millis(1);
+const MAX_TRANSIENT_ERRORS: u32 = 100;
+const TRANSIENT_ERROR_PAUSE: Duration = Duration::from_millis(1);
 
-/// The momentary errors that a blocking transfer has met.
+/// Counts the transient errors of one blocking transfer and decides whether the failed call is retried.
 #[derive(Default)]
-pub struct MomentaryErrors {
-    met: u32,
+pub struct TransientErrorRetries {
+    count: u32,
 }
 
-impl MomentaryErrors {
+impl TransientErrorRetries {
     /// Whether the call is to be made again after this error; pauses first where memory was lacking.
-    pub fn wait_out(&mut self, error: &Error) -> bool {
+    pub fn should_retry_after(&mut self, error: &Error) -> bool {
         if error.kind() == ErrorKind::Interrupted {
             return true;
         }
-        if !is_momentary_error(error) || self.met == MAX_MOMENTARY_ERRORS {
+        if !is_transient_error(error) || self.count == MAX_TRANSIENT_ERRORS {
             return false;
         }
-        self.met += 1;
-        std::thread::sleep(MOMENTARY_ERROR_PAUSE);
+        self.count += 1;
+        std::thread::sleep(TRANSIENT_ERROR_PAUSE);
         true
     }
 }
