--- a/src/client/simple_query.rs
+++ b/src/client/simple_query.rs
@@ -64,7 +64,7 @@
 
 impl ParsedQuery {
     /// Parses a statement and looks up its class.
-    pub fn read(text: &[u8], settings: &Settings) -> Result<ParsedQuery, InvalidQuery> {
+    pub fn parse(text: &[u8], settings: &Settings) -> Result<ParsedQuery, InvalidQuery> {
         if text.trim_ascii().is_empty() {
             return Ok(ParsedQuery::Empty);
         }
--- a/src/net/client/commands.rs
+++ b/src/net/client/commands.rs
@@ -50,7 +50,7 @@
                 ClientEvent::Command(SimpleQuery {
                     received_at: self.last_read_at,
                     text: text.to_vec(),
-                    fields: ParsedQuery::read(text, settings),
+                    fields: ParsedQuery::parse(text, settings),
                 })
             }
             Some((frontend::TERMINATE, _)) => ClientEvent::Terminate,
