--- a/src/core/connections.rs
+++ b/src/core/connections.rs
@@ -1,4 +1,5 @@
-//! The connections to members: endpoint updates, checkout and check-in, and verification of idle ones.
+//! The reducer's part in managing connections to members: endpoint list updates, checkout and check-in for
+//! jobs, eviction of idle connections, and the decision whether to verify one before reuse.
 
 use super::pool::{CheckIn, Checkout, EvictedConnection};
 use super::timers::TimerEvent;
@@ -6,27 +7,32 @@
 use crate::{EndpointId, EndpointState, Event, Idempotency, Micros, Outcome};
 use std::collections::BTreeSet;
 
-/// The interval between two searches for connections that have been idle for too long.
+/// How often the pool is searched for connections that have been idle for too long.
 pub(super) const EVICTION_INTERVAL: Micros = 1_000_000;
-/// Idle connections are closed at this percentage of the time after which a member closes them. Guards
-/// against a new connection for each request where a proxy needs a member every ten seconds or so: opening
-/// one costs the member's work and the request's time. The rest must cover an eviction interval and a slow
-/// proxy.
-const KEPT_PERCENT_OF_IDLE_TIMEOUT: Micros = 80;
-/// For this long after a stale connection was found, all idle connections are verified before reuse.
+/// Idle connections are closed at this percentage of the idle timeout after which a member closes them.
+///
+/// With a low percentage, a proxy that sends a member one request about every ten seconds would open a new
+/// connection for each request, which costs the member work and delays the request. The remaining time must
+/// cover an eviction interval and the delays of a slow proxy, so that the proxy closes the connection
+/// before the member does.
+const IDLE_EVICTION_PERCENT: Micros = 80;
+/// How long idle connections are verified before an attempt reuses them, counted from the last stale
+/// connection that was found.
 const REVALIDATION_PERIOD: Micros = 10_000_000;
-/// A connection that was idle for this long is verified before a write that must not be executed twice.
+/// A connection that was idle for at least this long is verified before a request that must not be executed
+/// twice.
 const VERIFY_WRITES_AFTER_IDLE: Micros = 1_000_000;
 
-/// The connection that a job is given.
+/// The connection that a job runs on.
 pub(super) struct JobConnection {
     pub id: ConnectionId,
-    /// Since when it was idle; `None` if it is new.
+    /// When the connection became idle; `None` for a new connection.
     pub idle_since: Option<Micros>,
 }
 
 impl<W, A> Core<W, A> {
-    /// Applies an update of the endpoint list, and cancels unsent attempts to members out of service.
+    /// Applies an endpoint list update to the pool and the router. Closes the idle connections that it
+    /// makes unusable, and cancels the unsent attempts to members that it takes out of service.
     pub(super) fn apply_endpoint_update(&mut self, now: Micros, complete: bool, members: Vec<ListedMember>) {
         let to_close = self.pool.apply_endpoint_update(now, complete, &members);
         self.close_connections(to_close, CloseReason::EndpointListChange);
@@ -46,7 +52,8 @@
         });
     }
 
-    /// Checks out a connection to a member; opens one if none is idle.
+    /// Checks out an idle connection to a member, or opens a new one. Returns `None` if the member's
+    /// address is unknown or the pool has no capacity left.
     pub(super) fn check_out(&mut self, endpoint: EndpointId) -> Option<JobConnection> {
         match self.pool.check_out(endpoint) {
             Checkout::Unavailable => None,
@@ -65,15 +72,15 @@
         }
     }
 
-    /// Checks in a connection.
+    /// Returns a connection to the pool after its job, or closes it if it can't be reused.
     pub(super) fn check_in(&mut self, now: Micros, connection: ConnectionId) {
         if self.pool.check_in(connection, now) == CheckIn::Close {
             self.close_connections([connection], CloseReason::Unusable);
         }
     }
 
-    /// A connection has been closed. Guards against one that ends without reporting its job: the progress of
-    /// that job is unknown.
+    /// Handles the end of a connection. A job that the connection has not reported counts as reset, because
+    /// its progress is unknown; without this, its request would stay in flight until a timeout.
     pub(super) fn connection_closed(&mut self, now: Micros, connection: ConnectionId) {
         if let Some((endpoint, reason)) = self.pool.remove(connection) {
             self.record(Record::ConnectionClosed { connection, endpoint, reason });
@@ -85,22 +92,24 @@
         }
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the connections whose idle time has reached [`IDLE_EVICTION_PERCENT`] of the idle timeout.
     pub(super) fn evict_idle(&mut self, now: Micros) {
         self.timers.set(now + EVICTION_INTERVAL, TimerEvent::EvictIdle);
-        let keep_for = self.settings.idle_timeout * KEPT_PERCENT_OF_IDLE_TIMEOUT / 100;
-        let to_close = self.pool.evict_idle_since(now.saturating_sub(keep_for));
+        let max_idle_time = self.settings.idle_timeout * IDLE_EVICTION_PERCENT / 100;
+        let to_close = self.pool.evict_idle_since(now.saturating_sub(max_idle_time));
         self.close_connections(to_close, CloseReason::Idle);
     }
 
-    /// A connection was dropped by the network while it was idle: the others may have been as well.
+    /// Has idle connections verified before reuse for [`REVALIDATION_PERIOD`]. Called when a stale
+    /// connection is found: whatever dropped it while it was idle may have dropped other idle connections
+    /// as well.
     pub(super) fn require_revalidation(&mut self, now: Micros) {
         self.revalidate_until = now + REVALIDATION_PERIOD;
     }
 
-    /// Whether a connection must be verified before an attempt. Guards against one that was dropped by the
-    /// network while it was idle: the first bytes written to it are lost, and a write would count as one that
-    /// may have been executed.
+    /// Whether the connection must be verified before an attempt is written to it. The first bytes written
+    /// to a connection that the network dropped while it was idle are lost, and a write among them would
+    /// count as one that may have been executed.
     pub(super) fn must_verify(
         &self,
         now: Micros,
@@ -112,7 +121,8 @@
         now < self.revalidate_until || (idempotency == Idempotency::AtMostOnce && long_idle)
     }
 
-    /// Closes connections; each is reported once it is closed.
+    /// Closes connections for this reason. [`Input::ConnectionClosed`](super::Input::ConnectionClosed)
+    /// follows for each of them.
     fn close_connections(
         &mut self,
         connections: impl IntoIterator<Item = ConnectionId>,
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,16 +1,16 @@
-//! The counters that operators see.
+//! The counters that the admin listener publishes as metrics.
 
 use super::{FinalAnswer, RecordKind};
 use std::collections::BTreeMap;
 
-/// The final answers given to requests of one class.
+/// The number of requests of one class by their final answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
-    /// Requests that were served.
+    /// Requests that were answered with a member's response.
     pub served: u64,
-    /// Requests that were rejected.
+    /// Requests that were rejected with the statement that a retry is harmless.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Requests that failed, some of which a member may have executed.
     pub failed: u64,
 }
 
@@ -25,31 +25,31 @@
     }
 }
 
-/// The members in the endpoint list.
+/// The number of members in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Members in the list that are not removed.
+    /// Members that the list has not removed.
     pub listed: usize,
-    /// Those of them that get no requests at present.
+    /// The listed members that the router currently sends no requests.
     pub unavailable: usize,
 }
 
-/// The reducer's counters since the start, and its current state.
+/// The reducer's totals since the start of the proxy, and gauges of its current state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// The final answers, for each class by index.
+    /// The final answers of each class, by the index of the class.
     pub answers: Vec<AnswerCounts>,
     /// Requests of a known class that were received.
     pub received: u64,
-    /// Requests whose client disconnected before the answer.
+    /// Requests whose client disconnected or cancelled before the final answer.
     pub abandoned: u64,
-    /// Attempts that were written to members, up to their last byte.
+    /// Attempts whose last byte was written to a member.
     pub attempts_written: u64,
-    /// Requests that still wait for their final answer.
+    /// Requests that have no final answer yet.
     pub pending: usize,
-    /// The members.
+    /// The members, as the router sees them.
     pub members: MemberCounts,
-    /// The records of each kind, by their reason.
+    /// The number of records, by their kind and reason.
     pub records: BTreeMap<(RecordKind, &'static str), u64>,
     /// The revision of the endpoint list in use.
     pub list_revision: u64,
@@ -61,7 +61,7 @@
         Counters { answers: vec![AnswerCounts::default(); classes], ..Counters::default() }
     }
 
-    /// Counts a record.
+    /// Counts a record under its [`Record::key`](super::Record::key).
     pub fn count(&mut self, key: (RecordKind, &'static str)) {
         *self.records.entry(key).or_default() += 1;
     }
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -1,80 +1,84 @@
-//! Jobs in flight: the attempts and health checks that connections run, from their start to their result.
+//! The jobs in flight, which are the attempts and health checks that connections run: their start, their
+//! cancellation and their results.
 
 use super::connections::JobConnection;
 use super::timers::TimerEvent;
 use super::{ConnectionId, Core, Effect, JobId, JobResult, JobSpec, Record};
 use crate::{AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId, ResponseMetadata};
 
-/// A health check without an answer by then has failed.
+/// The time after which a health check without an answer has failed.
 const PROBE_TIMEOUT: Micros = 250_000;
 /// The shortest timeout of an attempt, however close the deadline of its request is.
 const MIN_ATTEMPT_TIMEOUT: Micros = 1_000;
-/// A reused connection that is reset this soon had been dropped by the network while it was idle.
+/// A reused connection that is reset within this time of the job's start counts as stale: the network
+/// dropped it while it was idle.
 const STALE_RESET_LIMIT: Micros = 10_000;
 
 /// What a job is for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum JobPurpose {
-    /// An attempt of a request, counted from 0.
+    /// An attempt of a request; `attempt` counts the request's attempts from 0.
     Attempt { request: RequestId, attempt: u32 },
-    /// A health check of the member.
+    /// A health check of the job's endpoint.
     Probe,
 }
 
 /// Why a job is cancelled.
 #[derive(Clone, Copy)]
 pub(super) enum CancelReason {
-    /// It has timed out.
+    /// The job has reached its timeout.
     TimedOut,
-    /// Its result is not needed any more, or it must not be started any more.
+    /// The result is not needed any more, or the job must not be started any more.
     NotNeeded,
 }
 
-/// A job that has been given to a connection and whose result is not known yet.
+/// A job that was given to a connection and has no result yet.
 pub(super) struct InFlightJob {
     pub connection: ConnectionId,
     pub endpoint: EndpointId,
     pub purpose: JobPurpose,
-    /// The connection was idle before, not new.
+    /// Whether the job runs on a connection that was idle in the pool, not on a new one.
     reused: bool,
     started_at: Micros,
-    /// Why it is being cancelled; set by the cancellation.
+    /// Set from the request to cancel the job until its result.
     cancel_reason: Option<CancelReason>,
 }
 
 impl InFlightJob {
-    /// Whether this is an attempt of the request.
+    /// Whether the job is an attempt of this request.
     pub fn serves(&self, id: RequestId) -> bool {
         matches!(self.purpose, JobPurpose::Attempt { request, .. } if request == id)
     }
 
-    /// Whether this is an attempt that is not being cancelled yet.
+    /// Whether the job is an attempt whose cancellation has not been requested.
     fn is_live_attempt(&self) -> bool {
         matches!(self.purpose, JobPurpose::Attempt { .. }) && self.cancel_reason.is_none()
     }
 }
 
-/// An attempt that the router requests.
+/// An attempt that the router requests with [`Action::Send`](crate::Action::Send).
 pub(super) struct AttemptOrder {
     pub request: RequestId,
     pub endpoint: EndpointId,
     pub timeout: Micros,
-    /// It must be started within this time, or not at all.
+    /// The attempt must start within this time, or not at all; [`Micros::MAX`] for no limit.
     pub start_within: Micros,
 }
 
 impl<W, A> Core<W, A> {
-    /// Starts an attempt. Returns the event that notifies the router if it could not be sent.
+    /// Starts an attempt. If that is not allowed or no connection is available, returns the event that
+    /// notifies the router.
     pub(super) fn start_attempt(&mut self, now: Micros, order: AttemptOrder) -> Option<Event> {
         let AttemptOrder { request, endpoint, .. } = order;
         let pending = self.requests.get_mut(&request)?;
         let attempt = pending.attempts;
         pending.attempts += 1;
-        // Guards against a second execution, whatever the router requests.
-        let made = attempt - pending.local_errors;
-        let allowed = made < self.settings.max_attempts && !pending.must_not_be_repeated();
+        // Enforced here as well, so that a fault of the router can't cause a second execution.
+        let counted_attempts = attempt - pending.local_errors;
+        let allowed = counted_attempts < self.settings.max_attempts && !pending.must_not_be_repeated();
         let timeout = order.timeout.min(pending.deadline.saturating_sub(now)).max(MIN_ATTEMPT_TIMEOUT);
-        // Guards against a retry that waits for its connection until its idempotency key has expired.
+        // A retry that waits for its connection must not start once members may have forgotten its
+        // idempotency key: they would execute it again.
         let start_within = order.start_within.min(pending.deduplication_time_left(now));
         let idempotency = pending.idempotency;
         let work = pending.work.clone();
@@ -94,7 +98,7 @@
         None
     }
 
-    /// Starts a health check. Returns the event that notifies the router if that is impossible.
+    /// Starts a health check. If no connection is available, returns the event that notifies the router.
     pub(super) fn start_probe(&mut self, now: Micros, endpoint: EndpointId) -> Option<Event> {
         let Some(connection) = self.check_out(endpoint) else {
             return Some(Event::ProbeNotSent(endpoint));
@@ -128,7 +132,7 @@
         job
     }
 
-    /// Cancels a job, whether it has been sent or not.
+    /// Cancels a job, whether it has been sent or not. A second cancellation has no effect.
     pub(super) fn cancel_job(&mut self, id: JobId, reason: CancelReason) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.cancel_reason.is_some() {
@@ -138,9 +142,9 @@
         self.effects.push(Effect::CancelJob { connection: job.connection, job: id });
     }
 
-    /// Cancels those of the selected attempts that have not been started. Guards against an attempt that
-    /// waits for its connection to be opened or verified, and starts after its client has disconnected or its
-    /// member has been listed as draining.
+    /// Cancels those of the selected attempts that have not been started. Without this, an attempt that
+    /// waits for its connection to be opened or verified could start after its client has disconnected or
+    /// its member has been listed as draining.
     pub(super) fn cancel_unsent(&mut self, selected: impl Fn(JobId, &InFlightJob) -> bool) {
         for (&id, job) in &self.jobs {
             if job.is_live_attempt() && selected(id, job) {
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Handles the cancellation of a job: its outcome depends on its progress.
+    /// Handles the reply to a cancellation. The job's outcome depends on whether it may have been sent.
     pub(super) fn job_cancelled(&mut self, now: Micros, id: JobId, maybe_sent: bool, reusable: bool) {
         let Some(job) = self.jobs.get(&id) else { return };
         let reason = job.cancel_reason.unwrap_or(CancelReason::NotNeeded);
@@ -157,7 +161,8 @@
             self.pool.mark_broken(job.connection);
         }
         let outcome = match reason {
-            // The connection hung before the job was sent: the member counts as unreachable.
+            // The connection was still being opened or verified at the timeout: the member counts as
+            // unreachable.
             CancelReason::TimedOut if !maybe_sent && !reusable => Outcome::ConnectFailed,
             _ if !maybe_sent => Outcome::NeverSent,
             CancelReason::TimedOut => Outcome::TimedOut,
@@ -166,7 +171,8 @@
         self.finish_job(now, id, JobResult::from_outcome(outcome));
     }
 
-    /// Handles the result of a job, which may arrive after a cancellation has ended the job.
+    /// Handles the result of a job. A result that was in transit when the job was cancelled is ignored,
+    /// because the cancellation has ended the job.
     pub(super) fn finish_job(&mut self, now: Micros, id: JobId, result: JobResult<A>) {
         let Some(job) = self.jobs.remove(&id) else { return };
         match job.purpose {
@@ -203,17 +209,18 @@
         {
             pending.local_errors += 1;
         }
-        // A response with `NeverSent` carries no evidence about the member: the statement itself is in error.
+        // `NeverSent` with a response: the member rejected the statement itself with an error. That says
+        // nothing about the member, and the error is the response for the client.
         if matches!(outcome, Outcome::Ok | Outcome::NeverSent)
             && let Some(answer) = answer
         {
             self.serve_request(request, answer);
         }
         let elapsed = now.saturating_sub(job.started_at);
-        // An attempt that was withdrawn since its request has ended is no failure.
+        // An attempt that was withdrawn because its request has ended is not a failure.
         let was_withdrawn = matches!(outcome, Outcome::NeverSent | Outcome::Cancelled);
-        let is_over = was_withdrawn && !self.requests.contains_key(&request);
-        if outcome != Outcome::Ok && !is_over {
+        let is_obsolete = was_withdrawn && !self.requests.contains_key(&request);
+        if outcome != Outcome::Ok && !is_obsolete {
             let (endpoint, list_revision) = (job.endpoint, self.list_revision);
             self.record(Record::AttemptFailed {
                 request,
@@ -254,6 +261,7 @@
     }
 }
 
+/// The event for an attempt that ended before anything was sent.
 fn never_sent(request: RequestId, attempt: u32, endpoint: EndpointId) -> Event {
     Event::AttemptEnded(AttemptResult {
         request,
