--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -161,8 +161,8 @@
             self.pool.mark_broken(job.connection);
         }
         let outcome = match reason {
-            // The connection was still being opened or verified at the timeout: the member counts as
-            // unreachable.
+            // The member did not answer what precedes the job, such as a liveness check, by the timeout: it
+            // counts as unreachable.
             CancelReason::TimedOut if !maybe_sent && !reusable => Outcome::ConnectFailed,
             _ if !maybe_sent => Outcome::NeverSent,
             CancelReason::TimedOut => Outcome::TimedOut,
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,7 +1,7 @@
 //! The types of the reducer: its inputs ([`Input`]) and the effects that it requests ([`Effect`]).
 //!
-//! `W` is the work that a request asks of a member and `A` is its response; the reducer passes both on
-//! without inspecting them.
+//! `W` is the work that a member does for a request, and `A` is the member's response. The reducer passes
+//! both on without inspecting them.
 
 pub use crate::endpoint_list::ListedMember;
 
@@ -15,46 +15,47 @@
 
 /// A request that has been read from a client.
 pub struct NewRequest<W> {
-    /// The properties that the router needs; `remaining` counts from now.
+    /// The properties that the router needs. `remaining` counts from the step that receives the request.
     pub request: Request,
-    /// The work that it asks of a member.
+    /// The work that a member does for the request, shared by all of its attempts.
     pub work: Arc<W>,
 }
 
-/// The kind of work that a connection does next.
+/// The work of a job.
 pub enum JobSpec<W> {
     /// Send an attempt and wait for its response.
     Attempt {
-        /// The request that it serves.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// The work to send.
         work: Arc<W>,
-        /// How long this proxy waits for the response, from the step that starts the attempt. The member is
-        /// told what is left of it when the attempt is written.
+        /// How long this proxy waits for the response, counted from the step that starts the attempt. The
+        /// member is sent the time that is left when the attempt is written.
         timeout: Micros,
-        /// The attempt must be started within this time from that step, or not at all.
+        /// The attempt must start within this time of the same step, or not at all; [`Micros::MAX`] for no
+        /// limit.
         start_within: Micros,
-        /// Verify first that the connection to the member is still alive.
+        /// Whether to verify that the connection is alive before the attempt is written to it.
         verify_connection: bool,
     },
-    /// Ask the member for its load report.
+    /// Request the member's load report, as a health check.
     Probe,
 }
 
 /// How a job ended.
 pub struct JobResult<A> {
-    /// The outcome, classified by the protocol's table.
+    /// The outcome, classified by the error code of the response or by the failure of the connection.
     pub outcome: Outcome,
-    /// What the response reports about the member.
+    /// The member's role and replication position, where the response reports them.
     pub metadata: ResponseMetadata,
-    /// The load report that came with the response.
+    /// The member's load report, where the response carries one.
     pub report: LoadReport,
-    /// The response for the client, if there is one.
+    /// The response for the client; `None` if the attempt yielded none, and for a health check.
     pub answer: Option<A>,
 }
 
 impl<A> JobResult<A> {
-    /// A result that carries only its outcome.
+    /// A result with this outcome and without a response.
     pub fn from_outcome(outcome: Outcome) -> Self {
         let metadata = ResponseMetadata::default();
         let report = LoadReport::default();
@@ -62,9 +63,9 @@
     }
 }
 
-/// Something that happened outside the reducer.
+/// An input of the reducer: something that happened outside of it.
 pub enum Input<W, A> {
-    /// The last byte of a request has been read.
+    /// A request has been read up to its last byte.
     RequestReceived(NewRequest<W>),
     /// The client of a request has disconnected or has cancelled the request.
     ClientDisconnected(RequestId),
@@ -72,67 +73,68 @@
     EndpointUpdate {
         /// The revision of the list with this update.
         revision: u64,
-        /// The members are the complete list: a member that is missing from it has been removed.
+        /// Whether `members` is the complete list, so that a member missing from it has been removed.
         complete: bool,
         /// The members that the update names.
         members: Vec<ListedMember>,
     },
     /// A job has ended.
     JobFinished {
-        /// The connection that did the job.
+        /// The connection that ran the job.
         connection: ConnectionId,
         /// The job.
         job: JobId,
-        /// How it ended.
+        /// The result.
         result: JobResult<A>,
-        /// The connection can be given another job.
+        /// Whether the connection can be given another job.
         reusable: bool,
     },
     /// The last byte of an attempt has been written to its member.
     AttemptWritten,
-    /// A connection whose job was cancelled before its start is open and idle.
+    /// A connection whose job was cancelled before its start can be given another job.
     ConnectionIdle(ConnectionId),
-    /// A check before reuse found that a connection to a member is dead; a new one is opened in
-    /// its place, under the same number.
+    /// The verification of an idle connection before reuse found it dead. The connection is opened again
+    /// under the same id.
     StaleConnectionFound,
-    /// A connection has been closed.
+    /// A connection has been closed, has broken or could not be opened.
     ConnectionClosed(ConnectionId),
-    /// The reply to an [`Effect::CancelJob`] or an [`Effect::CancelUnsentJob`].
+    /// The reply to an [`Effect::CancelJob`], or to an [`Effect::CancelUnsentJob`] that cancelled the job.
     JobCancelled {
         /// The job.
         job: JobId,
-        /// Its last byte may have been handed to the kernel.
+        /// Whether the last byte of the job may have been handed to the kernel.
         maybe_sent: bool,
-        /// The connection can be given another job.
+        /// Whether the connection can be given another job.
         reusable: bool,
     },
-    /// The proxy shuts down: every request must be answered before the deadline.
+    /// The proxy is shutting down: every request must be answered by the deadline.
     ShutdownRequested {
-        /// When the proxy shuts down.
+        /// When the proxy stops running.
         deadline: Micros,
     },
-    /// The time that [`Core::next_timer_at`](super::Core::next_timer_at) returned has been reached. To be
-    /// repeated while a timer is due.
+    /// The time that [`Core::next_timer_at`](super::Core::next_timer_at) returned has been reached. The
+    /// caller repeats this input while a timer is due, because one step may fire only some of them.
     TimerDue,
 }
 
-/// The final answer to a request.
+/// The final answer to a request, of which there is exactly one.
 pub enum FinalAnswer<A> {
-    /// The request was served.
+    /// The request was served with this response.
     Served(A),
-    /// The request was rejected: it has not been executed, and a retry is harmless.
+    /// The request was rejected, and a retry is harmless: it has not been executed, or its class allows
+    /// repeats.
     Rejected {
-        /// The retry delay advised to the client; 0 for no advice.
+        /// The retry delay advised to the client; 0 for none.
         retry_after: Micros,
     },
-    /// The request failed.
+    /// The request failed. `maybe_executed` tells whether a retry could execute it a second time.
     Failed {
-        /// A member may have executed it.
+        /// Whether a member may have executed the request.
         maybe_executed: bool,
     },
 }
 
-/// Something that the caller of the reducer must do.
+/// An effect that the reducer requests and that its caller carries out.
 pub enum Effect<W, A> {
     /// Open a connection.
     OpenConnection {
@@ -141,7 +143,7 @@
         /// The address of the member.
         address: SocketAddr,
     },
-    /// Give a connection its next job; a connection that is still being opened starts it afterwards.
+    /// Give a connection its next job. A new connection is opened before the job starts.
     StartJob {
         /// The connection.
         connection: ConnectionId,
@@ -150,39 +152,40 @@
         /// The work of the job.
         spec: JobSpec<W>,
     },
-    /// Cancel a job, and close its connection if the job may have been sent. The reply is an
-    /// [`Input::JobCancelled`], at once.
+    /// Cancel a job, and close its connection if that is in use for the job. While the caller carries out
+    /// this effect, it replies with an [`Input::JobCancelled`].
     CancelJob {
         /// The connection that runs the job.
         connection: ConnectionId,
         /// The job.
         job: JobId,
     },
-    /// Cancel a job if it has not been started. The reply is an [`Input::JobCancelled`], at once, if so.
+    /// Cancel a job if it has not been started. In this case the caller replies with an
+    /// [`Input::JobCancelled`] while it carries out this effect.
     CancelUnsentJob {
         /// The connection that the job was given to.
         connection: ConnectionId,
         /// The job.
         job: JobId,
     },
-    /// Close an idle connection.
+    /// Close a connection that runs no job.
     CloseConnection(ConnectionId),
-    /// Give a request its one final answer.
+    /// Give a request its final answer.
     Answer {
         /// The request.
         request: RequestId,
         /// The answer.
         answer: FinalAnswer<A>,
     },
-    /// Log that a member is avoided from now on.
+    /// Log that the router has ejected a member.
     EndpointEjected {
         /// The member.
         endpoint: EndpointId,
-        /// Its failures, in words.
+        /// The failures that caused the ejection, as text for the log.
         cause: String,
     },
     /// Write a line to the log.
     Log(String),
-    /// Report this to the log; it is counted already.
+    /// Write this record to the log. The reducer has already counted it.
     Record(Record),
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,9 @@
 //! The reducer: `(state, now, input) -> effects`.
 //!
 //! [`Core`] owns the [`Router`], the pending requests, the jobs in flight, the timers and the accounting of
-//! the connection pool. Its state changes in [`Core::step`] only. It handles requests, attempts and outcomes
-//! and knows no wire format: a request's work (`W`) and its response (`A`) pass through it uninspected.
+//! the connection pool. Its state changes only in [`Core::step`]. It deals with requests, attempts and their
+//! outcomes and is independent of the wire format: it passes on a request's work (`W`) and its response (`A`)
+//! without inspecting them.
 
 mod connections;
 mod counters;
@@ -31,7 +32,7 @@
 use std::collections::BTreeMap;
 use timers::{TimerEvent, Timers};
 
-/// All state that the proxy's decisions depend on, and the only place where it changes.
+/// The reducer: holds all state that the proxy's decisions depend on, and changes it in [`Core::step`].
 pub struct Core<W, A> {
     settings: Settings,
     router: Router,
@@ -40,19 +41,20 @@
     last_job: JobId,
     pool: Pool,
     timers: Timers,
-    /// When the proxy shuts down, once that is known.
+    /// When the proxy stops running; `None` until a shutdown is requested.
     shutdown_deadline: Option<Micros>,
-    /// Until then, every idle connection is verified before it is reused.
+    /// Until this time, every idle connection is verified before an attempt reuses it.
     revalidate_until: Micros,
     counters: Counters,
     /// The revision of the endpoint list in use.
     list_revision: u64,
-    /// The effects that the current step requests.
+    /// The effects that the current step has requested; empty between steps.
     effects: Vec<Effect<W, A>>,
 }
 
 impl<W, A> Core<W, A> {
-    /// A reducer that knows no member yet and opens at most `max_connections` connections to members.
+    /// Creates a reducer with an empty endpoint list, which opens at most `max_connections` connections to
+    /// members. `seed` seeds the router's random decisions.
     pub fn new(settings: Settings, seed: u64, now: Micros, max_connections: usize) -> Self {
         let mut timers = Timers::default();
         timers.set(now + EVICTION_INTERVAL, TimerEvent::EvictIdle);
@@ -72,17 +74,18 @@
         }
     }
 
-    /// When the next [`Input::TimerDue`] is expected.
+    /// The time at which the next [`Input::TimerDue`] is due; `None` if no timer is set.
     pub fn next_timer_at(&self) -> Option<Micros> {
         self.timers.next_due_at()
     }
 
-    /// How many requests still wait for their final answer.
+    /// The number of requests without a final answer.
     pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// The counters. They always add up: every request received is pending, answered or abandoned.
+    /// The current counters. Every request counted as received is also counted as pending, answered or
+    /// abandoned.
     pub fn counters(&self) -> Counters {
         let EndpointCounts { listed, avoided } = self.router.endpoint_counts();
         Counters {
@@ -121,15 +124,16 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Reports something to the log, and counts it.
+    /// Counts a record and requests that it is written to the log.
     fn record(&mut self, record: Record) {
         self.counters.count(record.key());
         self.effects.push(Effect::Record(record));
     }
 
-    /// Fires the timers that are due, up to one that requests an effect: the reply to the effect comes before
-    /// the next timer. Guards against a process that was paused: the deadline of a request must not count an
-    /// attempt whose cancellation has not been carried out yet.
+    /// Fires the timers that are due, up to and including the first one that requests an effect, so that the
+    /// reply to the effect arrives before the next timer fires. After a process pause, the timeout of an
+    /// attempt and the deadline of its request may be due together: at the deadline, an attempt whose
+    /// cancellation has not been carried out would count as one that may have been executed.
     fn fire_due_timers(&mut self, now: Micros) {
         while self.effects.is_empty()
             && let Some(event) = self.timers.pop_due(now)
@@ -137,7 +141,8 @@
             match event {
                 TimerEvent::Router(token) => self.notify_router(now, Event::TimerFired(token)),
                 TimerEvent::JobTimeout(job) => self.cancel_job(job, CancelReason::TimedOut),
-                // The state that the router based its choice on may have changed.
+                // The conditions under which the router chose the member may have changed, or the idempotency
+                // key of a retry is about to expire.
                 TimerEvent::StartLimit(job) => self.cancel_unsent(|id, _| id == job),
                 TimerEvent::RequestDeadline(request) => self.expire_request(now, request),
                 TimerEvent::EvictIdle => self.evict_idle(now),
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -1,5 +1,6 @@
 //! The accounting of the connection pool: the connections to each member, and which of them are idle.
-//! The sockets themselves belong to the event loop.
+//!
+//! The pool holds ids and no sockets; the sockets belong to the caller of the reducer.
 
 use super::{CloseReason, ListedMember};
 use crate::{EndpointId, EndpointState, Micros};
@@ -9,88 +10,92 @@
 /// The id of a connection to a member; ids are never reused.
 pub type ConnectionId = u64;
 
-/// A member that has been absent from the endpoint list for this long is dropped.
-const FORGET_GONE_AFTER: Micros = 30_000_000;
+/// How long the pool retains the entry of a member that the endpoint list has removed.
+const REMOVED_MEMBER_RETENTION: Micros = 30_000_000;
 
 struct Connection {
     endpoint: EndpointId,
     address: SocketAddr,
+    /// When the connection became idle; `None` while it is in use.
     idle_since: Option<Micros>,
-    /// It was closed in the middle of a job: it is not reused, whatever result the job still reports.
+    /// Set when the connection is closed in the middle of a job. The connection is not reused, even if a
+    /// result of the job arrives that reports it as reusable.
     broken: bool,
-    /// Why it is being closed, if it is.
+    /// Why the proxy closes the connection; `None` while it doesn't.
     closing: Option<CloseReason>,
 }
 
 /// The connections to one member.
 #[derive(Default)]
 struct MemberPool {
+    /// The address in the endpoint list.
     address: Option<SocketAddr>,
-    /// Idle connections in the order of their last use: the most recently used is last and is reused first.
+    /// Idle connections in the order of their last use. The most recently used is last and is reused first.
     idle: Vec<ConnectionId>,
-    /// Since when the member has been absent from the endpoint list.
-    gone_since: Option<Micros>,
+    /// When the endpoint list removed the member; `None` while it is listed.
+    removed_since: Option<Micros>,
 }
 
 /// The connections to all members, idle or in use.
 pub struct Pool {
+    /// The greatest number of connections, idle and in use.
     capacity: usize,
     last_id: ConnectionId,
     connections: BTreeMap<ConnectionId, Connection>,
     members: BTreeMap<EndpointId, MemberPool>,
-    /// The members that are absent from the endpoint list, in the order in which they left it.
-    gone: BTreeSet<(Micros, EndpointId)>,
+    /// The members that the endpoint list has removed, by the time of their removal.
+    removed_members: BTreeSet<(Micros, EndpointId)>,
 }
 
-/// An idle connection that was removed to free capacity.
+/// An idle connection that was removed from the pool to make room for a new one.
 pub struct EvictedConnection {
-    /// Its id.
+    /// The id of the connection.
     pub connection: ConnectionId,
-    /// Its member.
+    /// The member that it was connected to.
     pub endpoint: EndpointId,
 }
 
-/// The connection that a job is given.
+/// The result of checking out a connection for a job.
 pub enum Checkout {
     /// The most recently used idle connection.
     Reused {
-        /// Its id.
+        /// The id of the connection.
         connection: ConnectionId,
-        /// Since when it has been idle.
+        /// When the connection became idle.
         idle_since: Micros,
     },
-    /// A new connection, to be opened.
+    /// A new connection, which the caller opens.
     New {
-        /// Its id.
+        /// The id of the connection.
         connection: ConnectionId,
         /// The address of the member.
         address: SocketAddr,
-        /// An idle connection to another member, to be closed first to free capacity.
+        /// The idle connection that the caller closes first, if the pool was full.
         evicted: Option<EvictedConnection>,
     },
-    /// The member's address is unknown, or all connections are in use and the pool is full.
+    /// No connection: the member's address is unknown, or the pool is full and every connection is in use.
     Unavailable,
 }
 
-/// The state of a connection after its job has ended.
+/// The result of checking in a connection after its job.
 #[must_use]
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum CheckIn {
-    /// It is idle now, is idle already, or is closed already.
+    /// The connection is idle now or was before, or it has been closed.
     Done,
-    /// It cannot be used again and must be closed.
+    /// The connection can't be reused, and the caller closes it.
     Close,
 }
 
 impl Pool {
-    /// An empty pool of at most `capacity` connections.
+    /// Creates an empty pool of at most `capacity` connections.
     pub fn new(capacity: usize) -> Self {
         let (connections, members) = (BTreeMap::new(), BTreeMap::new());
-        Pool { capacity, last_id: 0, connections, members, gone: BTreeSet::new() }
+        Pool { capacity, last_id: 0, connections, members, removed_members: BTreeSet::new() }
     }
 
-    /// Applies an update of the endpoint list. Returns the idle connections to close: those to members that
-    /// have been removed, are draining or have moved to another address.
+    /// Applies an endpoint list update. Returns the idle connections to close: those to members that have
+    /// been removed, are draining or have a new address.
     pub fn apply_endpoint_update(
         &mut self,
         now: Micros,
@@ -111,11 +116,11 @@
         for (endpoint, state) in states {
             to_close.extend(self.apply_state(now, endpoint, state));
         }
-        self.forget_gone_members(now);
+        self.drop_removed_members(now);
         to_close
     }
 
-    /// Applies the state that the list gives a member. Returns its idle connections that can't be used then.
+    /// Applies a member's state in the endpoint list. Returns the idle connections that this makes unusable.
     fn apply_state(
         &mut self,
         now: Micros,
@@ -124,28 +129,30 @@
     ) -> impl Iterator<Item = ConnectionId> {
         let member = self.members.entry(endpoint).or_default();
         if state != EndpointState::Removed {
-            if let Some(since) = member.gone_since.take() {
-                self.gone.remove(&(since, endpoint));
+            if let Some(since) = member.removed_since.take() {
+                self.removed_members.remove(&(since, endpoint));
             }
-        } else if member.gone_since.is_none() {
-            member.gone_since = Some(now);
-            self.gone.insert((now, endpoint));
+        } else if member.removed_since.is_none() {
+            member.removed_since = Some(now);
+            self.removed_members.insert((now, endpoint));
         }
         member.remove_unusable(state != EndpointState::Ready, &self.connections).into_iter()
     }
 
-    /// Guards against growth without bound, as new members always get new ids. Removed members are kept for a
-    /// while because a list may be wrong.
-    fn forget_gone_members(&mut self, now: Micros) {
-        while let Some((since, endpoint)) = self.gone.first().copied()
-            && now >= since + FORGET_GONE_AFTER
+    /// Drops the entries of members that were removed [`REMOVED_MEMBER_RETENTION`] ago or earlier. Without
+    /// this, the pool would grow without bound, because new members always have new ids. Entries are not
+    /// dropped as soon as a list removes a member, because the list may be wrong.
+    fn drop_removed_members(&mut self, now: Micros) {
+        while let Some((since, endpoint)) = self.removed_members.first().copied()
+            && now >= since + REMOVED_MEMBER_RETENTION
         {
-            self.gone.pop_first();
+            self.removed_members.pop_first();
             self.members.remove(&endpoint);
         }
     }
 
-    /// Checks out the most recently used idle connection to a member, or a new one if there is capacity.
+    /// Checks out the most recently used idle connection to a member, or else a new one. In a full pool, a
+    /// new connection replaces the one that has been idle for longest.
     pub fn check_out(&mut self, endpoint: EndpointId) -> Checkout {
         let Some(member) = self.members.get_mut(&endpoint) else {
             return Checkout::Unavailable;
@@ -171,6 +178,7 @@
         Checkout::New { connection: self.last_id, address, evicted }
     }
 
+    /// Removes the connection that has been idle for longest, whichever its member.
     fn evict_longest_idle(&mut self) -> Option<EvictedConnection> {
         let idle = self.connections.iter().filter_map(|(id, c)| Some((c.idle_since?, *id, c.endpoint)));
         let (_, oldest, endpoint) = idle.min()?;
@@ -181,8 +189,8 @@
         Some(EvictedConnection { connection: oldest, endpoint })
     }
 
-    /// Checks in a connection whose job has ended. Guards against reuse of a connection whose member has
-    /// moved, or whose job ended just as it was closed.
+    /// Checks in a connection whose job has ended. A connection is not reused if its member has a new
+    /// address, or if it was closed while the result of its job was in transit.
     pub fn check_in(&mut self, connection_id: ConnectionId, now: Micros) -> CheckIn {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
             return CheckIn::Done;
@@ -203,21 +211,22 @@
         }
     }
 
-    /// A connection was closed in the middle of a job: it must not be reused.
+    /// Records that a connection was closed in the middle of a job, so that it is not reused.
     pub fn mark_broken(&mut self, connection: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&connection) {
             connection.broken = true;
         }
     }
 
-    /// A connection is being closed for this reason.
+    /// Records why the proxy closes a connection.
     pub fn mark_closing(&mut self, connection: ConnectionId, reason: CloseReason) {
         if let Some(connection) = self.connections.get_mut(&connection) {
             connection.closing = Some(reason);
         }
     }
 
-    /// Returns the connections to close because they have been idle since `limit` or longer.
+    /// Takes the connections that have been idle since `limit` or earlier out of use, and returns them for
+    /// the caller to close.
     pub fn evict_idle_since(&mut self, limit: Micros) -> Vec<ConnectionId> {
         let connections = &self.connections;
         let is_recent = |id: &ConnectionId| {
@@ -231,7 +240,8 @@
         to_close
     }
 
-    /// A connection has been closed. Returns its member and why it was closed, unless it is unknown.
+    /// Removes a connection that has been closed. Returns its member and the reason; `None` for an unknown
+    /// connection.
     pub fn remove(&mut self, connection: ConnectionId) -> Option<(EndpointId, CloseReason)> {
         let removed = self.connections.remove(&connection)?;
         if let Some(member) = self.members.get_mut(&removed.endpoint) {
@@ -247,7 +257,8 @@
         self.idle.retain(|idle| *idle != connection);
     }
 
-    /// Removes and returns the idle connections whose member is not in service.
+    /// Removes and returns the idle connections that can't be used: all of them if the member is out of
+    /// service, otherwise those to a former address.
     fn remove_unusable(
         &mut self,
         out_of_service: bool,
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -1,9 +1,9 @@
-//! What the log and the metrics report of requests and of connections to members.
+//! Records: the events that are both logged and counted by their reason.
 
 use super::ConnectionId;
 use crate::{EndpointId, GiveUpReason, Micros, Outcome, RequestId};
 
-/// Something for the log; each record is counted by its reason, too.
+/// An event of a request or of a connection to a member, which is logged and counted by its reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// An attempt ended without serving its request.
@@ -12,26 +12,26 @@
         request: RequestId,
         /// The attempt, counted from 0.
         attempt: u32,
-        /// The member that it was for.
+        /// The member that it was to be sent to.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// The time since it was decided.
+        /// The time from the step that started the attempt to its end.
         elapsed: Micros,
         /// The revision of the endpoint list in use.
         list_revision: u64,
     },
-    /// A request got a final answer without being served.
+    /// A request was rejected or failed.
     NotServed {
         /// The request.
         request: RequestId,
         /// The index of its class.
         class: usize,
-        /// The attempts made for it.
+        /// The number of attempts that the router requested for it, including those that were not sent.
         attempts: u32,
-        /// Why it was not served.
+        /// Why the request was not served.
         reason: GiveUpReason,
-        /// It was rejected: a retry is harmless. Otherwise it failed.
+        /// Whether the request was rejected, so that a retry is harmless. Otherwise it failed.
         rejected: bool,
         /// The revision of the endpoint list in use.
         list_revision: u64,
@@ -42,13 +42,13 @@
         connection: ConnectionId,
         /// The member.
         endpoint: EndpointId,
-        /// Why.
+        /// Why the connection was closed.
         reason: CloseReason,
     },
 }
 
 impl Record {
-    /// The kind and the reason that it is counted by.
+    /// The kind and the reason under which the record is counted.
     pub fn key(&self) -> (RecordKind, &'static str) {
         match self {
             Record::AttemptFailed { outcome, .. } => (RecordKind::AttemptFailed, outcome.name()),
@@ -58,24 +58,24 @@
     }
 }
 
-/// The kinds of records.
+/// The kind of a record, under which metrics count it. The server counts the kinds that have no [`Record`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordKind {
-    /// An attempt that served nothing.
+    /// An attempt ended without serving its request.
     AttemptFailed,
-    /// A request that was rejected or failed.
+    /// A request was rejected or failed.
     NotServed,
-    /// A connection to a member that was closed.
+    /// A connection to a member was closed.
     MemberConnectionClosed,
-    /// A connection of a client that was closed.
+    /// A connection of a client was closed.
     ClientConnectionClosed,
-    /// A call to discovery that ended.
+    /// A call to discovery ended.
     DiscoveryCallEnded,
     /// Discovery stopped answering, or answers again.
     DiscoveryStateChanged,
-    /// An endpoint list or an update of it that was applied.
+    /// An endpoint list, or an update of one, was applied.
     EndpointListApplied,
-    /// A member that the endpoint list added, changed or removed.
+    /// An endpoint list update added, changed or removed a member.
     EndpointChanged,
 }
 
@@ -98,17 +98,18 @@
 /// Why a connection to a member was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It was idle for nearly as long as members keep idle connections.
+    /// The connection was idle for most of the idle timeout after which members close connections.
     Idle,
-    /// The endpoint list took its member out of service, or moved it to another address.
+    /// The endpoint list took the member out of service or gave it a new address.
     EndpointListChange,
-    /// Another connection needed its place.
+    /// The pool was full and a new connection was needed; this one had been idle for longest.
     Capacity,
-    /// Its job ended after the connection had become unusable.
+    /// A job ended on a connection that must not be reused: its member has a new address or has been dropped,
+    /// or the connection was closed while the result was in transit.
     Unusable,
-    /// Its job was cancelled or timed out after it may have been sent.
+    /// The job on the connection was cancelled or timed out when the connection was already in use for it.
     JobCancelled,
-    /// It broke, could not be opened, or got a reply that ends it.
+    /// The connection broke, could not be opened, or received a reply after which it can't be used.
     Broken,
 }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,16 +1,16 @@
-//! Pending requests: admission, deadlines, and the one final answer that each of them gets.
+//! Pending requests: their admission, their deadlines, and the final answer that each of them gets exactly
+//! once.
 
 use super::timers::TimerEvent;
 use super::{Core, Effect, FinalAnswer, NewRequest, Record};
 use crate::{Event, GiveUpReason, Idempotency, Micros, RequestId, process_pause_margin};
 use std::sync::Arc;
 
-/// Answers are given this long before the client's deadline, so that they arrive in time.
+/// The proxy answers a request this long before the client's deadline, so that the answer arrives in time.
 const ANSWER_MARGIN: Micros = 5_000;
-/// A request that has any time left is admitted with at least this much.
+/// The least remaining time with which a request is admitted; a request with less time left gets this much.
 const MIN_REMAINING: Micros = 1_000;
-/// The router answers requests at their deadline. The reducer does so itself this much later if the router
-/// has not.
+/// How long after a request's deadline the reducer answers it, if the router has not done so at the deadline.
 const DEADLINE_GRACE: Micros = 3_000;
 
 /// A request without a final answer yet.
@@ -18,29 +18,31 @@
     pub class: usize,
     pub work: Arc<W>,
     pub deadline: Micros,
-    /// The attempts that the router has requested, including those that were not sent.
+    /// The number of attempts that the router has requested, including those that were not sent.
     pub attempts: u32,
-    /// Those of them that this machine could not make: they do not count towards the limit.
+    /// The number of those attempts that failed because this machine lacked a resource. They do not count
+    /// towards the limit of attempts.
     pub local_errors: u32,
     pub idempotency: Idempotency,
-    /// When the first attempt that the member may have executed was sent.
+    /// When the first attempt that a member may have executed was started; `None` if there was none.
     pub first_maybe_executed_at: Option<Micros>,
 }
 
 impl<W> PendingRequest<W> {
-    /// An attempt that was sent at this time may have been executed.
+    /// Records that an attempt started at this time may have been executed.
     pub fn mark_maybe_executed(&mut self, sent_at: Micros) {
         let earliest = self.first_maybe_executed_at.map_or(sent_at, |first| first.min(sent_at));
         self.first_maybe_executed_at = Some(earliest);
     }
 
-    /// Whether another attempt could take effect a second time, which the request's class rules out.
+    /// Whether a further attempt could execute the request a second time although its class forbids that.
     pub fn must_not_be_repeated(&self) -> bool {
         self.idempotency == Idempotency::AtMostOnce && self.first_maybe_executed_at.is_some()
     }
 
-    /// How long a repeat may still be begun so that members recognize it by its idempotency key, though this
-    /// proxy is paused before it writes; [`Micros::MAX`] where no key is needed.
+    /// The time within which a retry must start so that members still recognize its idempotency key. Leaves a
+    /// margin for a pause of this process between the decision and the write. [`Micros::MAX`] if no attempt
+    /// may have been executed yet, or if the class uses no key.
     pub fn deduplication_time_left(&self, now: Micros) -> Micros {
         match (self.idempotency, self.first_maybe_executed_at) {
             (Idempotency::Keyed { window, .. }, Some(first)) => {
@@ -68,7 +70,7 @@
         }
         let client_limit = request.remaining.saturating_sub(ANSWER_MARGIN);
         request.remaining = client_limit.min(self.time_until_shutdown(now));
-        // A pipelined request may have waited for earlier commands until its deadline had passed.
+        // A pipelined request waits for the commands before it, possibly until its deadline has passed.
         if request.remaining == 0 {
             let answer = FinalAnswer::Rejected { retry_after: 0 };
             return self.answer_unserved(id, request.class, 0, answer, GiveUpReason::NoTimeLeft);
@@ -89,7 +91,7 @@
         self.notify_router(now, Event::Request(request));
     }
 
-    /// The client has disconnected: no answer is required any more.
+    /// Drops a request whose client has disconnected or has cancelled it: no answer is required any more.
     pub(super) fn abandon_request(&mut self, now: Micros, id: RequestId) {
         if self.requests.remove(&id).is_none() {
             return;
@@ -98,8 +100,8 @@
         self.release_request(now, id);
     }
 
-    /// Answers a request at its deadline. Guards against a request that the router still holds then: the
-    /// client must get its answer.
+    /// Answers a request that is still pending at its deadline, so that the client gets an answer even if the
+    /// router has not given one.
     pub(super) fn expire_request(&mut self, now: Micros, id: RequestId) {
         let Some(pending) = self.requests.remove(&id) else { return };
         let in_flight = self.jobs.values().any(|job| job.serves(id));
@@ -114,7 +116,7 @@
         self.release_request(now, id);
     }
 
-    /// Cancels the attempts of a request that is no longer pending.
+    /// Notifies the router that a request is no longer pending, and cancels its unsent attempts.
     fn release_request(&mut self, now: Micros, id: RequestId) {
         self.notify_router(now, Event::ClientDisconnected(id));
         self.cancel_unsent(|_, job| job.serves(id));
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Rejects a request on behalf of the router.
+    /// Rejects a pending request, as the router has decided.
     pub(super) fn reject_request(&mut self, id: RequestId, retry_after: Micros, reason: GiveUpReason) {
         if let Some(pending) = self.requests.remove(&id) {
             let answer = FinalAnswer::Rejected { retry_after };
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Fails a request on behalf of the router.
+    /// Fails a pending request, as the router has decided.
     pub(super) fn fail_request(&mut self, id: RequestId, reason: GiveUpReason) {
         if let Some(pending) = self.requests.remove(&id) {
             let maybe_executed = pending.first_maybe_executed_at.is_some();
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Gives a final answer to a request that is not served, and reports why.
+    /// Answers a request that is not served, and records the reason.
     fn answer_unserved(
         &mut self,
         request: RequestId,
@@ -159,7 +161,8 @@
         self.answer(request, class, answer);
     }
 
-    /// The one place where a final answer is given and counted. An unknown class has no counters.
+    /// Gives and counts a final answer. All final answers pass through this method. Answers to requests of an
+    /// unknown class are not counted.
     fn answer(&mut self, request: RequestId, class: usize, answer: FinalAnswer<A>) {
         if let Some(counts) = self.counters.answers.get_mut(class) {
             counts.count(&answer);
--- a/src/core/routing.rs
+++ b/src/core/routing.rs
@@ -1,4 +1,5 @@
-//! The exchange with the [`Router`](crate::Router): events to it, and the actions that it requests.
+//! The interface to the [`Router`](crate::Router): passes events to it and carries out the actions that it
+//! requests.
 
 use super::jobs::{AttemptOrder, CancelReason, JobPurpose};
 use super::timers::TimerEvent;
@@ -7,8 +8,8 @@
 use std::collections::VecDeque;
 
 impl<W, A> Core<W, A> {
-    /// Notifies the router of an event and carries out the requested actions. An action that fails at once is
-    /// reported as another event.
+    /// Passes an event to the router and carries out the actions that it requests. An action that can't be
+    /// started is reported to the router as another event, in the same step.
     pub(super) fn notify_router(&mut self, now: Micros, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Carries out one action. Returns the event that notifies the router of an immediate failure.
+    /// Carries out one action. If it can't be started, returns the event that notifies the router.
     fn perform(&mut self, now: Micros, action: Action) -> Option<Event> {
         match action {
             Action::Send { request, endpoint, timeout, start_within } => {
@@ -40,7 +41,7 @@
                 }
             }
             Action::SetTimer { token, after } => self.timers.set(now + after, TimerEvent::Router(token)),
-            // The endpoint list is always watched.
+            // The server watches the endpoint list without a subscription by the router.
             Action::Subscribe => {}
             Action::EndpointEjected { endpoint, cause } => {
                 self.effects.push(Effect::EndpointEjected { endpoint, cause });
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 
 impl<W, A> Core<W, A> {
-    /// Brings the deadlines of all pending requests forward to the exit of the proxy.
+    /// Records the deadline of the shutdown, and brings later deadlines of pending requests forward to it.
     pub(super) fn begin_shutdown(&mut self, deadline: Micros) {
         self.shutdown_deadline = Some(deadline);
         for (id, pending) in &mut self.requests {
@@ -16,7 +16,7 @@
         }
     }
 
-    /// How long the proxy keeps running; [`Micros::MAX`] while no shutdown has been requested.
+    /// The time until the proxy stops running; [`Micros::MAX`] if no shutdown has been requested.
     pub(super) fn time_until_shutdown(&self, now: Micros) -> Micros {
         match self.shutdown_deadline {
             Some(deadline) => deadline.saturating_sub(now),
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,21 +1,22 @@
-//! Timers in order of their due time; timers that are due at the same time fire in the order they were set.
+//! The reducer's timers. They fire in the order of their due times, and timers with the same due time in the
+//! order in which they were set.
 
 use super::JobId;
 use crate::{Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// What happens when a timer fires.
+/// The event that a timer triggers.
 #[derive(Clone, Copy)]
 pub enum TimerEvent {
-    /// The router requested a call back with this token.
+    /// The timer that the router set with this token.
     Router(u32),
-    /// The job has timed out.
+    /// The timeout of a job.
     JobTimeout(JobId),
-    /// The attempt may no longer be started.
+    /// The time limit for the start of an attempt: if it has not started, it is cancelled.
     StartLimit(JobId),
-    /// The deadline by which the request must have been answered.
+    /// The deadline of a request, which is answered now if it still is pending.
     RequestDeadline(RequestId),
-    /// Connections that have been idle for too long are closed.
+    /// The next search for connections that have been idle for too long.
     EvictIdle,
 }
 
@@ -33,19 +34,19 @@
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer. Timers are never cancelled: the handling of an event checks that it still applies.
     pub fn set(&mut self, due_at: Micros, event: TimerEvent) {
         self.last_sequence += 1;
         let key = TimerKey { due_at, sequence: self.last_sequence };
         self.pending.insert(key, event);
     }
 
-    /// When the next timer is due.
+    /// The due time of the next timer; `None` if no timer is set.
     pub fn next_due_at(&self) -> Option<Micros> {
         self.pending.keys().next().map(|key| key.due_at)
     }
 
-    /// Removes the first timer if it is due.
+    /// Removes the first timer and returns its event, if the timer is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<TimerEvent> {
         let first = self.pending.first_entry()?;
         if first.key().due_at > now {
