--- a/src/core/pool/tests.rs
+++ b/src/core/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the pool.
+//! Tests of how the pool applies endpoint list updates.
 
 use super::*;
 use crate::EndpointEntry;
@@ -17,20 +17,20 @@
     ListedMember { entry, address: SocketAddr::from(([127, 0, 0, 1], number)) }
 }
 
-/// Whether a connection to this member can be had.
+/// Whether the pool offers a connection to this member.
 fn is_known(pool: &mut Pool, number: u64) -> bool {
     !matches!(pool.check_out(EndpointId(number)), Checkout::Unavailable)
 }
 
 #[test]
-fn a_member_that_is_gone_is_dropped_by_a_later_update_unless_it_came_back() {
+fn removed_member_is_dropped_after_the_retention_unless_it_is_listed_again() {
     let mut pool = Pool::new(16);
     let serving: Vec<_> = (1..=3).map(|number| listed(number, EndpointState::Ready)).collect();
     assert!(pool.apply_endpoint_update(0, true, &serving).is_empty());
     pool.apply_endpoint_update(SECOND, false, &[listed(1, EndpointState::Removed)]);
     pool.apply_endpoint_update(2 * SECOND, true, &serving[2..]);
     pool.apply_endpoint_update(20 * SECOND, false, &serving[1..2]);
-    assert!(is_known(&mut pool, 1), "the list may be wrong");
+    assert!(is_known(&mut pool, 1), "a removed member is retained for 30 s, because the list may be wrong");
     pool.apply_endpoint_update(31 * SECOND, false, &[]);
     assert_eq!([1, 2, 3].map(|number| is_known(&mut pool, number)), [false, true, true]);
     pool.apply_endpoint_update(40 * SECOND, false, &serving[..1]);
@@ -39,12 +39,14 @@
 }
 
 #[test]
-fn an_update_closes_the_idle_connections_of_the_members_that_it_takes_out_of_service() {
+fn update_closes_the_idle_connections_to_members_that_it_takes_out_of_service() {
     let mut pool = Pool::new(16);
     let serving: Vec<_> = (1..=3).map(|number| listed(number, EndpointState::Ready)).collect();
     pool.apply_endpoint_update(0, true, &serving);
     for member in 1..=3 {
-        let Checkout::New { connection, .. } = pool.check_out(EndpointId(member)) else { panic!("no room") };
+        let Checkout::New { connection, .. } = pool.check_out(EndpointId(member)) else {
+            panic!("no new connection")
+        };
         assert!(pool.check_in(connection, SECOND) == CheckIn::Done);
     }
     assert_eq!(pool.apply_endpoint_update(SECOND, false, &[listed(2, EndpointState::Draining)]), [2]);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! Races that depend only on the order of the inputs: each is stepped through the reducer by hand.
+//! Tests of races between inputs: each test passes inputs to the reducer in the order that makes the race.
 
 use super::*;
 use crate::{
@@ -17,9 +17,9 @@
 const KEYED_WRITE: usize = 1;
 const AT_MOST_ONCE_WRITE: usize = 2;
 
-/// How far behind a bounded read may be.
+/// The greatest age of the data that a bounded read may return.
 const STALENESS_BOUND: Micros = 200 * MS;
-/// How long members recognize the key of a keyed write.
+/// How long members recognize the idempotency key of a keyed write.
 const KEY_WINDOW: Micros = 300 * MS;
 
 type TestCore = Core<(), ()>;
@@ -48,8 +48,8 @@
     ListedMember { entry, address: SocketAddr::from(([127, 0, 0, 1], number)) }
 }
 
-/// A reducer with two members, of which the first is hinted to be the primary. `cancel` sets whether the
-/// router may cancel attempts.
+/// A reducer whose endpoint list has two members; a hint says that the first is the primary. `cancel` sets
+/// whether the router may cancel attempts.
 fn core(cancel: bool) -> TestCore {
     let keyed = Idempotency::Keyed { across_groups: true, window: KEY_WINDOW };
     let settings = Settings {
@@ -74,7 +74,7 @@
     core.step(now, Input::RequestReceived(NewRequest { request, work: Arc::new(()) }))
 }
 
-/// The attempt that some effects start.
+/// An attempt that an effect starts.
 struct StartedAttempt {
     connection: ConnectionId,
     job: JobId,
@@ -82,7 +82,7 @@
 }
 
 impl StartedAttempt {
-    /// The only attempt that is started among the effects.
+    /// The attempt that the effects start; panics unless there is exactly one.
     fn only_one_in(effects: &Effects) -> Self {
         let mut attempts = effects.iter().filter_map(|effect| match effect {
             Effect::StartJob { connection, job, spec: JobSpec::Attempt { start_within, .. } } => {
@@ -90,12 +90,12 @@
             }
             _ => None,
         });
-        let first = attempts.next().expect("an attempt");
+        let first = attempts.next().expect("the effects start no attempt");
         assert!(attempts.next().is_none());
         first
     }
 
-    /// The input that reports its end; the connection stays open.
+    /// The input that reports the end of the attempt, with a connection that can be reused.
     fn finished(&self, outcome: Outcome, role: Role, position: Micros) -> Input<(), ()> {
         let metadata = ResponseMetadata { role: Some(role), position: Some(position) };
         let answer = (outcome == Outcome::Ok).then_some(());
@@ -103,7 +103,7 @@
         Input::JobFinished { connection: self.connection, job: self.job, result, reusable: true }
     }
 
-    /// The input that reports its cancellation before it was sent; the connection stays open.
+    /// The input that reports the cancellation of the unsent attempt, with a connection that can be reused.
     fn cancelled_unsent(&self) -> Input<(), ()> {
         Input::JobCancelled { job: self.job, maybe_sent: false, reusable: true }
     }
@@ -114,7 +114,7 @@
     StartedAttempt::only_one_in(&receive_request(core, now, id, class))
 }
 
-/// The jobs that are cancelled if they have not been started.
+/// The jobs that the effects cancel if they have not been started.
 fn unsent_cancellations(effects: &Effects) -> Vec<JobId> {
     let cancellation = |effect: &Effect<(), ()>| match effect {
         Effect::CancelUnsentJob { job, .. } => Some(*job),
@@ -133,7 +133,7 @@
     let attempt = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
     let effects = core.step(START + MS, Input::ClientDisconnected(1));
     assert_eq!(unsent_cancellations(&effects), [attempt.job]);
-    // The reply to the cancellation ends the attempt; no answer is required, and nothing follows.
+    // The reply to the cancellation ends the attempt. There is no client to answer, so no effect follows.
     let effects = core.step(START + MS, attempt.cancelled_unsent());
     assert!(effects.is_empty());
 }
@@ -154,30 +154,36 @@
         assert_eq!(unsent_cancellations(&effects), [second.job]);
         let effects = core.step(START + 3 * MS, second.cancelled_unsent());
         let answered = effects.iter().any(|effect| matches!(effect, Effect::Answer { .. }));
-        assert!(!answered, "the request goes on; complete update: {complete}");
+        assert!(!answered, "the request must stay pending; complete update: {complete}");
     }
 }
 
 #[test]
 fn bounded_read_must_start_while_the_replica_is_fresh_enough_and_is_cancelled_afterwards() {
     let mut core = core(true);
-    // The first attempt reaches a replica whose data is 100 ms old, the second one the primary.
+    // Makes the roles known: the first attempt reaches a replica whose data is 100 ms old, the second one the
+    // primary.
     let first = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
     let effects = core.step(START, first.finished(Outcome::NotServable, Role::Replica, START - 100 * MS));
     let second = StartedAttempt::only_one_in(&effects);
     core.step(START + MS, second.finished(Outcome::Ok, Role::Primary, START));
 
     let read = start_request(&mut core, START + 10 * MS, 2, BOUNDED_READ);
-    assert_eq!(read.start_within, 40 * MS, "the bound of 200 ms less a quarter and an age of 110 ms by now");
+    assert_eq!(
+        read.start_within,
+        40 * MS,
+        "bound of 200 ms less a margin of 50 ms and the data's age of 110 ms"
+    );
     let effects = core.step(START + 49 * MS, Input::TimerDue);
     assert!(unsent_cancellations(&effects).is_empty());
     let effects = core.step(START + 51 * MS, Input::TimerDue);
     assert_eq!(unsent_cancellations(&effects), [read.job]);
 }
 
-/// Guards against a proxy whose clock was an hour behind when it started: positions ahead of it were dropped.
+/// The positions of the members are an hour ahead of the proxy's clock. If the proxy dropped positions in the
+/// future of its clock, it would consider every replica too stale for bounded reads.
 #[test]
-fn bounded_read_goes_to_a_fresh_replica_though_the_proxys_clock_is_an_hour_behind() {
+fn bounded_read_goes_to_a_fresh_replica_even_if_the_proxys_clock_is_an_hour_behind() {
     const HOUR: Micros = 3_600_000 * MS;
     let mut core = core(true);
     let first = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
@@ -200,7 +206,7 @@
     assert_eq!(
         retry.start_within,
         125 * MS,
-        "the window of 300 ms less a quarter and the 100 ms that have passed"
+        "window of 300 ms less a margin of 75 ms and the 100 ms since the first attempt"
     );
 }
 
@@ -208,18 +214,21 @@
 fn connection_closed_just_as_its_job_finished_is_not_reused() {
     let mut core = core(true);
     let attempt = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
-    // The attempt times out while its result is in transit, which reports that the connection is reusable.
+    // The attempt times out while its result, which reports the connection as reusable, is in transit.
     let now = START + 2000 * MS;
     let effects = core.step(now, Input::TimerDue);
     assert!(effects.iter().any(|effect| matches!(effect, Effect::CancelJob { .. })));
     core.step(now, Input::JobCancelled { job: attempt.job, maybe_sent: true, reusable: false });
     let effects = core.step(now, attempt.finished(Outcome::Ok, Role::Primary, START));
-    assert!(closes(&effects, attempt.connection), "it is closed for good");
+    assert!(
+        closes(&effects, attempt.connection),
+        "the connection must be closed although the result reports it as reusable"
+    );
     core.step(now, Input::ConnectionClosed(attempt.connection));
 
     let effects = receive_request(&mut core, START + 2001 * MS, 2, AT_MOST_ONCE_WRITE);
     let opens_connection = effects.iter().any(|effect| matches!(effect, Effect::OpenConnection { .. }));
-    assert!(opens_connection, "the next request opens its own connection");
+    assert!(opens_connection, "the next request must open a new connection");
     assert_ne!(StartedAttempt::only_one_in(&effects).connection, attempt.connection);
 }
 
