--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as sent by discovery, given in the configuration and kept in the store.
+//! The endpoint list: its form in discovery, the configuration and the store, and its conversion to the
+//! core's form.
 
 use crate::clock::from_unix_ms;
 use crate::stable_hash::stable_hash;
@@ -7,7 +8,7 @@
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// State of an entry in a partial list that removes the endpoint.
+/// State of an entry in a partial list that removes its endpoint from the complete list.
 const STATE_DELETED: &str = "DELETED";
 /// State of an endpoint that accepts requests.
 const STATE_SERVING: &str = "SERVING";
@@ -15,26 +16,27 @@
 const STATE_DRAINING: &str = "DRAINING";
 /// Value of `recovery` for a primary.
 const RECOVERY_OFF: &str = "off";
-/// Endpoint ids have 48 bits.
+/// Limits endpoint ids to 48 bits.
 const ENDPOINT_ID_MASK: u64 = 0xffff_ffff_ffff;
-/// A placeholder for the unreadable address of an endpoint that was removed; never connected to.
+/// Stands for the unreadable address of a removed endpoint. No connection is opened to it.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A list of endpoints: complete, or only the entries that have changed.
+/// A list of endpoints: either the complete list, or an update with only the entries that have changed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct EndpointList {
     /// The revision; discovery raises it with every change.
     #[serde(default, rename = "rev")]
     pub revision: u64,
-    /// Whether the list is complete; otherwise it contains changes.
+    /// Whether the list is complete; otherwise it holds only changed entries.
     #[serde(default, rename = "all")]
     pub complete: bool,
-    /// The entries.
+    /// The entries; in an update, also entries that remove their endpoint.
     #[serde(default, rename = "targets")]
     pub endpoints: Vec<EndpointRecord>,
-    /// The place of each entry by its `uid`, from the first change on.
+    /// The index of each entry by its `uid`. Built by [`EndpointList::index_entries`] before the first
+    /// change.
     #[serde(skip)]
-    places: HashMap<String, usize>,
+    index_by_uid: HashMap<String, usize>,
 }
 
 /// An entry of an [`EndpointList`].
@@ -52,16 +54,17 @@
     recovery: String,
 }
 
-/// A member in the core's form.
+/// An entry of the endpoint list in the core's form.
 pub struct ListedMember {
-    /// Its entry.
+    /// The entry, as the router receives it.
     pub entry: EndpointEntry,
-    /// The address on which it accepts connections.
+    /// The address on which the member accepts connections.
     pub address: SocketAddr,
 }
 
 impl EndpointList {
-    /// Applies an update: a complete list replaces this one, changes replace their entries.
+    /// Applies an update to this complete list. A complete update replaces the list; a partial one replaces,
+    /// adds or removes the entries that it holds.
     pub fn merge(&mut self, update: EndpointList) {
         if update.complete {
             *self = update;
@@ -73,68 +76,72 @@
             if changed.state == STATE_DELETED {
                 self.remove(&changed.uid);
             } else {
-                self.put(changed);
+                self.upsert(changed);
             }
         }
     }
 
-    /// The same entries as a complete list.
+    /// Returns the list with the same entries, marked as complete.
     pub fn into_complete(mut self) -> EndpointList {
         self.complete = true;
         self
     }
 
-    /// One update that has the effect of this one and then another.
+    /// Combines two updates into one with the same effect as this update followed by the other.
     pub fn followed_by(mut self, update: EndpointList) -> EndpointList {
         if self.complete || update.complete {
             self.merge(update);
             return self;
         }
         self.revision = update.revision;
-        // Entries that remove an endpoint stay: the list to which the changes are applied has it still.
+        // Unlike `merge`, this retains entries that remove an endpoint, because the list to which the
+        // combined update is applied still contains that endpoint.
         self.index_entries();
-        update.endpoints.into_iter().for_each(|changed| self.put(changed));
+        update.endpoints.into_iter().for_each(|changed| self.upsert(changed));
         self
     }
 
-    /// Finds the place of each entry, if that is not known.
+    /// Builds the index by `uid` if it does not cover the entries. Of entries with the same `uid`, the last
+    /// one remains.
     fn index_entries(&mut self) {
-        if self.places.len() != self.endpoints.len() {
-            self.places.clear();
-            std::mem::take(&mut self.endpoints).into_iter().for_each(|endpoint| self.put(endpoint));
+        if self.index_by_uid.len() != self.endpoints.len() {
+            self.index_by_uid.clear();
+            std::mem::take(&mut self.endpoints).into_iter().for_each(|endpoint| self.upsert(endpoint));
         }
     }
 
-    fn put(&mut self, endpoint: EndpointRecord) {
-        if let Some(place) = self.places.get(&endpoint.uid) {
-            self.endpoints[*place] = endpoint;
+    /// Replaces the entry with this `uid`, or adds it.
+    fn upsert(&mut self, endpoint: EndpointRecord) {
+        if let Some(index) = self.index_by_uid.get(&endpoint.uid) {
+            self.endpoints[*index] = endpoint;
         } else {
-            self.places.insert(endpoint.uid.clone(), self.endpoints.len());
+            self.index_by_uid.insert(endpoint.uid.clone(), self.endpoints.len());
             self.endpoints.push(endpoint);
         }
     }
 
     fn remove(&mut self, uid: &str) {
-        let Some(place) = self.places.remove(uid) else { return };
-        self.endpoints.swap_remove(place);
-        if let Some(moved) = self.endpoints.get(place) {
-            self.places.insert(moved.uid.clone(), place);
+        let Some(index) = self.index_by_uid.remove(uid) else { return };
+        self.endpoints.swap_remove(index);
+        if let Some(moved) = self.endpoints.get(index) {
+            self.index_by_uid.insert(moved.uid.clone(), index);
         }
     }
 
-    /// The entries in the core's form. Entries whose address can't be parsed are left out.
+    /// The entries in the core's form. Entries whose address can't be parsed are left out, unless they remove
+    /// their endpoint.
     pub fn members(&self) -> Vec<ListedMember> {
         self.endpoints.iter().filter_map(EndpointRecord::member).collect()
     }
 }
 
 impl EndpointRecord {
-    /// The name of the endpoint.
+    /// The endpoint's unique name, as discovery assigns it.
     pub fn uid(&self) -> &str {
         &self.uid
     }
 
-    /// The id of the endpoint.
+    /// The endpoint's id in the core, derived from its `uid`.
     pub fn id(&self) -> EndpointId {
         endpoint_id(&self.uid)
     }
@@ -157,7 +164,7 @@
         Some(ListedMember { entry, address })
     }
 
-    /// The state that the entry gives its endpoint.
+    /// The state that the entry gives its endpoint. An unknown state counts as removed.
     pub fn listed_state(&self) -> EndpointState {
         match self.state.as_str() {
             STATE_SERVING => EndpointState::Ready,
@@ -167,7 +174,7 @@
     }
 }
 
-/// The id of the endpoint with this `uid`: the same at every proxy and after every restart.
+/// The id of the endpoint with this `uid`. It is the same in every proxy and after every restart.
 fn endpoint_id(uid: &str) -> EndpointId {
     EndpointId(stable_hash(uid.as_bytes()) & ENDPOINT_ID_MASK)
 }
--- a/src/endpoint_list/tests.rs
+++ b/src/endpoint_list/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn changes_reach_their_entry_wherever_others_have_been_removed() {
+fn changes_apply_to_the_right_entry_after_other_entries_have_been_removed() {
     let states = |list: &EndpointList| {
         let described = list.endpoints.iter().map(|e| format!("{} {}", e.uid, e.state));
         described.collect::<std::collections::BTreeSet<_>>().into_iter().collect::<Vec<_>>()
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn only_endpoints_that_are_gone_may_lack_an_address() {
+fn only_removed_endpoints_may_have_an_unreadable_address() {
     let listed = list(
         r#"{"targets":[{"uid":"a","endpoint":"?","state":"SERVING"},
             {"uid":"b","endpoint":"?","state":"DELETED"}]}"#,
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,32 +1,33 @@
-//! A request for a member and the member's response: plain data that the fronts, the core and
-//! the member connections share.
+//! The requests to members and their responses. Fronts create the requests, the core passes both on without
+//! inspecting them, and member connections carry the requests out.
 
 use crate::Micros;
 use crate::extended::ExtendedBatch;
 use std::ops::Range;
 
-/// The work that a request asks of a member.
+/// The work that a member does for a client's request.
 pub enum MemberRequest {
-    /// A statement as one simple query.
+    /// A statement that is sent as a simple query.
     SimpleQuery {
-        /// The text, as received.
+        /// The statement, as received from the client.
         text: Vec<u8>,
-        /// The digits of the client's timeout in its comment: they are replaced by the remaining time.
+        /// The range of the timeout's digits in the statement's comment. They are replaced by the time that
+        /// is left when the query is sent.
         timeout_digits: Option<Range<usize>>,
     },
-    /// Extended-query messages up to a Sync or a Flush.
+    /// The messages of the extended query protocol up to a Sync or a Flush.
     Extended(ExtendedBatch),
 }
 
-/// The response of a member.
+/// A member's response to a request.
 pub struct MemberResponse {
     /// The messages for the client, as received, without ReadyForQuery.
     pub bytes: Vec<u8>,
-    /// The position of a write's commit, if the member reported it.
+    /// The replication position of a write's commit, if the member reported it.
     pub commit_position: Option<Micros>,
 }
 
-/// A span in milliseconds, rounded up.
-pub fn millis_rounded_up(span: Micros) -> u64 {
-    span.div_ceil(1000)
+/// Converts a duration to milliseconds, rounding up.
+pub fn millis_rounded_up(duration: Micros) -> u64 {
+    duration.div_ceil(1000)
 }
