--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! Client input, as passed on by the thread that reads it: connection events, and commands with
-//! the fields that decisions need already parsed.
+//! The input from clients in the form that the reading thread passes on: connection events, and commands
+//! whose routing fields are already parsed.
 
 mod simple_query;
 
@@ -12,56 +12,56 @@
 /// The id of a client connection; ids are never reused.
 pub type ClientId = u64;
 
-/// An event that a client's reader reports.
+/// An event on a client connection, as the reading thread reports it. `C` is the type of a command.
 pub enum ClientEvent<C> {
-    /// A new connection, with the secret of its cancel key.
+    /// The client has connected.
     Connected {
-        /// The secret.
+        /// The secret of the connection's cancel key.
         secret: u32,
     },
-    /// A startup packet.
+    /// The client has sent a startup packet.
     Startup(StartupPacket),
-    /// A complete command.
+    /// The client has sent a complete command.
     Command(C),
-    /// A message that this front does not support.
+    /// The client has sent a message that this front does not support.
     Unsupported,
-    /// The client is about to close the connection.
+    /// The client has sent Terminate and is about to close the connection.
     Terminate,
-    /// A message that violates the protocol.
+    /// The client has sent bytes that violate the protocol, or has not completed a message in time.
     Malformed(ProtocolError),
     /// The connection has ended.
     Disconnected,
 }
 
-/// A client's request, with its routing properties already parsed.
+/// A client's request and its routing properties, parsed from the statement.
 pub struct ParsedRequest {
-    /// The index of the request class.
+    /// The index of the request class in the settings.
     pub class: usize,
-    /// Whether it changes data.
+    /// Whether the request changes data.
     pub writes: bool,
-    /// The group that stores its data.
+    /// The group that stores the data of the request.
     pub group: u32,
-    /// The session, 0 for none.
+    /// The id of the session; 0 for none.
     pub session: u64,
-    /// The position that a read must see, as time on the core's clock.
+    /// The replication position that a read must see, as time on the core's clock.
     pub required_position: Option<Micros>,
     /// Whether this is a retry by the client.
     pub is_retry: bool,
-    /// The client's own id of the request, which no other pending request may have; empty for none.
+    /// The id that the client gave the request, which no other pending request may have; empty for none.
     pub external_id: Vec<u8>,
-    /// How long the client waits, counted from when the command was read.
+    /// How long the client waits for the answer, counted from the time at which the command was read.
     pub timeout: Micros,
-    /// The request for a member.
+    /// The request in the form in which it is sent to a member.
     pub member_request: MemberRequest,
 }
 
-/// The messages up to a Sync or a Flush, or a simple query by itself.
+/// The messages of an extended query up to a Sync or a Flush, or a simple query by itself.
 pub struct ClientBatch {
-    /// When the last byte was read.
+    /// When the last byte of the batch was read.
     pub received_at: Micros,
-    /// The messages.
+    /// The messages before the Sync or Flush; for a simple query, the Query message.
     pub messages: Vec<Vec<u8>>,
-    /// The message that ended it.
+    /// The message that ended the batch.
     pub end: BatchEnd,
 }
 
@@ -79,23 +79,24 @@
 /// Why the connection of a client was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientCloseReason {
-    /// The client closed it, or sent Terminate.
+    /// The client closed the connection or sent Terminate.
     ClosedByClient,
-    /// It carried a cancel request.
+    /// The connection carried a cancel request, after which it is always closed.
     CancelRequest,
-    /// It sent something that can't be parsed, or did not complete a message in time.
+    /// The client sent bytes that can't be parsed, or did not complete a message in time.
     ProtocolViolation,
-    /// It sent a message that this listener does not support.
+    /// The client sent a message that this listener does not support.
     NotSupported,
-    /// The proxy shuts down or is out of service, and the connection was between requests.
+    /// The proxy is shutting down or out of service, and the connection had no pending request.
     Draining,
-    /// Its place was needed for another client.
+    /// The connection was idle, and its capacity was needed for a new client.
     Evicted,
-    /// Many clients keep idle connections, and this one was idle for long enough.
+    /// Idle connections used a large part of the process's descriptors, and this one had been idle for long
+    /// enough to be closed.
     KeptIdle,
-    /// There was no place for it.
+    /// The limit of client connections was reached, and none of them could be evicted.
     TooManyConnections,
-    /// The client reads its replies too slowly.
+    /// The client read its replies too slowly.
     SlowReader,
 }
 
--- a/src/client/simple_query.rs
+++ b/src/client/simple_query.rs
@@ -1,4 +1,4 @@
-//! A simple query of the platform's protocol: one statement, described by the comment that it carries.
+//! A simple query in the platform's protocol: one statement, with a comment that holds the routing fields.
 
 use super::ParsedRequest;
 use crate::clock::from_unix_ms;
@@ -7,63 +7,63 @@
 use crate::{Micros, Requirement, Settings};
 use std::ops::Range;
 
-/// The longest `id` of a comment.
+/// The greatest length of the `id` in a comment.
 const MAX_EXTERNAL_ID_BYTES: usize = 64;
-/// The longest `d` of a comment.
+/// The greatest value of the `d` in a comment, which is the client's timeout.
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
-/// Why a query is rejected. The text is sent to the client.
+/// Why a query is rejected. The text of the error is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidQuery {
-    /// It is not one complete statement.
+    /// The query is not one complete statement.
     #[error(transparent)]
     Statement(#[from] StatementError),
-    /// The comment lacks the class.
+    /// The comment has no `c`, the name of the class.
     #[error("the comment names no class")]
     MissingClass,
-    /// There is no class of that name.
+    /// No class has the name in the comment.
     #[error("unknown class")]
     UnknownClass,
-    /// A read in a class of writes, or the other way round.
+    /// The statement does not begin with `insert` in a class of writes, or with `select` in another class.
     #[error("the statement does not fit its class")]
     WrongKeyword,
-    /// The comment lacks the timeout.
+    /// The comment has no `d`, the timeout, or its value is not a number.
     #[error("the comment holds no d, or one that is no number")]
     MissingTimeout,
-    /// The timeout is out of range.
+    /// The timeout is 0 or greater than [`MAX_TIMEOUT_MS`].
     #[error("nobody waits that long")]
     TimeoutOutOfRange,
-    /// The comment lacks the group.
+    /// The comment has no `cluster`, the group, or its value is not a number.
     #[error("the comment holds no cluster, or one that is no number")]
     MissingGroup,
-    /// The statement has no quoted literal.
+    /// The statement has no quoted literal, which would identify the session.
     #[error("the statement holds no key")]
     MissingKey,
-    /// The comment lacks the request's id.
+    /// The comment has no `id`, the client's id of the request, or it is empty or too long.
     #[error("the comment holds no id, or an impossible one")]
     MissingExternalId,
 }
 
-/// A simple query and what was parsed from its comment.
+/// A simple query and the routing fields parsed from it.
 pub struct SimpleQuery {
-    /// When its last byte was read.
+    /// When the last byte of the query was read.
     pub received_at: Micros,
-    /// The statement, without the terminating zero.
+    /// The statement, without the terminating zero byte.
     pub text: Vec<u8>,
-    /// What routing needs, or why the query is rejected.
+    /// The routing fields, or the reason why the query is rejected.
     pub fields: Result<ParsedQuery, InvalidQuery>,
 }
 
-/// The routing properties of a query.
+/// The result of parsing a valid query.
 pub enum ParsedQuery {
-    /// Nothing: an empty query.
+    /// The query is empty and has no routing fields.
     Empty,
-    /// A request, and the position of the digits of its `d`.
+    /// A request, and the range of the digits of its `d` in the statement.
     Request(Box<ParsedRequest>, Range<usize>),
 }
 
 impl ParsedQuery {
-    /// Parses a statement and looks up its class.
+    /// Validates a statement, parses its routing fields and looks up its class.
     pub fn parse(text: &[u8], settings: &Settings) -> Result<ParsedQuery, InvalidQuery> {
         if text.trim_ascii().is_empty() {
             return Ok(ParsedQuery::Empty);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,8 @@
-//! liftrelay is a proxy that routes reads and writes to replicated database groups: a pure decision
-//! module, the reducer around it, and the sockets around that. The simulator's adapter shares the module.
+//! liftrelay is a proxy that routes reads and writes to replicated database groups.
+//!
+//! It has three layers: the [`Router`], which makes the decisions; the reducer, which holds the state of
+//! requests and connections and calls the router; and the threads and sockets around the reducer. The adapter
+//! for the simulator uses the same router.
 //!
 //! The [`Router`] does no I/O and reads no clock: the host passes it [`Event`]s with the current time and
 //! carries out the [`Action`]s that it requests.
@@ -24,22 +27,22 @@
 //! let mut router = Router::new(settings, 7, 0);
 //! let mut actions = Vec::new();
 //!
-//! // The list names two members; nothing is known of their roles yet but a hint.
+//! // The list names two members. Their roles are not known yet; a hint says that the first is the primary.
 //! let member = |n, primary_hint| EndpointEntry {
 //!     endpoint: EndpointId(n), group: 1, zone: 0, state: EndpointState::Ready, primary_hint, started_at: 0,
 //! };
 //! let members = vec![member(1, true), member(2, false)];
 //! router.handle(0, Event::EndpointUpdate { complete: true, endpoints: members }, &mut actions);
 //! let token = |a: &Action| if let Action::SetTimer { token, .. } = a { Some(*token) } else { None };
-//! let wake = actions.iter().find_map(token);
+//! let timer_token = actions.iter().find_map(token);
 //!
-//! // A write goes to the hinted member, and its answer shows that it is the primary.
-//! let ask = |id, class| Request {
+//! // A write goes to the member that the hint names, and its response shows that it is the primary.
+//! let request = |id, class| Request {
 //!     id, class, group: 1, session: 9, tenant: 0,
 //!     time_since_write: None, min_position: None, remaining: 800_000, is_retry: false,
 //! };
 //! actions.clear();
-//! router.handle(5_000, Event::Request(ask(1, 1)), &mut actions);
+//! router.handle(5_000, Event::Request(request(1, 1)), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { request: 1, endpoint: EndpointId(1), .. }));
 //! router.handle(30_000, Event::AttemptEnded(AttemptResult {
 //!     request: 1, attempt: 0, endpoint: EndpointId(1), outcome: Outcome::Ok, elapsed: 25_000,
@@ -47,14 +50,14 @@
 //!     finished: true, report: LoadReport::default(),
 //! }), &mut actions);
 //!
-//! // Reads go to the replica with the fewest pending.
+//! // A read goes to the replica with the fewest pending requests.
 //! actions.clear();
-//! router.handle(35_000, Event::Request(ask(2, 0)), &mut actions);
+//! router.handle(35_000, Event::Request(request(2, 0)), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { request: 2, endpoint: EndpointId(2), .. }));
 //!
-//! // The router's timer drives probes and held requests.
+//! // The router's timer drives health checks and retries held requests. The router sets the next one itself.
 //! actions.clear();
-//! router.handle(60_000, Event::TimerFired(wake.unwrap()), &mut actions);
+//! router.handle(60_000, Event::TimerFired(timer_token.unwrap()), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::SetTimer { .. })));
 //! ```
 
