--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -46,7 +46,7 @@
 
 impl InFlightJob {
     /// Whether the job is an attempt of this request.
-    pub fn serves(&self, id: RequestId) -> bool {
+    pub fn is_attempt_of(&self, id: RequestId) -> bool {
         matches!(self.purpose, JobPurpose::Attempt { request, .. } if request == id)
     }
 
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -22,7 +22,7 @@
     /// result of the job arrives that reports it as reusable.
     broken: bool,
     /// Why the proxy closes the connection; `None` while it doesn't.
-    closing: Option<CloseReason>,
+    close_reason: Option<CloseReason>,
 }
 
 /// The connections to one member.
@@ -173,7 +173,8 @@
             }
         }
         self.last_id += 1;
-        let connection = Connection { endpoint, address, idle_since: None, broken: false, closing: None };
+        let connection =
+            Connection { endpoint, address, idle_since: None, broken: false, close_reason: None };
         self.connections.insert(self.last_id, connection);
         Checkout::New { connection: self.last_id, address, evicted }
     }
@@ -221,7 +222,7 @@
     /// Records why the proxy closes a connection.
     pub fn mark_closing(&mut self, connection: ConnectionId, reason: CloseReason) {
         if let Some(connection) = self.connections.get_mut(&connection) {
-            connection.closing = Some(reason);
+            connection.close_reason = Some(reason);
         }
     }
 
@@ -247,8 +248,8 @@
         if let Some(member) = self.members.get_mut(&removed.endpoint) {
             member.remove_idle(connection);
         }
-        let by_job = if removed.broken { CloseReason::JobCancelled } else { CloseReason::Broken };
-        Some((removed.endpoint, removed.closing.unwrap_or(by_job)))
+        let other_reason = if removed.broken { CloseReason::JobCancelled } else { CloseReason::Broken };
+        Some((removed.endpoint, removed.close_reason.unwrap_or(other_reason)))
     }
 }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -104,7 +104,7 @@
     /// router has not given one.
     pub(super) fn expire_request(&mut self, now: Micros, id: RequestId) {
         let Some(pending) = self.requests.remove(&id) else { return };
-        let in_flight = self.jobs.values().any(|job| job.serves(id));
+        let in_flight = self.jobs.values().any(|job| job.is_attempt_of(id));
         let maybe_executed = in_flight || pending.first_maybe_executed_at.is_some();
         let retry_is_harmless = pending.idempotency == Idempotency::Idempotent || !maybe_executed;
         let answer = if retry_is_harmless {
@@ -119,7 +119,7 @@
     /// Notifies the router that a request is no longer pending, and cancels its unsent attempts.
     fn release_request(&mut self, now: Micros, id: RequestId) {
         self.notify_router(now, Event::ClientDisconnected(id));
-        self.cancel_unsent(|_, job| job.serves(id));
+        self.cancel_unsent(|_, job| job.is_attempt_of(id));
     }
 
     /// Answers a request with a member's response.
--- a/src/core/routing.rs
+++ b/src/core/routing.rs
@@ -16,13 +16,13 @@
         while let Some(event) = events.pop_front() {
             self.router.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.perform(now, action));
+                events.extend(self.perform_action(now, action));
             }
         }
     }
 
     /// Carries out one action. If it can't be started, returns the event that notifies the router.
-    fn perform(&mut self, now: Micros, action: Action) -> Option<Event> {
+    fn perform_action(&mut self, now: Micros, action: Action) -> Option<Event> {
         match action {
             Action::Send { request, endpoint, timeout, start_within } => {
                 let order = AttemptOrder { request, endpoint, timeout, start_within };
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn unsent_attempt_is_cancelled_when_its_member_leaves_service_and_its_request_stays_pending() {
+fn unsent_attempt_is_cancelled_when_its_member_is_taken_out_of_service_and_its_request_stays_pending() {
     for complete in [false, true] {
         let mut core = core(true);
         let first = start_request(&mut core, START, 1, AT_MOST_ONCE_WRITE);
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -14,7 +14,7 @@
     JobTimeout(JobId),
     /// The time limit for the start of an attempt: if it has not started, it is cancelled.
     StartLimit(JobId),
-    /// The deadline of a request, which is answered now if it still is pending.
+    /// The deadline of a request, which is answered if it is still pending.
     RequestDeadline(RequestId),
     /// The next search for connections that have been idle for too long.
     EvictIdle,
