--- a/src/estimators/rate.rs
+++ b/src/estimators/rate.rs
@@ -11,7 +11,7 @@
 
 impl DecayingRate {
     /// The time constant of the decay.
-    pub(crate) const SPAN: f64 = 3_000_000.0;
+    pub(crate) const TIME_CONSTANT_US: f64 = 3_000_000.0;
 
     /// A rate of zero.
     pub(crate) fn new(now: Micros) -> Self {
@@ -20,12 +20,12 @@
 
     /// Counts one event.
     pub(crate) fn record(&mut self, now: Micros) {
-        self.per_second = self.per_second_at(now) + 1e6 / Self::SPAN;
+        self.per_second = self.per_second_at(now) + 1e6 / Self::TIME_CONSTANT_US;
         self.updated_at = now;
     }
 
     /// The rate per second as it stands now, with no event since the last one recorded.
     pub(crate) fn per_second_at(&self, now: Micros) -> f64 {
-        self.per_second * (-(now.saturating_sub(self.updated_at) as f64) / Self::SPAN).exp()
+        self.per_second * (-(now.saturating_sub(self.updated_at) as f64) / Self::TIME_CONSTANT_US).exp()
     }
 }
--- a/src/estimators/tests.rs
+++ b/src/estimators/tests.rs
@@ -24,7 +24,7 @@
     }
     let settled = rate.per_second_at(20 * SECOND);
     assert!((45.0..55.0).contains(&settled), "{settled}");
-    let later = rate.per_second_at(20 * SECOND + DecayingRate::SPAN as Micros);
+    let later = rate.per_second_at(20 * SECOND + DecayingRate::TIME_CONSTANT_US as Micros);
     assert!((later / settled - (-1.0f64).exp()).abs() < 1e-9, "{later}");
 }
 
--- a/src/policy/endpoint_capacity.rs
+++ b/src/policy/endpoint_capacity.rs
@@ -60,7 +60,7 @@
 
     /// Whether this router has run long enough for its rates to tell something.
     fn has_history(&self) -> bool {
-        self.now > self.created_at + DecayingRate::SPAN as Micros
+        self.now > self.created_at + DecayingRate::TIME_CONSTANT_US as Micros
     }
 
     /// Whether at least half of the usable endpoints are warm.
--- a/src/state/serving_capacity.rs
+++ b/src/state/serving_capacity.rs
@@ -18,7 +18,7 @@
     /// compared with.
     pub(crate) fn record(&mut self, capacity: f64, now: Micros) {
         let age = now.saturating_sub(self.counted_at) as f64;
-        let fade = (-age / DecayingRate::SPAN).exp();
+        let fade = (-age / DecayingRate::TIME_CONSTANT_US).exp();
         self.average = capacity + (self.average - capacity) * fade;
         self.counted_at = now;
     }
@@ -29,7 +29,7 @@
         let since = *self.served_since.get_or_insert(now);
         if work <= 0.0 {
             self.served_since = None;
-        } else if now >= since + DecayingRate::SPAN as Micros {
+        } else if now >= since + DecayingRate::TIME_CONSTANT_US as Micros {
             self.most_served = self.most_served.max(work / self.average.max(1.0));
         }
     }
