--- a/src/estimators/group_clock.rs
+++ b/src/estimators/group_clock.rs
@@ -70,7 +70,7 @@
     }
 
     /// The time on the group's clock, if known.
-    pub(crate) fn present(&self, now: Micros) -> Option<Micros> {
+    pub(crate) fn group_time(&self, now: Micros) -> Option<Micros> {
         match self {
             GroupClock::Host => Some(now),
             GroupClock::Unknown => None,
@@ -119,7 +119,7 @@
     pub(crate) fn highest_position(&self, now: Micros) -> Option<Micros> {
         match self {
             GroupClock::Host => Some(Micros::MAX),
-            _ => self.present(now).map(|present| present.saturating_add_signed(MAX_SKEW)),
+            _ => self.group_time(now).map(|present| present.saturating_add_signed(MAX_SKEW)),
         }
     }
 
--- a/src/estimators/replication.rs
+++ b/src/estimators/replication.rs
@@ -31,7 +31,7 @@
     /// The position that it is likely to have by now; the highest where the group's clock is unknown, as
     /// nothing shows that it lags.
     pub(crate) fn estimated_position(&self, clock: GroupClock, now: Micros) -> Micros {
-        let Some(present) = clock.present(now) else { return Micros::MAX / 2 };
+        let Some(present) = clock.group_time(now) else { return Micros::MAX / 2 };
         let fade = (-((now - self.observed_at) as f64) / LAG_SPAN).exp();
         let faded = present.saturating_sub((self.lag * fade) as Micros);
         self.known_position(clock, now).max(faded)
@@ -59,13 +59,14 @@
         self.drop_impossible(clock, now);
         if clock.highest_position(now).is_none_or(|highest| position <= highest) {
             self.position = self.position.max(position);
-            self.lag = clock.present(now).map_or(0, |present| present.saturating_sub(self.position)) as f64;
+            self.lag =
+                clock.group_time(now).map_or(0, |present| present.saturating_sub(self.position)) as f64;
         }
     }
 
     /// Records that the endpoint had not reached a position yet.
     pub(crate) fn record_missing(&mut self, position: Micros, clock: GroupClock, now: Micros) {
-        let lag = clock.present(now).map_or(0, |present| present.saturating_sub(position)) as f64;
+        let lag = clock.group_time(now).map_or(0, |present| present.saturating_sub(position)) as f64;
         self.lag = self.lag.max(lag);
         self.observed_at = now;
     }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -68,7 +68,7 @@
         let required = match self.settings.classes[attempt.class].requirement {
             Requirement::Write => return self.topology.record_write_rejected(index, self.now),
             Requirement::BoundedStaleness(bound) => {
-                self.topology.present(self.topology[index].group, attempt.sent_at).saturating_sub(bound)
+                self.topology.group_time(self.topology[index].group, attempt.sent_at).saturating_sub(bound)
             }
             _ => self.requests.get(&attempt.request).map_or(0, |pending| pending.required_position),
         };
@@ -96,7 +96,7 @@
         let is_commit = outcome == Outcome::Ok && class.requirement == Requirement::Write;
         if is_commit && self.settings.remember_commits && session != 0 {
             let group = self.topology[index].group;
-            let position = result.metadata.position.unwrap_or(self.topology.present(group, self.now));
+            let position = result.metadata.position.unwrap_or(self.topology.group_time(group, self.now));
             self.commits.record(session, group, position);
         }
         if outcome.may_have_run() {
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -82,7 +82,7 @@
         let may_be_stale = required > 0 && self.settings.endpoints_serve_stale();
         // Departure: only the primary's answer shows the time on the group's clock. Guards against probes
         // that can't show how old the data is.
-        let is_clock_known = self.topology.clock(pending.request.group).present(self.now).is_some();
+        let is_clock_known = self.topology.clock(pending.request.group).group_time(self.now).is_some();
         if !may_be_stale || !is_clock_known || !self.settings.probes || pending.probed.is_some() {
             return false;
         }
@@ -108,7 +108,7 @@
     /// The position that an endpoint must have reached to serve a read.
     fn required_position(&self, pending: &PendingRequest) -> Micros {
         let class = &self.settings.classes[pending.request.class];
-        let present = self.topology.present(pending.request.group, self.now);
+        let present = self.topology.group_time(pending.request.group, self.now);
         pending.required_position_at(present, class) + self.staleness_margin(class)
     }
 
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -53,7 +53,7 @@
             }
         }
         let id = request.id;
-        let present = self.topology.present(request.group, self.now);
+        let present = self.topology.group_time(request.group, self.now);
         let required_position = self.commits.required_position(&request, &self.settings, present);
         let pending = PendingRequest::new(request, class, self.now);
         self.requests.insert(id, PendingRequest { priority, required_position, shed_draw, ..pending });
@@ -178,7 +178,7 @@
             (Requirement::BoundedStaleness(bound), Role::Replica) => {
                 let clock = self.topology.clock_of(index);
                 let position = self.topology[index].replication.known_position(clock, self.now);
-                let present = clock.present(self.now).unwrap_or(Micros::MAX);
+                let present = clock.group_time(self.now).unwrap_or(Micros::MAX);
                 (position + bound).saturating_sub(present.saturating_add(process_pause_margin(bound)))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -189,8 +189,8 @@
     }
 
     /// The time on a group's clock; the time on the host's clock while that is not known.
-    pub(crate) fn present(&self, id: GroupId, now: Micros) -> Micros {
-        self.clock(id).present(now).unwrap_or(now)
+    pub(crate) fn group_time(&self, id: GroupId, now: Micros) -> Micros {
+        self.clock(id).group_time(now).unwrap_or(now)
     }
 
     /// When an endpoint started, on the host's clock; 0 for long ago. It counts as the latest that the clocks
@@ -239,7 +239,7 @@
         if is_step {
             self.clock_steps.push(ClockStep { group: id, offset: clock.offset() });
         }
-        if is_step || before.present(now).is_none() {
+        if is_step || before.group_time(now).is_none() {
             for &member in &group.members {
                 self.endpoints[member].replication.adapt_to_clock(clock, now);
             }
