--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -99,7 +99,7 @@
     /// primary, it waits. Guards against errors of this machine that pass for a group that is down.
     pub(super) fn retry_after_local_error(&mut self, id: RequestId, index: EndpointIndex) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        pending.take_back_attempt();
+        pending.uncount_attempt();
         match self.settings.classes[pending.request.class].role() {
             Role::Replica => {
                 pending.tried.push(index);
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -79,7 +79,7 @@
     }
 
     /// The last attempt could not be made: it does not count.
-    pub(crate) fn take_back_attempt(&mut self) {
+    pub(crate) fn uncount_attempt(&mut self) {
         self.attempts = self.attempts.saturating_sub(1);
     }
 
