--- a/src/estimators/replication.rs
+++ b/src/estimators/replication.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records that the endpoint had not reached a position yet.
-    pub(crate) fn record_missing(&mut self, position: Micros, clock: GroupClock, now: Micros) {
+    pub(crate) fn record_position_not_reached(&mut self, position: Micros, clock: GroupClock, now: Micros) {
         let lag = clock.group_time(now).map_or(0, |present| present.saturating_sub(position)) as f64;
         self.lag = self.lag.max(lag);
         self.observed_at = now;
--- a/src/estimators/tests.rs
+++ b/src/estimators/tests.rs
@@ -65,7 +65,7 @@
     assert_eq!(replication.known_position(clock, 10 * SECOND), 9 * SECOND);
     assert_eq!(replication.estimated_position(clock, 10 * SECOND), 9 * SECOND);
     assert!(replication.estimated_position(clock, 20 * SECOND) > 19 * SECOND);
-    replication.record_missing(5 * SECOND, clock, 10 * SECOND);
+    replication.record_position_not_reached(5 * SECOND, clock, 10 * SECOND);
     assert_eq!(replication.known_position(clock, 10 * SECOND), 9 * SECOND);
     assert_eq!(replication.observed_at(), 10 * SECOND);
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -74,7 +74,7 @@
         };
         // The requirements of a completed request are no longer known.
         if required > 0 {
-            self.topology.record_missing(index, required, self.now);
+            self.topology.record_position_not_reached(index, required, self.now);
         }
     }
 
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -320,9 +320,14 @@
     }
 
     /// Records that an endpoint rejected a read that requires this position.
-    pub(crate) fn record_missing(&mut self, index: EndpointIndex, position: Micros, now: Micros) {
+    pub(crate) fn record_position_not_reached(
+        &mut self,
+        index: EndpointIndex,
+        position: Micros,
+        now: Micros,
+    ) {
         let clock = self.clock_of(index);
-        self.endpoints[index].replication.record_missing(position, clock, now);
+        self.endpoints[index].replication.record_position_not_reached(position, clock, now);
     }
 
     /// Records that an endpoint rejected a write: it is not the primary.
