--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -92,7 +92,7 @@
     fn on_tick(&mut self) {
         self.set_timer(TICK_TIMER, self.tick_interval());
         self.next_tick_at = self.now + self.tick_interval();
-        if self.now >= self.serving_capacity.counted_at() + endpoint_capacity::CAPACITY_COUNT_INTERVAL {
+        if self.now >= self.serving_capacity.recorded_at() + endpoint_capacity::CAPACITY_COUNT_INTERVAL {
             self.count_serving_capacity();
         }
         self.resume_held(None, false);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -123,7 +123,7 @@
     /// their capacity. Guards against overload by demand that clients repeat because it is not served.
     fn slow_start_rate(&self, index: EndpointIndex, role: Role) -> f64 {
         let mut work = self.work_per_endpoint(index) * self.load_share(role);
-        let most_served = self.serving_capacity.most_served();
+        let most_served = self.serving_capacity.peak_work_per_endpoint();
         if most_served > 0.0 && !self.are_most_warm() {
             work = work.min((most_served * MEASURED_LOAD_SHARE).max(work * FIRST_REQUEST_SHARE));
         }
--- a/src/state/serving_capacity.rs
+++ b/src/state/serving_capacity.rs
@@ -7,20 +7,20 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ServingCapacity {
     average: f64,
-    most_served: f64,
+    peak_work_per_endpoint: f64,
     /// When work was first seen to be served.
     served_since: Option<Micros>,
-    counted_at: Micros,
+    recorded_at: Micros,
 }
 
 impl ServingCapacity {
     /// Records the capacity at this time; what counts is the mean over the span of the rates that it is
     /// compared with.
     pub(crate) fn record(&mut self, capacity: f64, now: Micros) {
-        let age = now.saturating_sub(self.counted_at) as f64;
+        let age = now.saturating_sub(self.recorded_at) as f64;
         let fade = (-age / DecayingRate::TIME_CONSTANT_US).exp();
         self.average = capacity + (self.average - capacity) * fade;
-        self.counted_at = now;
+        self.recorded_at = now;
     }
 
     /// Records the work that the endpoints serve in a second, as a moving rate. Guards against a rate that
@@ -30,18 +30,18 @@
         if work <= 0.0 {
             self.served_since = None;
         } else if now >= since + DecayingRate::TIME_CONSTANT_US as Micros {
-            self.most_served = self.most_served.max(work / self.average.max(1.0));
+            self.peak_work_per_endpoint = self.peak_work_per_endpoint.max(work / self.average.max(1.0));
         }
     }
 
     /// When it was recorded last.
-    pub(crate) fn counted_at(&self) -> Micros {
-        self.counted_at
+    pub(crate) fn recorded_at(&self) -> Micros {
+        self.recorded_at
     }
 
     /// The most work in a second that the endpoints were seen to serve, for the capacity of a warm one; 0 if
     /// nothing was.
-    pub(crate) fn most_served(&self) -> f64 {
-        self.most_served
+    pub(crate) fn peak_work_per_endpoint(&self) -> f64 {
+        self.peak_work_per_endpoint
     }
 }
