--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -38,7 +38,7 @@
     /// Whether an endpoint that is listed as removed may still be used.
     pub(super) fn may_serve_though_removed(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
-        self.settings.removed_endpoints_usable && endpoint.confirmed && !endpoint.has_drained
+        self.settings.removed_endpoints_usable && endpoint.confirmed && !endpoint.was_draining
     }
 
     /// Whether an endpoint may be used and is not ejected.
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -60,8 +60,8 @@
     pub(crate) group: GroupId,
     pub(crate) zone: u32,
     pub(crate) state: EndpointState,
-    /// It was listed as draining since it was last in service.
-    pub(crate) has_drained: bool,
+    /// The list has reported it as draining since it last reported it as ready. Stays set once it is removed.
+    pub(crate) was_draining: bool,
     /// It was in the first list, or has answered.
     pub(crate) confirmed: bool,
     /// The list names it as the primary.
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -170,9 +170,9 @@
         }
         endpoint.primary_hint = entry.primary_hint;
         endpoint.zone = entry.zone;
-        endpoint.has_drained = match entry.state {
+        endpoint.was_draining = match entry.state {
             EndpointState::Draining => true,
-            EndpointState::Removed => endpoint.has_drained,
+            EndpointState::Removed => endpoint.was_draining,
             EndpointState::Ready => false,
         };
         newly_hinted
