--- a/src/estimators/failure_rate.rs
+++ b/src/estimators/failure_rate.rs
@@ -1,16 +1,16 @@
 //! The share of attempts that fail.
 
-/// A moving share, between 0 and 1.
+/// The exponentially weighted moving average of outcomes: 0 if all attempts succeed, 1 if all fail.
 #[derive(Clone, Copy, Default, PartialEq, PartialOrd)]
 pub(crate) struct FailureRate(f64);
 
 impl FailureRate {
-    /// A share with this initial value.
+    /// Starts the average at this share.
     pub(crate) fn new(share: f64) -> Self {
         FailureRate(share)
     }
 
-    /// Records one outcome with this weight.
+    /// Records one outcome; `gain`, between 0 and 1, is its weight in the average.
     pub(crate) fn record(&mut self, failed: bool, gain: f64) {
         let outcome = if failed { 1.0 } else { 0.0 };
         self.0 += (outcome - self.0) * gain;
