--- a/src/estimators/latency_baseline.rs
+++ b/src/estimators/latency_baseline.rs
@@ -1,78 +1,87 @@
-//! The service time of each request class without load.
+//! Estimates the unloaded latency of each request class: its service time at an endpoint without queueing.
 
 use crate::{Class, Micros};
 
-/// Answers that make up one reading of the unloaded time of a class.
-const READING_SAMPLES: u32 = 24;
-/// The part of the difference that a faster reading moves the baseline by.
+/// The number of answers of a class over which one mean latency is taken.
+const BATCH_SIZE: u32 = 24;
+/// The share of the difference by which a batch that is faster than the baseline moves it.
 const FASTER_GAIN: f64 = 0.3;
-/// The same for a slower reading; small, so that sustained load does not become the norm.
+/// The share of the difference by which a batch that is slower than the baseline moves it. It is small so
+/// that latencies under sustained load do not become the baseline.
 const SLOWER_GAIN: f64 = 0.02;
-/// The initial estimate of the unloaded time, as a share of the latency objective.
-const FIRST_GUESS: f64 = 0.25;
-/// The number of answers that the initial estimate counts as, until the first reading.
-const GUESS_SAMPLES: f64 = 3.0;
+/// The initial estimate of the unloaded latency, as a share of the latency objective.
+const INITIAL_SHARE: f64 = 0.25;
+/// The number of answers that the initial estimate counts as, until the first batch is complete.
+const INITIAL_WEIGHT: f64 = 3.0;
 
+/// The baseline of one class. All latencies are in microseconds.
 struct Baseline {
-    first_guess: f64,
+    initial: f64,
     unloaded: f64,
+    /// The sum of the latencies in the current batch.
     sum: f64,
+    /// The number of answers in the current batch.
     samples: u32,
+    /// Whether a batch has been completed.
     measured: bool,
 }
 
-/// The unloaded service times of all classes, learned from the times that answers take.
+/// The unloaded latencies of all classes, learned from the latencies of answers.
 #[derive(Default)]
 pub(crate) struct LatencyBaselines {
     classes: Vec<Baseline>,
-    /// Over all classes, the sum and the number of answer times as shares of the initial estimate.
+    /// The sum, over the answers of all classes, of each latency divided by its class's initial estimate.
     relative_sum: f64,
+    /// The number of answers in `relative_sum`.
     relative_samples: f64,
 }
 
 impl LatencyBaselines {
-    /// Initial estimates only.
+    /// Creates a baseline for each class, with its initial estimate.
     pub(crate) fn new(classes: &[Class]) -> Self {
         let classes = classes.iter().map(|class| {
-            let first_guess = class.latency_objective as f64 * FIRST_GUESS;
-            Baseline { first_guess, unloaded: first_guess, sum: 0.0, samples: 0, measured: false }
+            let initial = class.latency_objective as f64 * INITIAL_SHARE;
+            Baseline { initial, unloaded: initial, sum: 0.0, samples: 0, measured: false }
         });
         LatencyBaselines { classes: classes.collect(), ..LatencyBaselines::default() }
     }
 
-    /// The time in microseconds that a request of this class takes at an idle endpoint.
+    /// The latency of a request of this class at an idle endpoint, in microseconds.
     pub(crate) fn unloaded_latency(&self, class: usize) -> f64 {
         self.classes[class].unloaded
     }
 
-    /// The unloaded times of all classes, in order.
+    /// The unloaded latencies of all classes in microseconds, ordered by class index.
     pub(crate) fn all(&self) -> impl Iterator<Item = f64> {
         self.classes.iter().map(|baseline| baseline.unloaded)
     }
 
-    /// Records the time of one answer; classes without a reading use the ratio of all classes. Guards against
-    /// relying on the initial estimate for minutes where a class is rare.
+    /// Records the latency of one answer.
+    ///
+    /// Classes without a complete batch scale their initial estimate by the mean ratio of latency to initial
+    /// estimate over all classes. Otherwise a rare class would rely on its initial estimate for minutes.
     pub(crate) fn record(&mut self, class: usize, elapsed: Micros) {
         let elapsed = elapsed as f64;
-        self.relative_sum += elapsed / self.classes[class].first_guess;
+        self.relative_sum += elapsed / self.classes[class].initial;
         self.relative_samples += 1.0;
-        let pace = (GUESS_SAMPLES + self.relative_sum) / (GUESS_SAMPLES + self.relative_samples);
-        let pace = pace.min(1.0);
+        let mean_ratio = (INITIAL_WEIGHT + self.relative_sum) / (INITIAL_WEIGHT + self.relative_samples);
+        let mean_ratio = mean_ratio.min(1.0);
         self.classes[class].sum += elapsed;
         self.classes[class].samples += 1;
         for baseline in &mut self.classes {
-            baseline.update(pace);
+            baseline.update(mean_ratio);
         }
     }
 }
 
 impl Baseline {
-    fn update(&mut self, pace: f64) {
+    /// Updates the baseline; `mean_ratio` scales the initial estimate until the first batch is complete.
+    fn update(&mut self, mean_ratio: f64) {
         let samples = f64::from(self.samples);
-        let complete = self.samples >= READING_SAMPLES;
+        let complete = self.samples >= BATCH_SIZE;
         if !self.measured {
-            let weighted_guess = GUESS_SAMPLES * self.first_guess * pace;
-            self.unloaded = ((weighted_guess + self.sum) / (GUESS_SAMPLES + samples)).min(self.first_guess);
+            let weighted_initial = INITIAL_WEIGHT * self.initial * mean_ratio;
+            self.unloaded = ((weighted_initial + self.sum) / (INITIAL_WEIGHT + samples)).min(self.initial);
         } else if complete {
             let mean = self.sum / samples;
             let gain = if mean < self.unloaded { FASTER_GAIN } else { SLOWER_GAIN };
--- a/src/estimators/rate.rs
+++ b/src/estimators/rate.rs
@@ -1,4 +1,4 @@
-//! A moving rate of events.
+//! A rate of events that decays exponentially.
 
 use crate::Micros;
 
@@ -24,7 +24,7 @@
         self.updated_at = now;
     }
 
-    /// The rate per second as it stands now, with no event since the last one recorded.
+    /// The rate per second at `now`, decayed since the last recorded event.
     pub(crate) fn per_second_at(&self, now: Micros) -> f64 {
         self.per_second * (-(now.saturating_sub(self.updated_at) as f64) / Self::TIME_CONSTANT_US).exp()
     }
--- a/src/estimators/replication.rs
+++ b/src/estimators/replication.rs
@@ -1,23 +1,26 @@
-//! How far an endpoint has applied the commits of its group.
+//! Estimates up to which commit of its group an endpoint has applied.
 
 use super::GroupClock;
 use crate::{Micros, StaleReadBehavior};
 
-/// The time constant with which a lag that is not seen again fades: replicas catch up.
-const LAG_SPAN: f64 = 3_000_000.0;
+/// The time constant with which the estimated lag decays without new evidence, as replicas catch up.
+const LAG_TIME_CONSTANT_US: f64 = 3_000_000.0;
 
-/// The replication position of an endpoint: a time on its group's clock up to which it has applied all
-/// commits.
+/// The replication position of an endpoint: the time on its group's clock up to which the endpoint has
+/// applied all commits.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ReplicationEstimate {
+    /// The highest reported position.
     position: Micros,
+    /// When evidence was last recorded, on the host's clock.
     observed_at: Micros,
+    /// The lag behind the group's clock at `observed_at`, in microseconds.
     lag: f64,
 }
 
 impl ReplicationEstimate {
-    /// The highest known position; positions never decrease. 0 while the group's clock is unknown, as nothing
-    /// shows then whether the position is possible.
+    /// The highest reported position, as positions never decrease. 0 if the group's clock is unknown or has
+    /// not reached that position, because the position can't be trusted then.
     pub(crate) fn known_position(&self, clock: GroupClock, now: Micros) -> Micros {
         let is_possible = clock.highest_position(now).is_some_and(|highest| self.position <= highest);
         if is_possible { self.position } else { 0 }
@@ -28,17 +31,18 @@
         self.observed_at
     }
 
-    /// The position that it is likely to have by now; the highest where the group's clock is unknown, as
-    /// nothing shows that it lags.
+    /// The position that the endpoint has probably reached by `now`. While the group's clock is unknown, it is
+    /// higher than any required position, because there is no evidence that the endpoint lags.
     pub(crate) fn estimated_position(&self, clock: GroupClock, now: Micros) -> Micros {
-        let Some(present) = clock.group_time(now) else { return Micros::MAX / 2 };
-        let fade = (-((now - self.observed_at) as f64) / LAG_SPAN).exp();
-        let faded = present.saturating_sub((self.lag * fade) as Micros);
-        self.known_position(clock, now).max(faded)
+        let Some(group_time) = clock.group_time(now) else { return Micros::MAX / 2 };
+        let decay = (-((now - self.observed_at) as f64) / LAG_TIME_CONSTANT_US).exp();
+        let estimated = group_time.saturating_sub((self.lag * decay) as Micros);
+        self.known_position(clock, now).max(estimated)
     }
 
-    /// The position that it is likely to have when it serves a read, or is known to have where only that is
-    /// safe.
+    /// The position to expect when the endpoint serves a read that is sent now. If endpoints serve stale data,
+    /// only the known position is safe; otherwise an endpoint that lags rejects the read, and the estimate
+    /// suffices.
     pub(crate) fn expected_position(
         &self,
         behavior: StaleReadBehavior,
@@ -52,32 +56,33 @@
         }
     }
 
-    /// Records a position that the endpoint has reported. One that no member can have reached yet is dropped:
-    /// it would count as fresh until the group's clock reaches it.
+    /// Records a position that the endpoint has reported. Ignores a position that no member of the group can
+    /// have reached yet; otherwise the endpoint would count as fresh until the group's clock reaches it.
     pub(crate) fn record(&mut self, position: Micros, clock: GroupClock, now: Micros) {
         self.observed_at = now;
         self.drop_impossible(clock, now);
         if clock.highest_position(now).is_none_or(|highest| position <= highest) {
             self.position = self.position.max(position);
             self.lag =
-                clock.group_time(now).map_or(0, |present| present.saturating_sub(self.position)) as f64;
+                clock.group_time(now).map_or(0, |group_time| group_time.saturating_sub(self.position)) as f64;
         }
     }
 
-    /// Records that the endpoint had not reached a position yet.
+    /// Records that the endpoint has rejected a read because it had not reached this position.
     pub(crate) fn record_position_not_reached(&mut self, position: Micros, clock: GroupClock, now: Micros) {
-        let lag = clock.group_time(now).map_or(0, |present| present.saturating_sub(position)) as f64;
+        let lag = clock.group_time(now).map_or(0, |group_time| group_time.saturating_sub(position)) as f64;
         self.lag = self.lag.max(lag);
         self.observed_at = now;
     }
 
-    /// Adapts to a group's clock that has been found to read another time: a lag that was measured by the
-    /// former one tells nothing.
+    /// Adapts to a new estimate of the group's clock. Resets the lag, which was measured against the former
+    /// estimate.
     pub(crate) fn adapt_to_clock(&mut self, clock: GroupClock, now: Micros) {
         self.lag = 0.0;
         self.drop_impossible(clock, now);
     }
 
+    /// Resets the position if no member of the group can have reached it yet.
     fn drop_impossible(&mut self, clock: GroupClock, now: Micros) {
         if clock.highest_position(now).is_some_and(|highest| self.position > highest) {
             self.position = 0;
--- a/src/estimators/tests.rs
+++ b/src/estimators/tests.rs
@@ -37,18 +37,18 @@
     assert!((19_000.0..25_000.0).contains(&fast), "{fast}");
     (0..100).for_each(|_| baselines.record(0, 300_000));
     let loaded = baselines.unloaded_latency(0);
-    assert!(loaded < 1.2 * fast, "load must not become the norm: {loaded}");
+    assert!(loaded < 1.2 * fast, "latencies under load must not become the baseline: {loaded}");
 }
 
 #[test]
-fn a_class_without_answers_shares_the_pace_of_the_others() {
+fn the_baseline_of_a_class_without_answers_scales_with_those_of_the_others() {
     let mut baselines = LatencyBaselines::new(&[class(400_000), class(800_000)]);
     (0..50).for_each(|_| baselines.record(0, 10_000));
     assert!(baselines.unloaded_latency(1) < 60_000.0, "{}", baselines.unloaded_latency(1));
 }
 
 #[test]
-fn a_group_delay_fades_to_the_delay_of_all_groups() {
+fn the_delay_of_a_group_decays_to_the_delay_of_all_groups() {
     let mut group = GroupQueueingDelay::default();
     let all = QueueingDelay::default();
     group.record(1.0, all, 10 * SECOND);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_replication_position_never_goes_back_and_its_lag_fades() {
+fn a_replication_position_never_decreases_and_its_lag_decays() {
     let mut replication = ReplicationEstimate::default();
     let clock = GroupClock::Host;
     replication.record(9 * SECOND, clock, 10 * SECOND);
--- a/src/estimators/traffic.rs
+++ b/src/estimators/traffic.rs
@@ -1,9 +1,10 @@
-//! The rates of offered and of served work at this router.
+//! The rates of offered and served requests at this router, and the work that they amount to. The work of a
+//! request is the unloaded latency of its class.
 
 use super::{DecayingRate, LatencyBaselines};
 use crate::{Class, Micros, Role, Settings};
 
-/// Moving rates of requests, in total and by class and tenant, and the unloaded times of the classes.
+/// Decaying rates of requests, in total and by class and tenant, and the unloaded latencies of the classes.
 #[derive(Default)]
 pub(crate) struct Traffic {
     /// All requests that arrived.
@@ -14,12 +15,12 @@
     pub(crate) served: Vec<DecayingRate>,
     /// The requests of each tenant that arrived.
     pub(crate) tenants: Vec<DecayingRate>,
-    /// The service time of each class without load.
+    /// The unloaded latency of each class.
     pub(crate) baselines: LatencyBaselines,
 }
 
 impl Traffic {
-    /// Rates of zero, and initial estimates.
+    /// Starts with rates of zero and the initial latency estimates.
     pub(crate) fn new(settings: &Settings, now: Micros) -> Self {
         let rate = DecayingRate::new(now);
         Traffic {
@@ -31,36 +32,37 @@
         }
     }
 
-    /// The offered work per second, in unloaded time.
+    /// The offered work per second, in microseconds of unloaded latency.
     pub(crate) fn offered_work(&self, now: Micros) -> f64 {
         self.work(&self.offered, now, |_| 1.0)
     }
 
-    /// The served work per second, in unloaded time.
+    /// The served work per second, in microseconds of unloaded latency.
     pub(crate) fn served_work(&self, now: Micros) -> f64 {
         self.work(&self.served, now, |_| 1.0)
     }
 
-    /// The part of the offered work that only primaries can serve.
+    /// The offered work per second that only primaries can serve, in microseconds of unloaded latency.
     pub(crate) fn offered_primary_work(&self, classes: &[Class], now: Micros) -> f64 {
         let needs_primary = |class: usize| if classes[class].role() == Role::Primary { 1.0 } else { 0.0 };
         self.work(&self.offered, now, needs_primary)
     }
 
-    /// How unevenly work comes to primaries: the variance of the work that only they can serve, as a multiple
-    /// of what the same work has in requests of the mean work of all; 1 at least.
+    /// How unevenly primary-only work arrives: its variance relative to that of the same work in requests of
+    /// equal size, namely the mean work of all requests; at least 1.
     pub(crate) fn primary_work_dispersion(&self, classes: &[Class], now: Micros) -> f64 {
         let needs_primary = |class: &usize| classes[*class].role() == Role::Primary;
         let primary_work = self.offered_primary_work(classes, now);
-        let squares = (0..classes.len()).filter(needs_primary).map(|class| {
+        let squared_work = (0..classes.len()).filter(needs_primary).map(|class| {
             let unloaded = self.baselines.unloaded_latency(class);
             self.offered[class].per_second_at(now) * unloaded * unloaded
         });
         let requests: f64 = self.offered.iter().map(|rate| rate.per_second_at(now)).sum();
         let mean_work = self.offered_work(now) / requests.max(1e-12);
-        (squares.sum::<f64>() / (primary_work * mean_work).max(1e-12)).max(1.0)
+        (squared_work.sum::<f64>() / (primary_work * mean_work).max(1e-12)).max(1.0)
     }
 
+    /// Sums the work per second over all classes, each multiplied by its weight.
     fn work(&self, rates: &[DecayingRate], now: Micros, weight: impl Fn(usize) -> f64) -> f64 {
         let class_work = |class: usize| {
             weight(class) * rates[class].per_second_at(now) * self.baselines.unloaded_latency(class)
