--- a/src/state/clock_step.rs
+++ b/src/state/clock_step.rs
@@ -1,16 +1,16 @@
-//! What the log says of a group's clock that was stepped.
+//! A step of a group's clock, as reported in the log.
 
 use crate::GroupId;
 use std::fmt;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A group's clock was found to differ from what it was taken for: it was stepped, or the host's clock was
-/// wrong when the program started.
+/// A group's clock was found to differ from its earlier estimate: either it was stepped, or the host's clock
+/// was wrong when the program started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ClockStep {
     pub(crate) group: GroupId,
-    /// How far it is ahead of the host's clock now, in microseconds, if known.
+    /// How far the group's clock is ahead of the host's clock now, in microseconds, if known.
     pub(crate) offset: Option<i64>,
 }
 
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -19,11 +19,11 @@
 pub(crate) enum Failure {
     /// It was answered with an error.
     Error,
-    /// It got no answer, while later ones were answered at once.
+    /// It timed out, although an attempt sent well after it was answered without queueing.
     Lost,
     /// Its connection was refused or broke.
     NoConnection,
-    /// Nothing was answered since it was sent.
+    /// The endpoint has answered nothing since the attempt was sent.
     NoAnswer,
 }
 
@@ -38,16 +38,17 @@
     }
 }
 
-/// Work, in microseconds of unloaded service time, that may be sent to an endpoint that is warming up.
+/// The budget of an endpoint that is warming up: the work that may be sent to it, in microseconds of unloaded
+/// latency.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowStartBudget {
-    /// What is saved up; negative for work sent on credit.
+    /// The unused budget at `updated_at`; negative if more work was sent than the budget covered.
     pub(crate) saved: f64,
     pub(crate) updated_at: Micros,
 }
 
 impl SlowStartBudget {
-    /// An empty budget.
+    /// A budget without unused work.
     pub(crate) fn empty(now: Micros) -> Self {
         SlowStartBudget { saved: 0.0, updated_at: now }
     }
@@ -60,57 +61,66 @@
     pub(crate) group: GroupId,
     pub(crate) zone: u32,
     pub(crate) state: EndpointState,
-    /// The list has reported it as draining since it last reported it as ready. Stays set once it is removed.
+    /// Whether the list has reported the endpoint as draining since it last reported it as ready. Remains set
+    /// when the endpoint is listed as removed afterwards.
     pub(crate) was_draining: bool,
-    /// It was in the first list, or has answered.
+    /// Whether the endpoint is known to exist: it was in the first list, or has answered.
     pub(crate) confirmed: bool,
-    /// The list names it as the primary.
+    /// Whether the list names the endpoint as the primary.
     pub(crate) primary_hint: bool,
-    /// Its start as reported by the list, on the members' clock; 0 for long ago.
+    /// The start that the list reports, on the members' clock; 0 for long ago.
     pub(crate) started_at: Micros,
-    /// When the list first reported that start.
+    /// When the list first reported that start, on the host's clock.
     pub(crate) start_listed_at: Micros,
 
     pub(crate) outstanding: Vec<OutstandingAttempt>,
     pub(crate) last_sent_at: Micros,
-    /// The number of the last send to it, over all endpoints; drawn at random until then.
+    /// The router-wide sequence number of the last attempt sent to the endpoint; a random number below all
+    /// sequence numbers before the first attempt.
     pub(crate) last_send_number: u64,
-    /// The latest send that was answered without queueing: what was sent long before it is lost.
+    /// When the latest of the attempts that were answered without queueing was sent. Attempts sent well before
+    /// that time count as lost.
     pub(crate) last_undelayed_send: Micros,
     pub(crate) last_answer_at: Micros,
 
     pub(crate) replication: ReplicationEstimate,
-    /// When it was last seen as a replica, 0 if it was seen as the primary since.
+    /// When the endpoint was last observed to be a replica; 0 if it was observed to be the primary since.
     pub(crate) replica_seen_at: Micros,
 
-    /// The most attempts that this router may have outstanding at it.
+    /// How many attempts of this router may be outstanding at the endpoint. Work of the lowest priority may
+    /// use only a part of the limit, and work of the highest priority may exceed it.
     pub(crate) concurrency_limit: f64,
     pub(crate) queueing_delay: QueueingDelay,
 
-    /// The moving share of its attempts that failed.
     pub(crate) failure_rate: FailureRate,
+    /// Whether the endpoint is ejected as an outlier: it gets only single trials until it is readmitted.
     pub(crate) ejected: bool,
+    /// No trial of the ejected endpoint starts before this time.
     pub(crate) next_trial_at: Micros,
-    /// When a connection to it first failed since its last answer, 0 for none.
+    /// When a connection to the endpoint first failed after its last answer; 0 for none.
     pub(crate) disconnected_since: Micros,
-    /// It refused connections for a while after that.
+    /// Whether the endpoint counts as not running. It is set when a connection is refused some time after
+    /// `disconnected_since`; for an endpoint that is not listed as ready, by the first refusal; for one that is
+    /// listed as removed, also when an attempt gets no answer.
     pub(crate) down: bool,
-    /// When it last answered after it had been down.
+    /// When the endpoint first answered after it was last down; 0 for never.
     pub(crate) recovered_at: Micros,
 
-    /// While it warms up: the budgets of reads, and of what only a primary can serve.
+    /// The budgets while the endpoint is warming up: one for reads that a replica may serve, and one for
+    /// requests that only a primary can serve.
     pub(crate) slow_start: PerRole<SlowStartBudget>,
 
+    /// No probe is sent before this time.
     pub(crate) next_probe_at: Micros,
-    /// The interval that the next probe was scheduled by; 0 before the first.
+    /// The interval by which `next_probe_at` was set; 0 before the first probe.
     pub(crate) probe_interval: Micros,
     pub(crate) probe_in_flight: bool,
-    /// It did not answer the last health check.
+    /// Whether the endpoint did not answer the last health check.
     pub(crate) probe_unanswered: bool,
 }
 
 impl Endpoint {
-    /// An endpoint of which only the list's entry is known.
+    /// Creates an endpoint of which only its entry in the list is known.
     pub(crate) fn new(entry: &EndpointEntry) -> Self {
         Endpoint {
             id: entry.endpoint,
@@ -120,32 +130,33 @@
         }
     }
 
-    /// The list names it as the primary, and it was not seen as a replica since.
+    /// Whether the list names the endpoint as the primary, and no evidence has shown it to be a replica.
     pub(crate) fn is_hinted_primary(&self) -> bool {
         self.primary_hint && self.replica_seen_at == 0
     }
 
-    /// The outstanding attempts, less those that are lost: sent well before one that was answered at once.
+    /// The number of outstanding attempts that may still be answered. Attempts that were sent more than one
+    /// and a half of their latency objective before [`Endpoint::last_undelayed_send`] count as lost.
     pub(crate) fn pending_count(&self, classes: &[Class]) -> usize {
         let may_be_answered = |attempt: &&OutstandingAttempt| {
-            let patience = classes[attempt.class].latency_objective * 3 / 2;
-            attempt.sent_at + patience >= self.last_undelayed_send
+            let loss_delay = classes[attempt.class].latency_objective * 3 / 2;
+            attempt.sent_at + loss_delay >= self.last_undelayed_send
         };
         self.outstanding.iter().filter(may_be_answered).count()
     }
 
-    /// Removes an attempt that has ended.
+    /// Removes an attempt that has ended, and returns it if it was outstanding.
     pub(crate) fn take_outstanding(
         &mut self,
         request: RequestId,
         attempt: u32,
     ) -> Option<OutstandingAttempt> {
         let is_same = |other: &OutstandingAttempt| other.request == request && other.attempt == attempt;
-        let place = self.outstanding.iter().position(is_same)?;
-        Some(self.outstanding.swap_remove(place))
+        let index = self.outstanding.iter().position(is_same)?;
+        Some(self.outstanding.swap_remove(index))
     }
 
-    /// Records how an attempt ended, as far as that shows that the endpoint is running.
+    /// Records what the outcome of an attempt shows about whether the endpoint is running.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome, now: Micros) {
         match outcome {
             Outcome::Ok | Outcome::NotServable => {
@@ -157,7 +168,8 @@
         }
     }
 
-    /// Records that it is running: an endpoint that answers after it was down may have just started.
+    /// Records that the endpoint is running. If it was down, it may have just been restarted, so its slow-start
+    /// budgets are reset.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.confirmed = true;
         self.probe_unanswered = false;
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -1,12 +1,12 @@
-//! The table of endpoints, whose slots are reused.
+//! The table of endpoints. The slots of removed endpoints are reused.
 
 use super::Endpoint;
 use crate::{EndpointId, EndpointState, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// An endpoint that was removed and silent for this long is dropped when its slot is needed.
-const FORGET_AFTER: Micros = 10_000_000;
+/// How long a removed endpoint must not have answered before its slot may be reused.
+const SLOT_REUSE_DELAY: Micros = 10_000_000;
 
 /// The slot of an endpoint in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,28 +17,31 @@
 pub(crate) struct EndpointTable {
     slots: Vec<Endpoint>,
     by_id: BTreeMap<EndpointId, EndpointIndex>,
-    /// The slots of removed endpoints, in order.
+    /// The slots of removed endpoints, so that finding one to reuse doesn't scan the table.
     removed: BTreeSet<EndpointIndex>,
-    /// How often an endpoint was looked at.
+    /// How often an endpoint was accessed by its index.
     #[cfg(test)]
     lookups: std::cell::Cell<usize>,
 }
 
 impl EndpointTable {
-    /// The slot of the endpoint with this identity.
+    /// Returns the slot of the endpoint with this identity.
     pub(crate) fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// Assigns a slot to a new endpoint, if possible that of one that is dropped; returns that one too.
-    /// Guards against a table that grows forever. The caller fills the slot.
+    /// Assigns a slot to a new endpoint; the caller fills it.
+    ///
+    /// Reuses the slot of an endpoint that was removed, has not answered for a while and has no outstanding
+    /// attempts, and also returns that former endpoint. Otherwise the table grows; without the reuse, it would
+    /// grow with every endpoint that is ever listed.
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<Endpoint>) {
-        let forgotten = |endpoint: &Endpoint| {
+        let is_reusable = |endpoint: &Endpoint| {
             endpoint.state == EndpointState::Removed
-                && now > endpoint.last_answer_at + FORGET_AFTER
+                && now > endpoint.last_answer_at + SLOT_REUSE_DELAY
                 && endpoint.outstanding.is_empty()
         };
-        let reused = self.removed.iter().copied().find(|index| forgotten(&self[*index]));
+        let reused = self.removed.iter().copied().find(|index| is_reusable(&self[*index]));
         let dropped = reused.map(|index| std::mem::take(&mut self[index]));
         if let Some(dropped) = &dropped {
             self.by_id.remove(&dropped.id);
@@ -50,7 +53,8 @@
         (index, dropped)
     }
 
-    /// Sets the state of an endpoint. All changes go through here: removed endpoints are indexed.
+    /// Sets the state of an endpoint. Every change of a state must go through this method, which keeps the
+    /// index of removed endpoints up to date.
     pub(crate) fn set_state(&mut self, index: EndpointIndex, state: EndpointState) {
         self[index].state = state;
         if state == EndpointState::Removed {
@@ -60,12 +64,13 @@
         }
     }
 
-    /// How often an endpoint was looked at so far.
+    /// How often an endpoint was accessed by its index, in total.
     #[cfg(test)]
     pub(crate) fn lookup_count(&self) -> usize {
         self.lookups.get()
     }
 
+    /// The number of slots, including those of removed endpoints.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -8,19 +8,20 @@
 #[derive(Default)]
 pub(crate) struct Group {
     pub(crate) members: Vec<EndpointIndex>,
-    /// The member last seen as the primary, if it is not known to have stepped down.
+    /// The member last observed to be the primary; `None` if there was none, or if it has stepped down, was
+    /// restarted or has left the group since.
     pub(crate) primary: Option<EndpointIndex>,
-    /// The time of the newest evidence of the primary.
+    /// The time of the newest evidence of which member is, or is no longer, the primary.
     pub(crate) primary_seen_at: Micros,
     /// No request starts a search for the primary before this time.
     pub(crate) next_search_at: Micros,
     pub(crate) queueing_delay: PerRole<GroupQueueingDelay>,
-    /// What its primaries' answers show of its clock, none before the first.
+    /// The estimate of the group's clock; `None` before the first report of a primary.
     pub(crate) clock: Option<GroupClock>,
 }
 
 impl Group {
-    /// Records which member is the primary, by evidence of this time.
+    /// Records which member is the primary, as of `seen_at`.
     pub(crate) fn set_primary(&mut self, primary: Option<EndpointIndex>, seen_at: Micros) {
         self.primary = primary;
         self.primary_seen_at = seen_at;
@@ -31,7 +32,7 @@
         self.primary = self.primary.filter(|primary| *primary != member);
     }
 
-    /// Drops a member.
+    /// Removes a member, and forgets it as the primary.
     pub(crate) fn remove(&mut self, member: EndpointIndex) {
         self.members.retain(|other| *other != member);
         self.forget_primary(member);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The router's state: its endpoints, their groups, the open requests, and the commits of sessions. Tables
-//! and records that the policy reads and updates; they decide nothing.
+//! The router's state: its endpoints, their groups, the pending requests, and the commits of sessions. The
+//! policy reads and updates these tables and records; they make no decisions.
 
 mod clock_step;
 mod endpoint;
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -7,41 +7,43 @@
 #[derive(Default)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
-    /// The client waits until then.
+    /// The time until which the client waits for an answer.
     pub(crate) deadline: Micros,
-    /// An answer after this has no value: the deadline, or the objective where late answers do not count. No
-    /// attempt starts then; one that has started is awaited until the deadline.
+    /// The time after which an answer has no value: the deadline, or the end of the latency objective if the
+    /// class gives late answers no value. No attempt starts after that time, but one that has started is
+    /// awaited until the deadline.
     pub(crate) useful_until: Micros,
-    /// The position that its arrival requires of an endpoint, 0 for none.
+    /// The position that an endpoint must have reached, fixed at the arrival of the request; 0 for none.
     pub(crate) required_position: Micros,
-    /// Its priority weight, less for retries and for tenants beyond their quota.
+    /// The priority weight, reduced for retries by the client and for tenants beyond their quota.
     pub(crate) priority: f64,
-    /// Drawn once, between 0 and 1: of equal priority, the lowest draws are shed first.
+    /// A random number between 0 and 1, drawn at the arrival. Among requests of equal priority, those with the
+    /// lowest numbers are shed first.
     pub(crate) shed_draw: f64,
 
-    /// The attempts sent so far, without those that this machine could not make.
+    /// The number of attempts sent, not counting those that failed for a local error of this machine.
     pub(crate) attempts: u32,
     /// The number of the next attempt.
     pub(crate) next_attempt: u32,
-    /// The attempt whose outcome is awaited.
+    /// The number of the attempt whose outcome is awaited.
     pub(crate) in_flight: Option<u32>,
-    /// When the first attempt that may have run was sent.
+    /// When the earliest attempt that may have run was sent.
     pub(crate) first_run_at: Option<Micros>,
-    /// The endpoints that it is not sent to again in this round.
+    /// The endpoints that have been tried in this round; the request is not sent to them again in this round.
     pub(crate) tried: Vec<EndpointIndex>,
-    /// The endpoints that it was sent to in this round in search of the primary.
+    /// The number of endpoints that the request was sent to in this round in search of the primary.
     pub(crate) search_attempts: u32,
 
-    /// While it is held: it is reconsidered then.
+    /// When the held request is reconsidered; `None` if the request is not held.
     pub(crate) held_until: Option<Micros>,
-    /// It is not sent to a primary before this time.
+    /// The request is not sent to a primary before this time.
     pub(crate) backoff_until: Micros,
-    /// The replica that was probed for it.
+    /// The replica that was probed to find out whether it is fresh enough for this read.
     pub(crate) probed: Option<EndpointIndex>,
 }
 
 impl PendingRequest {
-    /// A request that has just arrived.
+    /// Creates the state of a request that has just arrived.
     pub(crate) fn new(request: Request, class: &Class, now: Micros) -> Self {
         let deadline = now + request.remaining;
         let objective_at = now + class.latency_objective.min(request.remaining);
@@ -49,26 +51,26 @@
         PendingRequest { request, deadline, useful_until, ..PendingRequest::default() }
     }
 
-    /// The position that an endpoint must have to serve it when its group's clock reads `present`; 0 for
-    /// none.
-    pub(crate) fn required_position_at(&self, present: Micros, class: &Class) -> Micros {
+    /// The position that an endpoint must have reached to serve the request when the group's clock reads
+    /// `group_time`; 0 for none.
+    pub(crate) fn required_position_at(&self, group_time: Micros, class: &Class) -> Micros {
         match class.requirement {
-            Requirement::BoundedStaleness(bound) => present.saturating_sub(bound),
+            Requirement::BoundedStaleness(bound) => group_time.saturating_sub(bound),
             _ => self.required_position,
         }
     }
 
-    /// Records that an attempt sent at this time may have run.
+    /// Records that an attempt that was sent at this time may have run.
     pub(crate) fn record_possible_run(&mut self, sent_at: Micros) {
         self.first_run_at = Some(self.first_run_at.unwrap_or(sent_at).min(sent_at));
     }
 
-    /// Whether it may have run, and must not run again.
+    /// Whether the request may have run, and its class does not allow it to run again.
     pub(crate) fn must_not_run_again(&self, class: &Class) -> bool {
         self.first_run_at.is_some() && class.idempotency == Idempotency::AtMostOnce
     }
 
-    /// Counts an attempt that is sent, and returns its number.
+    /// Records that an attempt is sent, and returns its number.
     pub(crate) fn start_attempt(&mut self) -> u32 {
         let attempt = self.next_attempt;
         self.next_attempt += 1;
@@ -78,12 +80,13 @@
         attempt
     }
 
-    /// The last attempt could not be made: it does not count.
+    /// Uncounts the last attempt, which this machine could not make because of a local error.
     pub(crate) fn uncount_attempt(&mut self) {
         self.attempts = self.attempts.saturating_sub(1);
     }
 
-    /// Starts a new round over all endpoints, where the primary was found with no backoff.
+    /// Starts a new round, in which all endpoints may be tried again. Ends the backoff if the primary has been
+    /// found.
     pub(crate) fn reset_round(&mut self, found_primary: bool) {
         self.tried.clear();
         self.search_attempts = 0;
--- a/src/state/probe_schedule.rs
+++ b/src/state/probe_schedule.rs
@@ -1,4 +1,5 @@
-//! Which endpoints are due for a probe: an index that is updated with each endpoint that changes.
+//! An index of the endpoints that are due for a health check (probe). It is updated whenever an endpoint
+//! changes, so that finding the due endpoints doesn't scan all of them.
 
 use super::EndpointIndex;
 use crate::{GroupId, Micros};
@@ -7,28 +8,28 @@
 /// The times that decide when an endpoint is probed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ProbeTimes {
-    /// It is not probed before this time.
+    /// No probe is sent before this time.
     pub(crate) not_before: Micros,
-    /// When its position was last observed: what that has shown needs no probe.
+    /// When the replication position was last observed. A recent observation makes a probe unnecessary.
     pub(crate) observed_at: Micros,
 }
 
-/// The endpoints that may be probed, in the order in which they are due.
+/// The endpoints that may be probed, ordered by the time at which they are due.
 #[derive(Default)]
 pub(crate) struct ProbeSchedule {
     times: BTreeMap<EndpointIndex, ProbeTimes>,
-    /// The endpoints that were not due at the last search, by the time before which they are not probed.
+    /// The endpoints whose `not_before` lay ahead at the last call of `due`, ordered by `not_before`.
     waiting: BTreeSet<(Micros, EndpointIndex)>,
-    /// The others, by the time of their last observation.
+    /// The endpoints whose `not_before` has passed, ordered by `observed_at`.
     due: BTreeSet<(Micros, EndpointIndex)>,
-    /// Endpoints that are down: their last observation does not matter.
+    /// The endpoints that are down. They are probed regardless of their last observation.
     down: BTreeSet<EndpointIndex>,
-    /// Groups without a healthy primary: the same holds for their members.
+    /// The groups without a healthy primary. Their members are probed regardless of their last observation.
     without_healthy_primary: BTreeSet<GroupId>,
 }
 
 impl ProbeSchedule {
-    /// Records the times of an endpoint; `None` for one that is not probed.
+    /// Records the times of an endpoint; `None` for one that must not be probed.
     pub(crate) fn record(&mut self, index: EndpointIndex, times: Option<ProbeTimes>) {
         let before = match times {
             Some(times) => self.times.insert(index, times),
@@ -46,15 +47,16 @@
 
     /// Records whether an endpoint is down.
     pub(crate) fn record_down(&mut self, index: EndpointIndex, is_down: bool) {
-        set_member(&mut self.down, index, is_down);
+        set_membership(&mut self.down, index, is_down);
     }
 
     /// Records whether a group has a healthy primary.
     pub(crate) fn record_primary_health(&mut self, group: GroupId, has_healthy_primary: bool) {
-        set_member(&mut self.without_healthy_primary, group, !has_healthy_primary);
+        set_membership(&mut self.without_healthy_primary, group, !has_healthy_primary);
     }
 
-    /// The endpoints that are due and were last observed at this time or before; none without a time.
+    /// The endpoints whose `not_before` has passed and whose last observation was at `observed_before` or
+    /// earlier; empty if `observed_before` is `None`.
     pub(crate) fn due(&mut self, now: Micros, observed_before: Option<Micros>) -> BTreeSet<EndpointIndex> {
         while let Some((not_before, index)) = self.waiting.first().copied()
             && not_before <= now
@@ -67,7 +69,7 @@
         self.due.iter().take_while(is_unobserved).map(|(_, index)| *index).collect()
     }
 
-    /// The endpoints that were not due at the last search.
+    /// The endpoints whose `not_before` lay ahead at the last call of [`ProbeSchedule::due`].
     pub(crate) fn waiting(&self) -> Vec<EndpointIndex> {
         self.waiting.iter().map(|(_, index)| *index).collect()
     }
@@ -83,7 +85,8 @@
     }
 }
 
-fn set_member<T: Ord>(set: &mut BTreeSet<T>, value: T, is_member: bool) {
+/// Adds a value to a set, or removes it.
+fn set_membership<T: Ord>(set: &mut BTreeSet<T>, value: T, is_member: bool) {
     if is_member {
         set.insert(value);
     } else {
