--- a/src/state/session_commits.rs
+++ b/src/state/session_commits.rs
@@ -1,9 +1,9 @@
-//! The last commits of sessions, where the router has to remember them.
+//! The last commits of sessions, for settings under which the router, and not the client, remembers them.
 
 use crate::{GroupId, Micros, Request, Requirement, Settings};
 use std::collections::BTreeMap;
 
-/// Commits remembered before those that every replica has are dropped.
+/// The number of commits above which those that every member of their group has applied are dropped.
 const CAPACITY: usize = 20_000;
 
 struct Commit {
@@ -18,39 +18,41 @@
 }
 
 impl SessionCommits {
-    /// Remembers a commit.
+    /// Records the last commit of a session.
     pub(crate) fn record(&mut self, session: u64, group: GroupId, position: Micros) {
         self.by_session.insert(session, Commit { group, position });
     }
 
-    /// The position of the session's last commit, 0 if none is remembered.
+    /// The position of the session's last commit; 0 if none is recorded.
     pub(crate) fn position(&self, session: u64) -> Micros {
         self.by_session.get(&session).map_or(0, |commit| commit.position)
     }
 
-    /// The position that an endpoint must have to serve a request that arrives when its group's clock reads
-    /// `present`; 0 for none.
+    /// The position that an endpoint must have reached to serve a request that arrives when its group's clock
+    /// reads `group_time`; 0 for none. A bound on staleness is not included, because it depends on the time at
+    /// which the request is sent.
     pub(crate) fn required_position(
         &self,
         request: &Request,
         settings: &Settings,
-        present: Micros,
+        group_time: Micros,
     ) -> Micros {
         match settings.classes[request.class].requirement {
-            Requirement::Latest => present,
+            Requirement::Latest => group_time,
             Requirement::ReadYourWrites if settings.remember_commits => self.position(request.session),
             Requirement::ReadYourWrites => {
-                let last_write = request.time_since_write.map(|elapsed| present.saturating_sub(elapsed));
+                let last_write = request.time_since_write.map(|elapsed| group_time.saturating_sub(elapsed));
                 request.min_position.or(last_write).unwrap_or(0)
             }
             Requirement::Write | Requirement::BoundedStaleness(_) | Requirement::Any => 0,
         }
     }
 
-    /// Drops, once there are many, the commits that every replica has.
-    pub(crate) fn prune(&mut self, is_settled: impl Fn(GroupId, Micros) -> bool) {
+    /// Drops the commits that every member of their group has applied, once more than `CAPACITY` commits are
+    /// recorded.
+    pub(crate) fn prune(&mut self, is_applied_everywhere: impl Fn(GroupId, Micros) -> bool) {
         if self.by_session.len() > CAPACITY {
-            self.by_session.retain(|_, commit| !is_settled(commit.group, commit.position));
+            self.by_session.retain(|_, commit| !is_applied_everywhere(commit.group, commit.position));
         }
     }
 }
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the tables.
+//! Tests of the tables of endpoints, groups and commits.
 
 use super::endpoint_table::EndpointTable;
 use super::*;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_slot_of_a_removed_endpoint_is_used_again_after_a_while() {
+fn the_slot_of_a_removed_endpoint_is_reused_ten_seconds_after_its_last_answer() {
     let mut table = EndpointTable::default();
     let first = add(&mut table, 1, 0);
     let second = add(&mut table, 2, 0);
@@ -23,7 +23,7 @@
     table.set_state(first, EndpointState::Removed);
     table[first].last_answer_at = 5 * SECOND;
     let third = add(&mut table, 3, 10 * SECOND);
-    assert_ne!(third, first, "it may still answer");
+    assert_ne!(third, first, "the removed endpoint answered 5 s ago");
     let fourth = add(&mut table, 4, 16 * SECOND);
     assert_eq!(fourth, first);
     assert_eq!(table.find(EndpointId(1)), None);
@@ -31,9 +31,10 @@
     assert_eq!(table.len(), 3);
 }
 
-/// Guards against a new slot whose default identity counts as that of an earlier occupant.
+/// A new slot first holds an endpoint with the default identity, 0. If that endpoint counted as the former
+/// occupant of the slot, adding an endpoint would drop the one whose identity is 0.
 #[test]
-fn a_new_slot_forgets_no_endpoint() {
+fn a_new_slot_does_not_drop_the_endpoint_with_the_default_identity() {
     let mut table = EndpointTable::default();
     let first = add(&mut table, 0, 0);
     add(&mut table, 1, 0);
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_slot_with_outstanding_attempts_is_not_used_again() {
+fn a_slot_with_outstanding_attempts_is_not_reused() {
     let mut table = EndpointTable::default();
     let index = add(&mut table, 1, 0);
     table.set_state(index, EndpointState::Removed);
@@ -64,25 +65,26 @@
 }
 
 #[test]
-fn a_pair_holds_one_value_for_each_role() {
-    let mut pair = PerRole::uniform(1);
-    pair[Role::Primary] = 2;
-    assert_eq!((pair[Role::Replica], pair[Role::Primary]), (1, 2));
+fn a_value_can_be_set_for_each_role_separately() {
+    let mut values = PerRole::uniform(1);
+    values[Role::Primary] = 2;
+    assert_eq!((values[Role::Replica], values[Role::Primary]), (1, 2));
 }
 
 #[test]
-fn settled_commits_are_dropped_once_there_are_many() {
+fn commits_that_all_members_have_are_dropped_above_the_capacity() {
     let mut commits = SessionCommits::default();
     (1..=20_000).for_each(|session| commits.record(session, 1, session * SECOND));
     commits.prune(|_, position| position <= 19_999 * SECOND);
-    assert_eq!(commits.position(7), 7 * SECOND, "few commits are all kept");
+    assert_eq!(commits.position(7), 7 * SECOND, "up to the capacity no commit is dropped");
     commits.record(20_001, 1, 20_001 * SECOND);
     commits.prune(|_, position| position <= 19_999 * SECOND);
     assert_eq!(commits.position(7), 0);
     assert_eq!(commits.position(20_000), 20_000 * SECOND);
 }
 
-/// Guards against an endpoint that counts as a member, and as the primary, of a group that it has left.
+/// If the list moves an endpoint to another group, the endpoint must not remain a member, or the primary, of
+/// the former group, and what is known of its role and position must not count in the new group.
 #[test]
 fn an_endpoint_listed_under_another_group_leaves_the_former_one() {
     let mut topology = Topology::default();
@@ -100,11 +102,11 @@
     topology.record_role(index, Role::Primary, SECOND, true);
     topology[index].replication.record(SECOND, GroupClock::Host, SECOND);
     assert_eq!((topology.primary(7), topology.members(7)), (Some(index), &[index][..]));
-    assert!(topology.apply_entry(index, &listed(8), SECOND), "its hint is new to the group");
+    assert!(topology.apply_entry(index, &listed(8), SECOND), "the primary hint is new to the group");
     assert_eq!((topology.presumed_primary(7), topology.members(7)), (None, &[][..]));
     assert_eq!((topology.primary(8), topology.members(8)), (None, &[index][..]));
     assert_eq!(topology.role(index), Role::Replica);
-    assert!(!topology.all_members_have(8, SECOND, SECOND), "a position counts within its group only");
+    assert!(!topology.all_members_have(8, SECOND, SECOND), "a position counts only within its group");
     topology.record_role(index, Role::Primary, 2 * SECOND, true);
     assert_eq!((topology.primary(7), topology.primary(8)), (None, Some(index)));
 }
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -1,4 +1,4 @@
-//! The endpoints and their groups, with the known roles, positions and queueing delays.
+//! The endpoints and their groups, with what is known of their roles, positions, clocks and queueing delays.
 
 use super::endpoint_table::EndpointTable;
 use super::{ClockStep, Endpoint, EndpointIndex, Group, PerRole, SlowStartBudget};
@@ -15,20 +15,21 @@
 pub(crate) struct Topology {
     endpoints: EndpointTable,
     groups: BTreeMap<GroupId, Group>,
-    /// Of attempts in all groups.
+    /// The average queueing delay over the attempts in all groups.
     queueing_delay: PerRole<QueueingDelay>,
-    /// The clock of groups whose primary has not answered yet.
+    /// The assumed clock of groups whose primary has not answered yet.
     default_clock: GroupClock,
-    /// Steps of groups' clocks that have not been logged yet.
+    /// Steps of groups' clocks since the last call of `take_clock_steps`.
     clock_steps: Vec<ClockStep>,
-    /// Groups whose endpoints may have started at another time than was known, since the last call.
+    /// Groups whose clock estimate has changed since the last call of `take_clock_changes`, so that the start
+    /// times of their endpoints may have changed on the host's clock.
     clock_changes: Vec<GroupId>,
-    /// When the first entry was listed, 0 before.
+    /// When the first entry was listed, on the host's clock; 0 before.
     first_listed_at: Micros,
 }
 
 impl Topology {
-    /// A topology whose host's clock may differ from that of the members.
+    /// Creates a topology for a host whose clock may differ from the clocks of the members.
     pub(crate) fn with_unknown_clock() -> Self {
         Topology { default_clock: GroupClock::Unknown, ..Topology::default() }
     }
@@ -37,13 +38,13 @@
         self.endpoints.find(id)
     }
 
-    /// All slots; only tests look at all of them.
+    /// The indices of all endpoints, including removed ones.
     #[cfg(test)]
     pub(crate) fn indices(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
         self.endpoints.indices()
     }
 
-    /// How often an endpoint was looked at so far.
+    /// How often an endpoint was accessed by its index, in total.
     #[cfg(test)]
     pub(crate) fn lookup_count(&self) -> usize {
         self.endpoints.lookup_count()
@@ -71,13 +72,15 @@
         self.groups.get(&id).map_or(&[], |group| &group.members)
     }
 
-    /// The endpoint last seen as the primary.
+    /// The endpoint last observed to be the primary of a group.
     pub(crate) fn primary(&self, id: GroupId) -> Option<EndpointIndex> {
         self.groups.get(&id).and_then(|group| group.primary)
     }
 
-    /// The primary, or else the endpoint that the list names. Guards against futile attempts elsewhere when
-    /// the named one has no slow-start budget.
+    /// The endpoint last observed to be the primary of a group, or else the one that the list names.
+    ///
+    /// Without the second rule, requests for a primary that the list names but that has no slow-start budget
+    /// left would be tried in vain at other members.
     pub(crate) fn presumed_primary(&self, id: GroupId) -> Option<EndpointIndex> {
         let is_hinted = |member: &EndpointIndex| self[*member].is_hinted_primary();
         self.primary(id).or_else(|| self.members(id).iter().copied().find(is_hinted))
@@ -91,7 +94,7 @@
         if self.is_primary_of(self[index].group, index) { Role::Primary } else { Role::Replica }
     }
 
-    /// How many endpoints are listed, and how many of them are avoided now.
+    /// Counts the endpoints that are not removed, and those of them that are ejected, down or draining.
     pub(crate) fn counts(&self) -> EndpointCounts {
         let listed = self.endpoints.iter().filter(|endpoint| endpoint.state != EndpointState::Removed);
         let is_avoided = |endpoint: &&Endpoint| {
@@ -100,7 +103,7 @@
         EndpointCounts { listed: listed.clone().count(), avoided: listed.filter(is_avoided).count() }
     }
 
-    /// Marks endpoints that are missing from a complete list as removed, and returns them.
+    /// Sets the endpoints that are missing from a complete list to removed, and returns them.
     pub(crate) fn remove_unlisted(&mut self, entries: &[EndpointEntry]) -> Vec<EndpointIndex> {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         let mut unlisted: Vec<_> = self.endpoints.indices().collect();
@@ -111,8 +114,8 @@
         unlisted
     }
 
-    /// Assigns a slot to a new endpoint, and returns the group of the one that is dropped for it, if one is.
-    /// The caller fills the slot by [`Topology::add`].
+    /// Assigns a slot to a new endpoint; the caller fills it by [`Topology::add`]. If the slot is that of a
+    /// former endpoint, removes that endpoint from its group and also returns the group.
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<GroupId>) {
         let (index, dropped) = self.endpoints.allocate(id, now);
         let former_group = dropped.map(|dropped| dropped.group);
@@ -128,7 +131,8 @@
         self.endpoints[index] = endpoint;
     }
 
-    /// Moves an endpoint that is listed under another group: its role and its position say nothing there.
+    /// Moves an endpoint that is now listed under another group. Resets its role and its position, which are
+    /// meaningless in the new group.
     fn move_to_group(&mut self, index: EndpointIndex, group: GroupId) {
         let endpoint = &mut self.endpoints[index];
         let former = std::mem::replace(&mut endpoint.group, group);
@@ -141,7 +145,8 @@
         self.groups.entry(group).or_default().members.push(index);
     }
 
-    /// Applies an entry of the list; returns whether it newly names the endpoint as the primary.
+    /// Applies an entry of the list. Returns whether the entry names the endpoint as the primary and the
+    /// previous one did not.
     pub(crate) fn apply_entry(&mut self, index: EndpointIndex, entry: &EndpointEntry, now: Micros) -> bool {
         if self.endpoints[index].group != entry.group {
             self.move_to_group(index, entry.group);
@@ -178,24 +183,26 @@
         newly_hinted
     }
 
-    /// What is known of a group's clock.
+    /// The estimate of a group's clock.
     pub(crate) fn clock(&self, id: GroupId) -> GroupClock {
         self.groups.get(&id).and_then(|group| group.clock).unwrap_or(self.default_clock)
     }
 
-    /// What is known of the clock of an endpoint's group.
+    /// The estimate of the clock of an endpoint's group.
     pub(crate) fn clock_of(&self, index: EndpointIndex) -> GroupClock {
         self.clock(self[index].group)
     }
 
-    /// The time on a group's clock; the time on the host's clock while that is not known.
+    /// The time on a group's clock, or on the host's clock while the group's clock is unknown.
     pub(crate) fn group_time(&self, id: GroupId, now: Micros) -> Micros {
         self.clock(id).group_time(now).unwrap_or(now)
     }
 
-    /// When an endpoint started, on the host's clock; 0 for long ago. It counts as the latest that the clocks
-    /// allow. Guards against a clock that is stepped forward, by which an endpoint that warms up would look
-    /// warm.
+    /// The start of an endpoint on the host's clock; 0 for long ago.
+    ///
+    /// It is the latest time that the evidence of the clocks allows, but not later than the time at which the
+    /// start was listed. With an earlier time, an endpoint that is warming up would look warm after a clock was
+    /// stepped forward.
     pub(crate) fn started_at(&self, index: EndpointIndex) -> Micros {
         let endpoint = &self[index];
         let is_long_ago = endpoint.started_at == 0;
@@ -204,24 +211,25 @@
         }
         let clocks = [self.clock(endpoint.group), self.default_clock];
         let starts = clocks.iter().filter_map(|clock| clock.latest_host_time(endpoint.started_at));
-        // Without evidence a start that was listed later than the first list is recent, and for others the
-        // host's clock is all there is.
+        // Without evidence of the clocks, a start that was listed after the first list counts as having
+        // happened when it was listed; for a start in the first list, the host's clock is assumed to be right.
         let is_in_first_list = endpoint.start_listed_at == self.first_listed_at;
         let presumed = if is_in_first_list { endpoint.started_at } else { endpoint.start_listed_at };
         starts.max().unwrap_or(presumed).min(endpoint.start_listed_at)
     }
 
-    /// Takes the steps of groups' clocks that have been noticed since the last call.
+    /// Takes the steps of groups' clocks that have been detected since the last call.
     pub(crate) fn take_clock_steps(&mut self) -> Vec<ClockStep> {
         std::mem::take(&mut self.clock_steps)
     }
 
-    /// Takes the groups of which the start times of endpoints may have changed since the last call.
+    /// Takes the groups whose clock estimate has changed since the last call, so that the start times of their
+    /// endpoints may have changed on the host's clock.
     pub(crate) fn take_clock_changes(&mut self) -> Vec<GroupId> {
         std::mem::take(&mut self.clock_changes)
     }
 
-    /// Updates the clock of a group by what its primary reported.
+    /// Updates the estimate of a group's clock from a report of its primary.
     fn record_clock(&mut self, id: GroupId, evidence: PrimaryPosition) {
         let before = self.clock(id);
         if matches!(self.default_clock, GroupClock::Unknown) && evidence.confirms_host() {
@@ -246,8 +254,8 @@
         }
     }
 
-    /// Records the role that an endpoint had at this time, if that is the newest evidence. Only an endpoint
-    /// that may be used counts as the primary.
+    /// Records the role that an endpoint had at `seen_at`. Evidence that is older than what is known does not
+    /// change which member is the primary, and only a usable endpoint becomes the primary.
     pub(crate) fn record_role(&mut self, index: EndpointIndex, role: Role, seen_at: Micros, is_usable: bool) {
         let endpoint = &mut self.endpoints[index];
         let Some(group) = self.groups.get_mut(&endpoint.group) else { return };
@@ -267,8 +275,8 @@
         }
     }
 
-    /// Records what a response reports about its endpoint. Its position is none of before `sent_at`, if that
-    /// is known.
+    /// Records what a response reports about its endpoint. `sent_at` is a time before which the reported
+    /// position can't have been read, if one is known.
     pub(crate) fn record_response(
         &mut self,
         index: EndpointIndex,
@@ -292,7 +300,8 @@
         self.record_report(index, result.report, is_usable, now);
     }
 
-    /// Records a load report together with its age: a primary's position is the time of its report.
+    /// Records a load report, which may be out of date. The role counts as observed at the reported position,
+    /// because the position of a primary is the time of its report.
     pub(crate) fn record_report(
         &mut self,
         index: EndpointIndex,
@@ -319,7 +328,7 @@
         self.endpoints[index].replication.record(position, clock, now);
     }
 
-    /// Records that an endpoint rejected a read that requires this position.
+    /// Records that an endpoint rejected a read because it had not reached this position.
     pub(crate) fn record_position_not_reached(
         &mut self,
         index: EndpointIndex,
@@ -330,7 +339,7 @@
         self.endpoints[index].replication.record_position_not_reached(position, clock, now);
     }
 
-    /// Records that an endpoint rejected a write: it is not the primary.
+    /// Records that an endpoint rejected a write, which shows that it is not the primary.
     pub(crate) fn record_write_rejected(&mut self, index: EndpointIndex, now: Micros) {
         let endpoint = &mut self.endpoints[index];
         endpoint.replica_seen_at = now;
@@ -341,13 +350,14 @@
         }
     }
 
-    /// How long attempts queue at endpoints of this role in its group, as a share of their objectives.
+    /// The expected queueing delay of an attempt at endpoints with the same role and group as this endpoint, as
+    /// a share of its latency objective.
     pub(crate) fn expected_delay(&self, index: EndpointIndex, now: Micros) -> f64 {
         let role = self.role(index);
         self.groups[&self[index].group].queueing_delay[role].estimate(self.queueing_delay[role], now)
     }
 
-    /// Records how long an attempt queued.
+    /// Records the queueing delay of an attempt, as a share of its latency objective.
     pub(crate) fn record_delay(&mut self, index: EndpointIndex, delay: f64, now: Micros) {
         let role = self.role(index);
         if let Some(group) = self.groups.get_mut(&self.endpoints[index].group) {
@@ -357,11 +367,11 @@
         self.endpoints[index].queueing_delay.record(delay);
     }
 
-    /// Whether all members of a group are known to have this position.
+    /// Whether all members of a group are known to have reached this position.
     pub(crate) fn all_members_have(&self, group: GroupId, position: Micros, now: Micros) -> bool {
         let known_position = |member| self[member].replication.known_position(self.clock(group), now);
-        let has_it = |member: &EndpointIndex| known_position(*member) >= position;
-        self.groups[&group].members.iter().all(has_it)
+        let has_position = |member: &EndpointIndex| known_position(*member) >= position;
+        self.groups[&group].members.iter().all(has_position)
     }
 }
 
