--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -1,11 +1,12 @@
-//! Endpoints: the members of replicated groups, as described by the endpoint list and their own responses.
+//! Endpoints, which are the members of replicated groups, as described by the endpoint list and by their own
+//! responses.
 
 use crate::Micros;
 
 /// The number of a group: one primary and its replicas, all with the same data.
 pub type GroupId = u32;
 
-/// Identifies an endpoint. The value carries no meaning beyond identity.
+/// Identifies an endpoint. The value has no meaning beyond identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
@@ -22,7 +23,7 @@
 }
 
 impl EndpointState {
-    /// The name in logs.
+    /// The name of the state in logs.
     pub fn name(self) -> &'static str {
         match self {
             EndpointState::Ready => "ready",
@@ -35,52 +36,54 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Its group.
+    /// The group that the endpoint belongs to.
     pub group: GroupId,
-    /// Its zone.
+    /// The number of the zone that the endpoint runs in.
     pub zone: u32,
-    /// Whether it is in service.
+    /// Whether the endpoint is in service, draining or removed.
     pub state: EndpointState,
-    /// Whether the list names it as the primary; the list may be late or wrong.
+    /// Whether the list names the endpoint as the primary. The list may be out of date or wrong.
     pub primary_hint: bool,
-    /// Its last start, 0 for long ago.
+    /// When the endpoint last started, on the members' clock; 0 for long ago.
     pub started_at: Micros,
 }
 
 /// The role of an endpoint in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It accepts writes.
+    /// Accepts writes.
     Primary,
-    /// It replicates from the primary.
+    /// Applies the commits of the primary.
     Replica,
 }
 
 /// What a response reports about its endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseMetadata {
-    /// Its role when it answered.
+    /// The role of the endpoint when it answered, if reported.
     pub role: Option<Role>,
-    /// The time up to which it has all commits; for a write that succeeded, the time of its commit.
+    /// The replication position: the time on the group's clock up to which the endpoint has applied all
+    /// commits. For a successful write, the time of its commit.
     pub position: Option<Micros>,
 }
 
-/// The load report of an endpoint, as of some time ago.
+/// The load report of an endpoint. It may be out of date when it is received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Its role.
+    /// The role of the endpoint at the time of the report, if reported.
     pub role: Option<Role>,
-    /// The time up to which it had all commits.
+    /// The time on the group's clock up to which the endpoint had applied all commits at the time of the
+    /// report, if reported.
     pub position: Option<Micros>,
 }
 
-/// How many endpoints a router knows.
+/// The number of endpoints in a router's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Endpoints in the list.
+    /// Endpoints in the list that are not removed.
     pub listed: usize,
-    /// Those of them that are avoided at present.
+    /// Listed endpoints that are ejected, down or draining.
     pub avoided: usize,
 }
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -5,63 +5,63 @@
 /// An event for the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, or a change of it.
+    /// The complete endpoint list, or changes of it, were received.
     EndpointUpdate {
-        /// Whether the entries are the complete list: an endpoint that is missing from it is removed.
+        /// Whether the entries are the complete list, so that endpoints that are missing from it are removed.
         complete: bool,
-        /// The entries.
+        /// The entries of the list, or the changed ones.
         endpoints: Vec<EndpointEntry>,
     },
     /// Polling the endpoint list failed; the previous list stays in use.
     EndpointListFailed,
-    /// A request arrived; it must get one final answer.
+    /// A request arrived. The router must give it exactly one final answer, unless the client disconnects.
     Request(Request),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
     /// A health check ended.
     ProbeEnded {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// Whether it answered.
+        /// Whether the endpoint answered.
         answered: bool,
-        /// Its load report.
+        /// The load report in the answer.
         report: LoadReport,
     },
     /// A health check could not be sent, for a reason that does not concern the endpoint.
     ProbeNotSent(EndpointId),
-    /// The client disconnected; no answer is required any more.
+    /// The client of a request disconnected, so the request needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A timer fired.
+    /// The timer with this token fired.
     TimerFired(u32),
 }
 
 /// Why a request gets a final answer without being served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GiveUpReason {
-    /// Its class is not known.
+    /// The class of the request is unknown.
     UnknownClass,
-    /// Too little time is left for an attempt.
+    /// Too little time is left for an attempt whose answer would still be useful.
     NoTimeLeft,
     /// All attempts that the settings allow have been made.
     AttemptsUsed,
-    /// It may have run, and its class does not allow a repeat.
+    /// The request may have run, and its class does not allow it to run again, or not any more.
     MayHaveRun,
-    /// No endpoint of its group may be used.
+    /// No endpoint of the request's group may be used.
     NoUsableEndpoint,
-    /// No endpoint admits it now: load is shed.
+    /// No endpoint admitted the request: its load was shed.
     Shed,
-    /// It was held until shortly before its deadline, as nothing could take it.
+    /// The request was held because no endpoint could be selected, until too little time was left to hold it.
     HoldEnded,
     /// The retry budget does not cover another attempt.
     RetryBudget,
     /// Too many requests are pending.
     TooManyPending,
-    /// Its deadline passed without an answer of the router.
+    /// The deadline of the request passed before the router gave a final answer.
     Deadline,
 }
 
 impl GiveUpReason {
-    /// The name in logs and metrics.
+    /// The name of the reason in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             GiveUpReason::UnknownClass => "unknown_class",
@@ -78,59 +78,61 @@
     }
 }
 
-/// An action for the host.
+/// An action that the router requests from its host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt of a request to an endpoint.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// The timeout of the attempt.
+        /// How long to wait for the answer, in microseconds.
         timeout: Micros,
-        /// It must start within this time, [`Micros::MAX`] for any time: else it is never sent.
+        /// How long the attempt may wait before it is sent, in microseconds; [`Micros::MAX`] for no limit.
+        /// After this time it is not sent at all.
         start_within: Micros,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Answer a request as rejected: the client may safely retry it.
     Reject {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// The retry delay advised to the client; 0 for no advice.
+        /// The retry delay to advise to the client, in microseconds; 0 for no advice.
         retry_after: Micros,
-        /// Why it is not served.
+        /// Why the request is not served.
         reason: GiveUpReason,
     },
-    /// Final answer: failed, the request may have been executed.
+    /// Answer a request as failed: it may have been executed.
     Fail {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// Why it is not served.
+        /// Why the request is not served.
         reason: GiveUpReason,
     },
-    /// Stop waiting for an attempt.
+    /// Stop waiting for the answer of an attempt.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// The attempt.
+        /// The number of the attempt, counted from 0.
         attempt: u32,
     },
-    /// Ask an endpoint for its load report.
+    /// Send a health check to an endpoint, which asks for its load report.
     Probe(EndpointId),
     /// Set a timer.
     SetTimer {
-        /// Returned when the timer fires.
+        /// The token to return in [`Event::TimerFired`].
         token: u32,
-        /// The delay from now.
+        /// The delay after which the timer fires, in microseconds.
         after: Micros,
     },
-    /// Subscribe to the endpoint list, where it is sent only on request.
+    /// Subscribe to the endpoint list. Requested only by routers whose settings say that the list is sent on
+    /// request.
     Subscribe,
-    /// For the operator's log: the endpoint is avoided from now on.
+    /// Log that an endpoint was ejected as an outlier.
     EndpointEjected {
-        /// The endpoint.
+        /// The endpoint that was ejected.
         endpoint: EndpointId,
-        /// Its failures, in words.
+        /// The kind of failure that led to the ejection, as logged.
         cause: String,
     },
     /// A line for the operator's log.
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,6 +1,7 @@
 //! The types that the routing policy and its hosts share: requests, endpoints, settings, events and actions.
 //!
-//! Everything here is plain data. All times are microseconds on the host's clock, which only advances.
+//! Everything here is plain data. All times are in microseconds, and points in time are on the host's clock,
+//! which never goes back, unless the documentation of a field says otherwise.
 
 mod endpoint;
 mod event;
@@ -18,5 +19,5 @@
 pub use settings::{Settings, StaleReadBehavior};
 pub use settings_document::SettingsError;
 
-/// A point in time, or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -2,66 +2,67 @@
 
 use crate::{EndpointId, GroupId, LoadReport, Micros, ResponseMetadata, Role};
 
-/// The number of a client request, never reused by one host.
+/// The number of a client request. A host never reuses a number.
 pub type RequestId = u32;
 
-/// What a class of requests requires of the endpoint that serves it.
+/// What a class of requests requires of the endpoint that serves them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requirement {
     /// A write: only the primary accepts it.
     Write,
-    /// A read of everything written before it arrived.
+    /// A read that must see every write committed before it arrived.
     Latest,
-    /// A read of everything its own session has written.
+    /// A read that must see every earlier write of its own session.
     ReadYourWrites,
-    /// A read of data no older than this when it is sent.
+    /// A read of data that is no older than this when the read is sent.
     BoundedStaleness(Micros),
     /// A read that any endpoint may serve.
     Any,
 }
 
-/// How often a request of a class may take effect.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats are harmless.
+    /// Executing the request again is harmless.
     Idempotent,
-    /// It carries an idempotency key, by which endpoints drop repeats for `window`.
+    /// The request carries an idempotency key, by which endpoints recognize and drop repeats for `window`.
     Keyed {
-        /// Whether every endpoint drops repeats, or only those of the group that got the first attempt.
+        /// Whether all endpoints drop repeats; otherwise only those of the group that got the first attempt.
         across_groups: bool,
-        /// For how long after the first attempt that may have run was sent.
+        /// How long repeats are dropped, from the sending of the first attempt that may have run.
         window: Micros,
     },
-    /// It must run at most once.
+    /// The request must not be executed more than once.
     AtMostOnce,
 }
 
 impl Idempotency {
-    /// Whether a client may safely retry the request anywhere, even if it has run.
+    /// Whether a client may safely retry the request at any endpoint, even if it has been executed.
     pub fn is_repeatable_anywhere(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::Keyed { across_groups: true, .. })
     }
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// What it requires of the endpoint that serves it.
+    /// What requests of this class require of the endpoint that serves them.
     pub requirement: Requirement,
-    /// How often it may take effect.
+    /// Whether a request of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// An answer within this earns the full priority weight.
+    /// The time within which an answer has the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits in total.
+    /// How long a client waits for an answer in total.
     pub deadline: Micros,
     /// The value of an answer within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The part of the priority weight that a later answer still earns.
+    /// The value of an answer after the latency objective, as a share of the priority weight from 0 to 1.
     pub late_value: f64,
 }
 
 impl Class {
-    /// The role of the endpoints that serve it: the primary, where only the primary can.
+    /// The role of the endpoints that are selected for this class: the primary if only the primary can serve
+    /// it.
     pub fn role(&self) -> Role {
         match self.requirement {
             Requirement::Write | Requirement::Latest => Role::Primary,
@@ -75,54 +76,55 @@
 /// A client request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its number.
+    /// The number of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The index of the class in [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
-    /// The group that stores its data.
+    /// The group that stores the data of the request.
     pub group: GroupId,
-    /// The session, 0 for none.
+    /// The session of the client; 0 for none.
     pub session: u64,
-    /// The tenant.
+    /// The index of the tenant in [`Settings::quotas`](crate::Settings::quotas).
     pub tenant: usize,
-    /// How long ago the session's last write was committed, where the client provides it.
+    /// How long ago the session's last write was committed, if the client provides it.
     pub time_since_write: Option<Micros>,
-    /// The position that it must see, where the client provides it.
+    /// The position that the endpoint must have reached, if the client provides it.
     pub min_position: Option<Micros>,
-    /// How long the client still waits.
+    /// How long the client still waits for an answer, counted from the arrival of the request.
     pub remaining: Micros,
-    /// Whether this is a retry by the client.
+    /// Whether the client has sent the same request before.
     pub is_retry: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served the request.
     Ok,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint answered with an error. The request may have been executed.
     Error,
-    /// Rejected without being executed, as the endpoint's queue was full.
+    /// The endpoint rejected the request without executing it because its queue was full.
     RejectedByMember,
-    /// No answer in time; it may have run.
+    /// The endpoint did not answer within the timeout. The request may have been executed.
     TimedOut,
-    /// No connection; it did not run.
+    /// No connection could be established. The request was not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke before the answer. The request may have been executed.
     Reset,
-    /// Cancelled; it may have run.
+    /// The router cancelled the attempt. The request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was not sent.
     NeverSent,
-    /// Never sent, as this machine had no port, route, memory, descriptor or thread for it: that says nothing
-    /// about the endpoint.
+    /// The attempt was not sent because this machine lacked a port, route, memory, descriptor or thread for
+    /// it. The outcome is no evidence of the endpoint's health.
     LocalError,
-    /// Rejected without being executed: not the primary, or too far behind.
+    /// The endpoint rejected the request without executing it because it is not the primary, or because it has
+    /// not reached the required position.
     NotServable,
 }
 
 impl Outcome {
-    /// The name in logs and metrics.
+    /// The name of the outcome in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Ok => "ok",
@@ -138,30 +140,30 @@
         }
     }
 
-    /// Whether the attempt may have taken effect.
+    /// Whether the request may have been executed by the attempt.
     pub fn may_have_run(self) -> bool {
         use Outcome::{ConnectFailed, LocalError, NeverSent, NotServable, RejectedByMember};
         !matches!(self, RejectedByMember | ConnectFailed | NeverSent | LocalError | NotServable)
     }
 }
 
-/// The end of an attempt.
+/// The result of an attempt that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// The request that the attempt was made for.
     pub request: RequestId,
-    /// The attempt, counted from 0.
+    /// The number of the attempt, counted from 0 for each request.
     pub attempt: u32,
-    /// The endpoint it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The time since its send.
+    /// The time from the sending of the attempt to its end, in microseconds.
     pub elapsed: Micros,
-    /// What the response reports about the endpoint.
+    /// What the response reports about the endpoint; empty without a response.
     pub metadata: ResponseMetadata,
-    /// Whether the request has had its final answer.
+    /// Whether the request has had its final answer, so that the router makes no further attempt.
     pub finished: bool,
-    /// The load report that came with the response, if any.
+    /// The load report that came with the response; empty without one.
     pub report: LoadReport,
 }
