--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -3,79 +3,87 @@
 use super::settings_document::SettingsDocument;
 use crate::{Class, Micros};
 
-/// How an endpoint handles a read for which it is too far behind.
+/// How an endpoint handles a read that requires a position that the endpoint has not reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleReadBehavior {
-    /// It answers from the data that it has: only the router prevents stale answers.
+    /// Answers from the data that it has, so that only the router can prevent stale answers.
     Serve,
-    /// It rejects the read without executing it.
+    /// Rejects the read without executing it.
     Reject,
-    /// It waits for up to this long to catch up, then rejects the read without executing it.
+    /// Waits for up to this long until it has reached the position, then rejects the read without executing
+    /// it.
     WaitThenReject(Micros),
 }
 
-/// The settings of a router at its start. The simulator's adapter and the proxy read the same settings.
+/// The settings with which a router starts. The simulator's adapter and the proxy read the same format.
 #[derive(Clone, Debug, serde::Deserialize)]
 #[serde(try_from = "SettingsDocument")]
 pub struct Settings {
-    /// Routers that share the endpoints, this one included.
+    /// The number of routers that share the endpoints, including this one.
     pub instances: u32,
-    /// The zone of this router.
+    /// The zone that this router runs in.
     pub zone: u32,
-    /// The shortest span between two batches of events.
+    /// The shortest interval between two batches of events.
     pub resolution: Micros,
-    /// The classes, by index.
+    /// The request classes. [`Request::class`](crate::Request::class) is an index of this vector.
     pub classes: Vec<Class>,
-    /// For each tenant, the requests per second over all routers that keep their full priority weight.
+    /// The quota of each tenant: the requests per second, over all routers, that have their full priority
+    /// weight.
     pub quotas: Vec<f64>,
-    /// The part of its priority weight that a request beyond its tenant's quota keeps.
+    /// The share of the priority weight that a request beyond its tenant's quota has.
     pub over_quota_weight: f64,
-    /// How endpoints handle reads for which they are too far behind.
+    /// How endpoints handle reads that require a position that they have not reached.
     pub stale_read_behavior: StaleReadBehavior,
-    /// Session commits are remembered by the router (else the request carries its session's last write).
+    /// Whether the router remembers the last commit of each session. Otherwise each request says when its
+    /// session last wrote.
     pub remember_commits: bool,
-    /// At most this many attempts for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Whether a rejection may advise a retry delay.
+    /// Whether a rejection may advise a retry delay to the client.
     pub retry_after: bool,
-    /// The longest retry delay that a client honours.
+    /// The longest retry delay that clients follow.
     pub max_retry_after: Micros,
     /// Whether health checks may be sent.
     pub probes: bool,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Whether an endpoint that is listed as removed may still be used; one listed as draining never may.
+    /// Whether an endpoint that is listed as removed may still be used. An endpoint that is listed as
+    /// draining is never used.
     pub removed_endpoints_usable: bool,
     /// Whether the endpoint list is sent only on request.
     pub list_on_request: bool,
-    /// The time within which sends to a draining or removed endpoint have to stop.
+    /// How soon after an endpoint is listed as draining or removed the router must have stopped sending
+    /// requests to it.
     pub drain_grace: Micros,
-    /// The share of its capacity that an endpoint has at least when it starts.
+    /// The least capacity of an endpoint that has just started, as a share of its full capacity.
     pub slow_start_capacity: f64,
-    /// The time within which a started endpoint reaches its full capacity.
+    /// The time after its start within which an endpoint reaches its full capacity.
     pub slow_start_duration: Micros,
-    /// An endpoint that is warming up fails when sent more than this multiple of its capacity ...
+    /// The multiple of its current capacity above which an endpoint that is warming up fails, if it is sent
+    /// that much work for [`Settings::overload_window`].
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// How long an endpoint that is warming up must be overloaded before it fails.
     pub overload_window: Micros,
-    /// The cost of one zone crossing for each request, as a share of the result.
+    /// The cost of a request that crosses zones, as a share of its result. If it is above 0, the router
+    /// prefers endpoints in its own zone.
     pub cross_zone_cost: f64,
-    /// The names of the classes, by index.
+    /// The names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
     /// The names of the values in a load report, in order.
     pub load_report_fields: Vec<String>,
-    /// The time from which the simulator's wire counts positions.
+    /// The time that positions on the simulator's wire are relative to.
     pub position_epoch: Micros,
-    /// A connection that is not established within this has failed.
+    /// The time after which an attempt to establish a connection has failed.
     pub connect_timeout: Micros,
-    /// An endpoint closes a connection that was idle for this long.
+    /// How long a connection may be idle before its endpoint closes it.
     pub idle_timeout: Micros,
-    /// The most open requests of one router.
+    /// The maximum number of pending requests of one router.
     pub max_pending: usize,
 }
 
 impl Default for Settings {
-    /// A single router, endpoints that reject reads when behind, and no costs.
+    /// Settings for a single router without classes, tenants or zone costs, and for endpoints that reject
+    /// reads that require a position that they have not reached.
     fn default() -> Self {
         Settings {
             instances: 1,
@@ -110,12 +118,12 @@
 }
 
 impl Settings {
-    /// Whether endpoints also answer from stale data, so that only the router can prevent stale answers.
+    /// Whether endpoints answer reads from stale data, so that only the router can prevent stale answers.
     pub fn endpoints_serve_stale(&self) -> bool {
         self.stale_read_behavior == StaleReadBehavior::Serve
     }
 
-    /// The index of the class with this name.
+    /// Returns the index of the class with this name.
     pub fn class(&self, name: &[u8]) -> Option<usize> {
         self.class_names.iter().position(|class_name| class_name.as_bytes() == name)
     }
--- a/src/model/settings_document.rs
+++ b/src/model/settings_document.rs
@@ -1,32 +1,36 @@
-//! The settings in the format of the simulator and of the proxy's configuration. This is their only parser.
+//! Parses the settings from the JSON format of the simulator and of the proxy's configuration. No other code
+//! parses that format.
 
 use crate::{Class, Idempotency, Micros, Requirement, Settings, StaleReadBehavior};
 use serde::Deserialize;
 
-/// Why settings that are well-formed JSON cannot be used.
+/// Why settings that are well-formed JSON can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The `freshness` of a class is missing or unknown.
-    #[error("freshness of class {class} is {freshness:?}")]
+    #[error(
+        "freshness of class {class}: expected update, latest, own_writes, recent or loose, got {freshness:?}"
+    )]
     Freshness {
         /// The index of the class.
         class: usize,
-        /// The value, if there is one.
+        /// The unknown value; `None` if it is missing.
         freshness: Option<String>,
     },
     /// The `effect` of a class is unknown.
-    #[error("effect of class {class} is {effect:?}")]
+    #[error("effect of class {class}: expected safe, keyed or unsafe, got {effect:?}")]
     Effect {
         /// The index of the class.
         class: usize,
-        /// The value.
+        /// The unknown value.
         effect: String,
     },
-    /// `when_behind` is unknown.
-    #[error("when_behind is {0:?}")]
+    /// The value of `when_behind` is unknown.
+    #[error("when_behind: expected silent, reject or hold, got {0:?}")]
     WhenBehind(String),
 }
 
+/// The settings as they are written. [`Settings`] documents the meaning of the fields.
 #[derive(Deserialize)]
 pub(super) struct SettingsDocument {
     #[serde(default = "single_instance")]
