--- a/src/stable_hash.rs
+++ b/src/stable_hash.rs
@@ -1,12 +1,12 @@
-//! A hash that is the same for the same bytes at every proxy, on every machine and after every restart.
+//! A hash function whose values are the same at every proxy, on every machine and after every restart.
 
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// FNV-1a, 64 bits.
+/// Returns the 64-bit FNV-1a hash of `bytes`.
 ///
-/// The algorithm must not change: endpoint ids, session ids and cancellation secrets are made from it, and
-/// proxies exchange the ids with their peers and compare them across restarts.
+/// The algorithm must not change: endpoint ids, session ids and cancellation secrets are derived from the
+/// hash, and proxies exchange the ids with their peers and compare them across restarts.
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(bytes);
