--- a/src/estimators/replication.rs
+++ b/src/estimators/replication.rs
@@ -31,8 +31,8 @@
         self.observed_at
     }
 
-    /// The position that the endpoint has probably reached by `now`. While the group's clock is unknown, it is
-    /// higher than any required position, because there is no evidence that the endpoint lags.
+    /// The position that the endpoint has probably reached by `now`. While the group's clock is unknown, it
+    /// is higher than any required position, because there is no evidence that the endpoint lags.
     pub(crate) fn estimated_position(&self, clock: GroupClock, now: Micros) -> Micros {
         let Some(group_time) = clock.group_time(now) else { return Micros::MAX / 2 };
         let decay = (-((now - self.observed_at) as f64) / LAG_TIME_CONSTANT_US).exp();
@@ -40,9 +40,9 @@
         self.known_position(clock, now).max(estimated)
     }
 
-    /// The position to expect when the endpoint serves a read that is sent now. If endpoints serve stale data,
-    /// only the known position is safe; otherwise an endpoint that lags rejects the read, and the estimate
-    /// suffices.
+    /// The position to expect when the endpoint serves a read that is sent now. If endpoints serve stale
+    /// data, only the known position is safe; otherwise an endpoint that lags rejects the read, and the
+    /// estimate suffices.
     pub(crate) fn expected_position(
         &self,
         behavior: StaleReadBehavior,
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -118,8 +118,8 @@
     /// The attempt was not sent because this machine lacked a port, route, memory, descriptor or thread for
     /// it. The outcome is no evidence of the endpoint's health.
     LocalError,
-    /// The endpoint rejected the request without executing it because it is not the primary, or because it has
-    /// not reached the required position.
+    /// The endpoint rejected the request without executing it because it is not the primary, or because it
+    /// has not reached the required position.
     NotServable,
 }
 
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -78,8 +78,8 @@
     /// The router-wide sequence number of the last attempt sent to the endpoint; a random number below all
     /// sequence numbers before the first attempt.
     pub(crate) last_send_number: u64,
-    /// When the latest of the attempts that were answered without queueing was sent. Attempts sent well before
-    /// that time count as lost.
+    /// When the latest of the attempts that were answered without queueing was sent. Attempts sent well
+    /// before that time count as lost.
     pub(crate) last_undelayed_send: Micros,
     pub(crate) last_answer_at: Micros,
 
@@ -100,8 +100,8 @@
     /// When a connection to the endpoint first failed after its last answer; 0 for none.
     pub(crate) disconnected_since: Micros,
     /// Whether the endpoint counts as not running. It is set when a connection is refused some time after
-    /// `disconnected_since`; for an endpoint that is not listed as ready, by the first refusal; for one that is
-    /// listed as removed, also when an attempt gets no answer.
+    /// `disconnected_since`; for an endpoint that is not listed as ready, by the first refusal; for one that
+    /// is listed as removed, also when an attempt gets no answer.
     pub(crate) down: bool,
     /// When the endpoint first answered after it was last down; 0 for never.
     pub(crate) recovered_at: Micros,
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Records that the endpoint is running. If it was down, it may have just been restarted, so its slow-start
-    /// budgets are reset.
+    /// Records that the endpoint is running. If it was down, it may have just been restarted, so its
+    /// slow-start budgets are reset.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.confirmed = true;
         self.probe_unanswered = false;
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -17,8 +17,8 @@
     pub(crate) required_position: Micros,
     /// The priority weight, reduced for retries by the client and for tenants beyond their quota.
     pub(crate) priority: f64,
-    /// A random number between 0 and 1, drawn at the arrival. Among requests of equal priority, those with the
-    /// lowest numbers are shed first.
+    /// A random number between 0 and 1, drawn at the arrival. Among requests of equal priority, those with
+    /// the lowest numbers are shed first.
     pub(crate) shed_draw: f64,
 
     /// The number of attempts sent, not counting those that failed for a local error of this machine.
@@ -85,8 +85,8 @@
         self.attempts = self.attempts.saturating_sub(1);
     }
 
-    /// Starts a new round, in which all endpoints may be tried again. Ends the backoff if the primary has been
-    /// found.
+    /// Starts a new round, in which all endpoints may be tried again. Ends the backoff if the primary has
+    /// been found.
     pub(crate) fn reset_round(&mut self, found_primary: bool) {
         self.tried.clear();
         self.search_attempts = 0;
--- a/src/state/serving_capacity.rs
+++ b/src/state/serving_capacity.rs
@@ -17,8 +17,8 @@
 }
 
 impl ServingCapacity {
-    /// Records the capacity at this time. It is averaged with the time constant of [`DecayingRate`], so that it
-    /// can be compared with rates of served work.
+    /// Records the capacity at this time. It is averaged with the time constant of [`DecayingRate`], so that
+    /// it can be compared with rates of served work.
     pub(crate) fn record(&mut self, capacity: f64, now: Micros) {
         let age = now.saturating_sub(self.recorded_at) as f64;
         let decay = (-age / DecayingRate::TIME_CONSTANT_US).exp();
@@ -43,8 +43,8 @@
         self.recorded_at
     }
 
-    /// The highest observed rate of served work, per second and per warm endpoint, in microseconds of unloaded
-    /// latency; 0 before any was recorded.
+    /// The highest observed rate of served work, per second and per warm endpoint, in microseconds of
+    /// unloaded latency; 0 before any was recorded.
     pub(crate) fn peak_work_per_endpoint(&self) -> f64 {
         self.peak_work_per_endpoint
     }
--- a/src/state/session_commits.rs
+++ b/src/state/session_commits.rs
@@ -29,8 +29,8 @@
     }
 
     /// The position that an endpoint must have reached to serve a request that arrives when its group's clock
-    /// reads `group_time`; 0 for none. A bound on staleness is not included, because it depends on the time at
-    /// which the request is sent.
+    /// reads `group_time`; 0 for none. A bound on staleness is not included, because it depends on the time
+    /// at which the request is sent.
     pub(crate) fn required_position(
         &self,
         request: &Request,
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -201,8 +201,8 @@
     /// The start of an endpoint on the host's clock; 0 for long ago.
     ///
     /// It is the latest time that the evidence of the clocks allows, but not later than the time at which the
-    /// start was listed. With an earlier time, an endpoint that is warming up would look warm after a clock was
-    /// stepped forward.
+    /// start was listed. With an earlier time, an endpoint that is warming up would look warm after a clock
+    /// was stepped forward.
     pub(crate) fn started_at(&self, index: EndpointIndex) -> Micros {
         let endpoint = &self[index];
         let is_long_ago = endpoint.started_at == 0;
@@ -212,7 +212,8 @@
         let clocks = [self.clock(endpoint.group), self.default_clock];
         let starts = clocks.iter().filter_map(|clock| clock.latest_host_time(endpoint.started_at));
         // Without evidence of the clocks, a start that was listed after the first list counts as having
-        // happened when it was listed; for a start in the first list, the host's clock is assumed to be right.
+        // happened when it was listed; for a start in the first list, the host's clock is assumed to be
+        // right.
         let is_in_first_list = endpoint.start_listed_at == self.first_listed_at;
         let presumed = if is_in_first_list { endpoint.started_at } else { endpoint.start_listed_at };
         starts.max().unwrap_or(presumed).min(endpoint.start_listed_at)
@@ -223,8 +224,8 @@
         std::mem::take(&mut self.clock_steps)
     }
 
-    /// Takes the groups whose clock estimate has changed since the last call, so that the start times of their
-    /// endpoints may have changed on the host's clock.
+    /// Takes the groups whose clock estimate has changed since the last call, so that the start times of
+    /// their endpoints may have changed on the host's clock.
     pub(crate) fn take_clock_changes(&mut self) -> Vec<GroupId> {
         std::mem::take(&mut self.clock_changes)
     }
@@ -350,8 +351,8 @@
         }
     }
 
-    /// The expected queueing delay of an attempt at endpoints with the same role and group as this endpoint, as
-    /// a share of its latency objective.
+    /// The expected queueing delay of an attempt at endpoints with the same role and group as this endpoint,
+    /// as a share of its latency objective.
     pub(crate) fn expected_delay(&self, index: EndpointIndex, now: Micros) -> f64 {
         let role = self.role(index);
         self.groups[&self[index].group].queueing_delay[role].estimate(self.queueing_delay[role], now)
--- a/src/state/usable_counts.rs
+++ b/src/state/usable_counts.rs
@@ -9,8 +9,8 @@
 pub(crate) struct UsableCounts {
     /// For each usable endpoint, the time at which its warm-up ends.
     warm_at: BTreeMap<EndpointIndex, Micros>,
-    /// The usable endpoints that were still warming up at the last call of `warm`, ordered by the end of their
-    /// warm-up.
+    /// The usable endpoints that were still warming up at the last call of `warm`, ordered by the end of
+    /// their warm-up.
     warming: BTreeSet<(Micros, EndpointIndex)>,
 }
 
@@ -40,7 +40,8 @@
         self.warming.iter().map(|(_, index)| *index)
     }
 
-    /// The number of usable endpoints that are warm at `now`, which must not be earlier than in previous calls.
+    /// The number of usable endpoints that are warm at `now`, which must not be earlier than in previous
+    /// calls.
     pub(crate) fn warm(&mut self, now: Micros) -> usize {
         while self.warming.first().is_some_and(|(warm_at, _)| *warm_at <= now) {
             self.warming.pop_first();
