--- a/src/estimators/group_clock.rs
+++ b/src/estimators/group_clock.rs
@@ -46,14 +46,14 @@
 
 /// The estimate of how far a group's clock is ahead of the host's, in microseconds; negative if it is behind.
 ///
-/// An estimate that is too low makes lagging replicas look fresh; one that is too high only makes replicas
-/// look staler than they are. So a single report raises the estimate, but only confirmed evidence lowers it.
+/// An estimate that is too low makes lagging replicas look fresh; one that is too high makes replicas look
+/// staler than they are. So a single report raises the estimate, but only confirmed evidence lowers it.
 #[derive(Clone, Copy)]
 pub(crate) struct ClockOffset {
     offset: i64,
     /// Whether a primary's answer has shown that the true offset is not higher.
     is_bounded: bool,
-    /// The first evidence of a lower offset, until it is confirmed.
+    /// Evidence of a lower offset that a later report of the same primary has yet to confirm.
     lower: Option<PrimaryPosition>,
 }
 
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -25,7 +25,7 @@
     pub zone: u32,
     /// The shortest interval between two batches of events.
     pub resolution: Micros,
-    /// The request classes. [`Request::class`](crate::Request::class) is an index of this vector.
+    /// The request classes. [`Request::class`](crate::Request::class) is an index into this vector.
     pub classes: Vec<Class>,
     /// The quota of each tenant: the requests per second, over all routers, that have their full priority
     /// weight.
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -87,8 +87,8 @@
     /// When the endpoint was last observed to be a replica; 0 if it was observed to be the primary since.
     pub(crate) replica_seen_at: Micros,
 
-    /// How many attempts of this router may be outstanding at the endpoint. Work of the lowest priority may
-    /// use only a part of the limit, and work of the highest priority may exceed it.
+    /// How many attempts of this router may be outstanding at the endpoint. Work of low priority may use only a
+    /// part of the limit, and work of the highest priority may exceed it.
     pub(crate) concurrency_limit: f64,
     pub(crate) queueing_delay: QueueingDelay,
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Whether the list names the endpoint as the primary, and no evidence has shown it to be a replica.
+    /// Whether the list names the endpoint as the primary, and it was not observed to be a replica since.
     pub(crate) fn is_hinted_primary(&self) -> bool {
         self.primary_hint && self.replica_seen_at == 0
     }
--- a/src/state/pending_request.rs
+++ b/src/state/pending_request.rs
@@ -29,7 +29,7 @@
     pub(crate) in_flight: Option<u32>,
     /// When the earliest attempt that may have run was sent.
     pub(crate) first_run_at: Option<Micros>,
-    /// The endpoints that have been tried in this round; the request is not sent to them again in this round.
+    /// The endpoints that the request must not be sent to again in this round.
     pub(crate) tried: Vec<EndpointIndex>,
     /// The number of endpoints that the request was sent to in this round in search of the primary.
     pub(crate) search_attempts: u32,
--- a/src/state/serving_capacity.rs
+++ b/src/state/serving_capacity.rs
@@ -28,7 +28,7 @@
 
     /// Records the rate of the work that the endpoints serve for this router, in microseconds of unloaded
     /// latency per second. Ignores the rate until work has been served for one time constant of
-    /// [`DecayingRate`], because a rate that has just begun to rise is lower than the work that arrives.
+    /// [`DecayingRate`], because a rate that has just begun to rise is lower than the work that is served.
     pub(crate) fn record_served(&mut self, work: f64, now: Micros) {
         let start = *self.served_since.get_or_insert(now);
         if work <= 0.0 {
