--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -87,8 +87,8 @@
     /// When the endpoint was last observed to be a replica; 0 if it was observed to be the primary since.
     pub(crate) replica_seen_at: Micros,
 
-    /// How many attempts of this router may be outstanding at the endpoint. Work of low priority may use only a
-    /// part of the limit, and work of the highest priority may exceed it.
+    /// How many attempts of this router may be outstanding at the endpoint. Work of low priority may use only
+    /// a part of the limit, and work of the highest priority may exceed it.
     pub(crate) concurrency_limit: f64,
     pub(crate) queueing_delay: QueueingDelay,
 
