--- a/src/estimators/tests.rs
+++ b/src/estimators/tests.rs
@@ -24,7 +24,7 @@
     }
     let settled = rate.per_second_at(20 * SECOND);
     assert!((45.0..55.0).contains(&settled), "{settled}");
-    let later = rate.per_second_at(20 * SECOND + DecayingRate::SPAN as Micros);
+    let later = rate.per_second_at(20 * SECOND + DecayingRate::TIME_CONSTANT_US as Micros);
     assert!((later / settled - (-1.0f64).exp()).abs() < 1e-9, "{later}");
 }
 
@@ -37,18 +37,18 @@
     assert!((19_000.0..25_000.0).contains(&fast), "{fast}");
     (0..100).for_each(|_| baselines.record(0, 300_000));
     let loaded = baselines.unloaded_latency(0);
-    assert!(loaded < 1.2 * fast, "load must not become the norm: {loaded}");
+    assert!(loaded < 1.2 * fast, "latencies under load must not become the baseline: {loaded}");
 }
 
 #[test]
-fn a_class_without_answers_shares_the_pace_of_the_others() {
+fn the_baseline_of_a_class_without_answers_scales_with_those_of_the_others() {
     let mut baselines = LatencyBaselines::new(&[class(400_000), class(800_000)]);
     (0..50).for_each(|_| baselines.record(0, 10_000));
     assert!(baselines.unloaded_latency(1) < 60_000.0, "{}", baselines.unloaded_latency(1));
 }
 
 #[test]
-fn a_group_delay_fades_to_the_delay_of_all_groups() {
+fn the_delay_of_a_group_decays_to_the_delay_of_all_groups() {
     let mut group = GroupQueueingDelay::default();
     let all = QueueingDelay::default();
     group.record(1.0, all, 10 * SECOND);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_replication_position_never_goes_back_and_its_lag_fades() {
+fn a_replication_position_never_decreases_and_its_lag_decays() {
     let mut replication = ReplicationEstimate::default();
     let clock = GroupClock::Host;
     replication.record(9 * SECOND, clock, 10 * SECOND);
@@ -65,7 +65,7 @@
     assert_eq!(replication.known_position(clock, 10 * SECOND), 9 * SECOND);
     assert_eq!(replication.estimated_position(clock, 10 * SECOND), 9 * SECOND);
     assert!(replication.estimated_position(clock, 20 * SECOND) > 19 * SECOND);
-    replication.record_missing(5 * SECOND, clock, 10 * SECOND);
+    replication.record_position_not_reached(5 * SECOND, clock, 10 * SECOND);
     assert_eq!(replication.known_position(clock, 10 * SECOND), 9 * SECOND);
     assert_eq!(replication.observed_at(), 10 * SECOND);
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -53,7 +53,7 @@
             }
         }
         let id = request.id;
-        let present = self.topology.present(request.group, self.now);
+        let present = self.topology.group_time(request.group, self.now);
         let required_position = self.commits.required_position(&request, &self.settings, present);
         let pending = PendingRequest::new(request, class, self.now);
         self.requests.insert(id, PendingRequest { priority, required_position, shed_draw, ..pending });
@@ -99,7 +99,7 @@
     /// primary, it waits. Guards against errors of this machine that pass for a group that is down.
     pub(super) fn retry_after_local_error(&mut self, id: RequestId, index: EndpointIndex) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        pending.take_back_attempt();
+        pending.uncount_attempt();
         match self.settings.classes[pending.request.class].role() {
             Role::Replica => {
                 pending.tried.push(index);
@@ -178,7 +178,7 @@
             (Requirement::BoundedStaleness(bound), Role::Replica) => {
                 let clock = self.topology.clock_of(index);
                 let position = self.topology[index].replication.known_position(clock, self.now);
-                let present = clock.present(self.now).unwrap_or(Micros::MAX);
+                let present = clock.group_time(self.now).unwrap_or(Micros::MAX);
                 (position + bound).saturating_sub(present.saturating_add(process_pause_margin(bound)))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
