--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -2,47 +2,47 @@
 
 use std::io::ErrorKind;
 
-/// The reason of responses that can't be used.
+/// The reason, in logs and metrics, of responses that can't be parsed.
 const UNREADABLE: &str = "unreadable";
 
 /// Why a call to discovery, or a watch, ended.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// The connection failed, or a read or write on it timed out.
+    /// Connecting, writing the request or reading the response failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// Another call was opened beside this one, as it was quiet, and took its place.
-    #[error("quiet for too long")]
+    /// The call did not respond, and was closed so that another one could be opened.
+    #[error("neither an update nor a heartbeat arrived in time")]
     Replaced,
     /// Another call delivered an update or a heartbeat first.
-    #[error("another call was answered first")]
+    #[error("another call delivered an update or a heartbeat first")]
     Superseded,
-    /// A new connection did not take the request.
-    #[error("the request could not be written")]
+    /// The socket of a new connection accepted only a part of the request.
+    #[error("the request was written only in part")]
     RequestNotWritten,
-    /// The stream ended within the response.
-    #[error("unexpected end of file")]
+    /// The response ended before it was complete.
+    #[error("the response ended before it was complete")]
     UnexpectedEnd,
     /// The head of the response is not HTTP.
     #[error(transparent)]
     Head(#[from] httparse::Error),
-    /// The head of the response is too long.
-    #[error("headers too long")]
+    /// The head of the response is longer than the limit.
+    #[error("the head of the response exceeds the size limit")]
     HeadTooLong,
     /// The response has a status other than 200.
     #[error("discovery answered {0:?}")]
     Status(Option<u16>),
-    /// The length given by the response is not a number.
+    /// The `Content-Length` of the response is not a number.
     #[error("bad length")]
     ContentLength,
     /// The size of a chunk can't be parsed.
     #[error("bad chunk")]
     ChunkSize,
-    /// The response contains something other than a JSON object.
-    #[error("no JSON object")]
+    /// The body contains something other than JSON objects and white space.
+    #[error("expected the start of a JSON object, got another character")]
     NotAnObject,
-    /// An object is longer than the longest accepted list.
-    #[error("list too long")]
+    /// An object is longer than the longest accepted endpoint list.
+    #[error("the endpoint list exceeds the size limit")]
     ListTooLong,
     /// An object is not an endpoint list.
     #[error(transparent)]
@@ -50,7 +50,7 @@
 }
 
 impl DiscoveryError {
-    /// Whether the response arrived and can't be used.
+    /// Whether the response can't be parsed.
     pub fn is_unreadable(&self) -> bool {
         self.reason() == UNREADABLE
     }
