--- a/src/net/discovery/cancellation.rs
+++ b/src/net/discovery/cancellation.rs
@@ -1,27 +1,29 @@
-//! Ends the thread of a watch, whatever it waits for.
+//! The cancellation of a watch's thread, whatever the thread waits for.
+//!
+//! A socket pair carries it, so that the thread can wait for it and for the sockets of its calls together.
 
 use std::io::Result;
 use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::net::UnixStream;
 
-/// The owner's end. Dropping it cancels, too.
+/// The owner's end of the socket pair. Dropping it cancels the watch, too.
 pub(super) struct Cancellation(UnixStream);
 
 impl Cancellation {
-    /// Both ends.
+    /// Creates both ends.
     pub(super) fn new() -> Result<(Cancellation, CancellationReceiver)> {
         let (owner, thread) = UnixStream::pair()?;
         thread.set_nonblocking(true)?;
         Ok((Cancellation(owner), CancellationReceiver(thread)))
     }
 
-    /// Cancels.
+    /// Cancels the watch: the receiver becomes readable.
     pub(super) fn cancel(&self) {
         let _ = self.0.shutdown(std::net::Shutdown::Both);
     }
 }
 
-/// The thread's end.
+/// The end of the socket pair that the watch's thread holds.
 pub(super) struct CancellationReceiver(UnixStream);
 
 impl CancellationReceiver {
--- a/src/net/discovery/http_response.rs
+++ b/src/net/discovery/http_response.rs
@@ -1,21 +1,21 @@
-//! Decodes an HTTP/1.1 response as it arrives: its head, and a body in chunks, of a given length, or to the
-//! end of the stream.
+//! Decodes an HTTP/1.1 response incrementally: the head, and a body that is chunked, has a given length, or
+//! extends to the end of the stream.
 
 use super::error::DiscoveryError;
 
 /// The longest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most headers that are read.
+/// The most headers of a response; one with more can't be parsed.
 const MAX_HEADERS: usize = 32;
 const STATUS_OK: u16 = 200;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 enum Framing {
-    /// In chunks; this many bytes are left of the current one.
+    /// The body is chunked; `remaining` bytes of the current chunk are still to come.
     Chunked { remaining: usize },
-    /// Of a given length; this many bytes are left.
+    /// The body has a given length; `remaining` bytes of it are still to come.
     Sized { remaining: usize },
-    /// By the end of the stream.
+    /// The body ends with the stream.
     UntilClose,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// What the bytes received so far contain next.
+/// A decoded part of a response.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum ResponsePart {
     /// The head of the response is complete.
@@ -47,26 +47,25 @@
     End,
 }
 
-/// The decoder of one response.
+/// Decodes one response.
 pub(super) struct ResponseDecoder {
-    /// Bytes that were received but not decoded yet.
+    /// Received bytes that are not decoded yet.
     buffer: Vec<u8>,
-    /// `None` until the head is complete.
+    /// The framing of the body; `None` until the head is complete.
     framing: Option<Framing>,
 }
 
 impl ResponseDecoder {
-    /// A decoder that has received nothing.
     pub(super) fn new() -> Self {
         ResponseDecoder { buffer: Vec::new(), framing: None }
     }
 
-    /// Takes bytes that were received.
+    /// Adds received bytes to the buffer.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next part; `None` until more bytes are received.
+    /// Returns the next part; `None` if more bytes are needed for it.
     pub(super) fn next(&mut self) -> Result<Option<ResponsePart>, DiscoveryError> {
         if self.framing.is_none() {
             return Ok(self.parse_head()?.then_some(ResponsePart::Head));
@@ -81,7 +80,7 @@
         Ok(Some(ResponsePart::Body(self.buffer.drain(..available).collect())))
     }
 
-    /// Removes the head from the buffer; `false` if it has not arrived completely.
+    /// Parses the head and removes it from the buffer; returns `false` if the head is incomplete.
     fn parse_head(&mut self) -> Result<bool, DiscoveryError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -97,7 +96,7 @@
         Ok(true)
     }
 
-    /// How many bytes at the front of the buffer belong to the body; `None` at the end of the body.
+    /// Returns how many bytes at the front of the buffer belong to the body; `None` at the end of the body.
     fn available(&mut self) -> Result<Option<usize>, DiscoveryError> {
         match self.framing {
             None | Some(Framing::UntilClose) => Ok(Some(self.buffer.len())),
@@ -109,15 +108,16 @@
         }
     }
 
-    /// Reads the size of the next chunk, if it has arrived, and returns what [`Self::available`] does.
+    /// Parses the size of the next chunk if it has arrived completely. Returns the same as
+    /// [`Self::available`].
     fn next_chunk(&mut self) -> Result<Option<usize>, DiscoveryError> {
-        // The line break that ends the previous chunk precedes the next size.
+        // The size is preceded by the line break that ends the previous chunk.
         while self.buffer.first().is_some_and(|byte| b"\r\n".contains(byte)) {
             self.buffer.remove(0);
         }
         let parsed = httparse::parse_chunk_size(&self.buffer).map_err(|_| DiscoveryError::ChunkSize)?;
         let httparse::Status::Complete((length, size)) = parsed else {
-            // Guards against a line that never ends: it would fill the memory.
+            // Without the limit, a size line that never ends would fill the memory.
             let too_long = self.buffer.len() > MAX_HEAD_BYTES;
             return if too_long { Err(DiscoveryError::ChunkSize) } else { Ok(Some(0)) };
         };
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! The discovery watch: keeps calls to discovery open, and passes each update of the endpoint list on.
 //!
-//! What discovery has counts as known to the proxy, so there is no moment in which nobody listens: a call
-//! that is quiet stays open, and is read, while another one is opened beside it, until one of them delivers
-//! something.
+//! Whatever discovery holds counts as known to the proxy, so the watch must not stop listening: a call that
+//! does not respond stays open, and is still read, while another one is opened beside it. The others are
+//! closed when one of them delivers something.
 
 mod backoff;
 mod call;
@@ -21,68 +21,72 @@
 use std::time::Duration;
 use watcher::Watcher;
 
-/// Discovery sends an empty line every 2 s as a heartbeat: a watch without a line for longer is silent.
+/// A watch call that has received neither an update nor a heartbeat for this long counts as unresponsive.
+/// Discovery sends an empty line as a heartbeat every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2400);
 
 /// The number of a watch; a newer watch has a higher one.
 pub type WatchId = u64;
 
-/// Something that a watch reports.
+/// A report of a watch to its owner.
 pub struct WatchEvent {
-    /// The watch.
+    /// The watch that reports: events of a watch that has been replaced may still arrive.
     pub watch: WatchId,
-    /// What it reports.
+    /// The content of the report.
     pub report: WatchReport,
 }
 
-/// The report of a watch.
+/// The content of a watch's report.
 pub enum WatchReport {
     /// The complete list, or the entries that have changed.
     Update(EndpointList),
     /// A call ended.
     CallEnded(CallEnd),
-    /// Discovery does not answer any more: no call that is open has delivered anything in time.
+    /// Discovery does not answer: no open call has delivered anything in time, or a call failed or ended.
+    /// Reported once, until an [`WatchReport::Answered`] follows.
     Unanswered,
-    /// Discovery answers again, after this time.
+    /// Discovery answers again, this long after [`WatchReport::Unanswered`].
     Answered(Duration),
 }
 
 /// A call that ended, for the log.
 pub struct CallEnd {
-    /// Its number among the calls of its watch.
+    /// The call's number within its watch; the first call is number 1.
     pub call: u64,
-    /// What it asked for.
+    /// The path of the call's HTTP request.
     pub path: String,
-    /// Why it ended, in one word.
+    /// The reason as it appears in logs and metrics.
     pub reason: &'static str,
-    /// Why it ended, in words.
+    /// The error's text; empty if the call ended regularly.
     pub detail: String,
-    /// The time from its begin.
+    /// The time from opening the call to its end.
     pub lasted: Duration,
-    /// Updates that it delivered.
+    /// The number of updates that the call delivered.
     pub updates: u64,
-    /// The revision of the list at its end, if any is known.
+    /// The revision of the latest list when the call ended; `None` if there is none.
     pub revision: Option<u64>,
 }
 
 /// The receiver of watch events has been dropped.
 pub struct ReceiverClosed;
 
-/// The sink of a watch's events; may block until there is capacity.
+/// The sink of a watch's events. It may block until there is capacity.
 pub type EventSink = Box<dyn Fn(WatchEvent) -> Result<(), ReceiverClosed> + Send>;
 
-/// A running watch. Dropping it ends the watch, whatever its state.
+/// A running watch. Dropping it ends the watch and its thread, whatever the thread waits for.
 pub struct Watch {
-    /// Its number.
+    /// The number that identifies this watch in its events.
     pub id: WatchId,
-    /// The address of discovery.
+    /// The address of discovery that this watch calls.
     pub address: SocketAddr,
     cancellation: Cancellation,
 }
 
 impl Watch {
-    /// Starts a watch where the list of this revision is known, or none: revisions of another discovery
-    /// address are unrelated.
+    /// Starts the thread of a watch.
+    ///
+    /// `known_revision` is the revision of the list that the proxy already has from this discovery address,
+    /// if any: the revisions of different addresses are unrelated. `seed` determines the jitter.
     pub fn start(
         id: WatchId,
         address: SocketAddr,
@@ -91,8 +95,8 @@
         seed: u64,
         events: EventSink,
     ) -> std::io::Result<Watch> {
-        let (cancellation, canceled) = Cancellation::new()?;
-        let watcher = Watcher::new(id, address, kind, known_revision, seed, events, canceled)?;
+        let (cancellation, receiver) = Cancellation::new()?;
+        let watcher = Watcher::new(id, address, kind, known_revision, seed, events, receiver)?;
         spawn("discovery", move || watcher.run())?;
         Ok(Watch { id, address, cancellation })
     }
--- a/src/net/discovery/object_stream.rs
+++ b/src/net/discovery/object_stream.rs
@@ -19,14 +19,16 @@
 pub struct ObjectStream {
     /// The incomplete object.
     object: Vec<u8>,
-    /// The number of its open braces.
+    /// The number of open braces in the incomplete object; 0 between objects.
     depth: usize,
+    /// Whether the last byte is within a string, where braces do not count.
     in_string: bool,
+    /// Whether the last byte is a backslash that escapes the next one.
     after_backslash: bool,
 }
 
 impl ObjectStream {
-    /// Whether an object has begun and is not complete.
+    /// Whether the stream is between the first and the last byte of an object.
     pub fn is_within_object(&self) -> bool {
         !self.object.is_empty()
     }
