--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -1,15 +1,16 @@
-//! The delay before a call that follows a failed one: it doubles while discovery sends nothing.
+//! The delay before the call that follows a failed one.
 
 use super::call_policy::{CallPolicy, JITTER_DIVISOR};
 use crate::random::RandomSource;
 use std::time::Duration;
 
-/// Steps of jitter.
+/// The number of different values that jitter takes.
 const JITTER_STEPS: u32 = 1000;
 
-/// Exponential backoff with jitter.
+/// Exponential backoff with jitter: the delay doubles while calls receive nothing.
 ///
-/// Guards against hundreds of proxies that call in step, again and again, while discovery is overloaded.
+/// Without it, hundreds of proxies would repeat their calls at the same time, again and again, while
+/// discovery is overloaded.
 pub(super) struct Backoff {
     initial: Duration,
     max: Duration,
@@ -18,21 +19,23 @@
 }
 
 impl Backoff {
-    /// A backoff between the delays of this policy, whose jitter follows from the seed.
+    /// Creates a backoff between the shortest and the longest delay of this policy. The seed determines the
+    /// jitter.
     pub(super) fn new(policy: &CallPolicy, seed: u64) -> Self {
         let (initial, max) = (policy.retry_delay, policy.max_retry_delay);
         Backoff { initial, max, delay: initial, random: RandomSource::new(seed) }
     }
 
-    /// The delay after a failed call; `received` tells whether it had received something.
+    /// Returns the delay after a failed call, up to a quarter shorter or longer by jitter. A call that
+    /// had `received` something resets the delay to the shortest one.
     pub(super) fn next_delay(&mut self, received: bool) -> Duration {
         self.delay = if received { self.initial } else { (self.delay * 2).min(self.max) };
         let delay = self.delay;
         delay - delay / JITTER_DIVISOR + self.jitter(2 * delay)
     }
 
-    /// This duration, stretched by jitter.
-    pub(super) fn stretched(&mut self, duration: Duration) -> Duration {
+    /// Lengthens a duration by up to a quarter.
+    pub(super) fn with_jitter(&mut self, duration: Duration) -> Duration {
         duration + self.jitter(duration)
     }
 
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery: a connection that is never waited for, and what has arrived on it.
+//! One call to discovery: a non-blocking connection and the decoding of the response.
 
 use super::error::DiscoveryError;
 use super::http_response::{ResponseDecoder, ResponsePart};
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// What a call asks for.
+/// The request that a call makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallKind {
     /// The complete list, once.
@@ -19,7 +19,7 @@
 }
 
 impl CallKind {
-    /// The path of the request.
+    /// The path and query of the HTTP request.
     pub(super) fn path(self) -> String {
         match self {
             CallKind::List => "/api/targets".into(),
@@ -28,44 +28,44 @@
     }
 }
 
-/// How far a call has come after its socket was ready.
+/// The result of [`OpenCall::advance`].
 pub(super) struct CallProgress {
-    /// The items that have arrived.
+    /// The items completed by the bytes that were read.
     pub(super) items: Vec<StreamItem>,
-    /// How the call has ended, if it has.
+    /// How the call has ended; `None` while it is open.
     pub(super) end: Option<Result<(), DiscoveryError>>,
 }
 
 /// A call that is open.
 pub(super) struct OpenCall {
-    /// Its number among the calls of its watch.
+    /// The call's number within its watch, which is also its epoll token.
     pub(super) number: u64,
-    /// What it asks for.
+    /// The request that the call makes.
     pub(super) kind: CallKind,
-    /// Its connection, closed when this is dropped.
+    /// The connection, closed when the call is dropped.
     pub(super) stream: TcpStream,
-    /// The request has been written.
+    /// Whether the request has been written.
     pub(super) is_sent: bool,
-    /// When it was begun.
+    /// When connecting started.
     pub(super) opened_at: Instant,
-    /// Another call is opened beside it when it has not been answered within this.
+    /// Another call is opened beside this one if the response's head has not arrived within this time.
     pub(super) answer_limit: Duration,
-    /// When the head, or an item on a watch, last arrived.
-    pub(super) heard_at: Option<Instant>,
-    /// When bytes last arrived.
-    pub(super) bytes_at: Option<Instant>,
-    /// It has delivered an item.
+    /// When the head of the response or an item last arrived; `None` before the head.
+    pub(super) last_answer_at: Option<Instant>,
+    /// When bytes last arrived; `None` before the first ones.
+    pub(super) last_read_at: Option<Instant>,
+    /// Whether the call has delivered an item: an object or a heartbeat.
     pub(super) has_delivered: bool,
-    /// The updates that it has delivered.
+    /// The number of updates that the call has delivered.
     pub(super) updates: u64,
-    /// The updates of its watch before it was opened.
-    pub(super) updates_before: u64,
+    /// The number of updates that all calls of the watch had delivered when this call was opened.
+    pub(super) watch_updates_before: u64,
     decoder: ResponseDecoder,
     objects: ObjectStream,
 }
 
 impl OpenCall {
-    /// Begins to connect.
+    /// Starts to connect, without waiting until the connection is established.
     pub(super) fn begin(
         number: u64,
         kind: CallKind,
@@ -88,17 +88,18 @@
             is_sent: false,
             opened_at: Instant::now(),
             answer_limit,
-            heard_at: None,
-            bytes_at: None,
+            last_answer_at: None,
+            last_read_at: None,
             has_delivered: false,
             updates: 0,
-            updates_before: 0,
+            watch_updates_before: 0,
             decoder: ResponseDecoder::new(),
             objects: ObjectStream::default(),
         })
     }
 
-    /// Goes on as far as the socket is ready, and never waits. Reads once, into this buffer.
+    /// Writes the request and reads from the socket once, into `buffer`, as far as the socket is ready. Never
+    /// blocks.
     pub(super) fn advance(&mut self, host: SocketAddr, buffer: &mut [u8]) -> CallProgress {
         let mut items = Vec::new();
         let end = match self.try_advance(host, buffer, &mut items) {
@@ -109,7 +110,7 @@
         CallProgress { items, end }
     }
 
-    /// Whether the call is complete.
+    /// Does the work of [`Self::advance`]; returns whether the call is complete.
     fn try_advance(
         &mut self,
         host: SocketAddr,
@@ -121,7 +122,8 @@
             let request = format!("GET {} HTTP/1.1\r\nHost: {host}\r\n\r\n", self.kind.path());
             match (&self.stream).write(request.as_bytes()) {
                 Ok(written) if written == request.len() => self.is_sent = true,
-                // A new connection takes a few bytes at once, or none while it is being established.
+                // The send buffer of a new connection has capacity for the complete request; while the
+                // connection is being established, the write fails as not ready.
                 Ok(_) => return Err(DiscoveryError::RequestNotWritten),
                 Err(error) if is_not_ready(&error) => return Ok(false),
                 Err(error) => return Err(error.into()),
@@ -130,7 +132,7 @@
         match (&self.stream).read(buffer) {
             Ok(0) => self.finish(),
             Ok(length) => {
-                self.bytes_at = Some(Instant::now());
+                self.last_read_at = Some(Instant::now());
                 self.decoder.push(&buffer[..length]);
                 self.decode(items)
             }
@@ -139,11 +141,11 @@
         }
     }
 
-    /// Decodes what has arrived; whether the call is complete.
+    /// Decodes the bytes received; returns whether the call is complete.
     fn decode(&mut self, items: &mut Vec<StreamItem>) -> Result<bool, DiscoveryError> {
         while let Some(part) = self.decoder.next()? {
             match part {
-                ResponsePart::Head => self.heard_at = Some(Instant::now()),
+                ResponsePart::Head => self.last_answer_at = Some(Instant::now()),
                 ResponsePart::End => return self.finish(),
                 ResponsePart::Body(bytes) => {
                     if self.split_items(&bytes, items)? {
@@ -155,15 +157,15 @@
         Ok(false)
     }
 
-    /// Splits bytes of the body into items; whether the call is complete.
+    /// Splits bytes of the body into items; returns whether the call is complete.
     fn split_items(&mut self, bytes: &[u8], items: &mut Vec<StreamItem>) -> Result<bool, DiscoveryError> {
         for byte in bytes {
             let Some(item) = self.objects.push(*byte)? else { continue };
-            // An empty line around the complete list means nothing.
+            // Line breaks around a complete list are no heartbeats.
             if item == StreamItem::KeepAlive && self.kind == CallKind::List {
                 continue;
             }
-            self.heard_at = Some(Instant::now());
+            self.last_answer_at = Some(Instant::now());
             self.has_delivered = true;
             items.push(item);
             if self.kind == CallKind::List {
@@ -173,27 +175,28 @@
         Ok(false)
     }
 
-    /// The stream or the body has ended: that is regular only for a watch, between two objects.
+    /// Handles the end of the stream or of the body, which is regular only for an answered watch, and only
+    /// between two objects.
     fn finish(&self) -> Result<bool, DiscoveryError> {
         let is_watch = self.kind != CallKind::List;
-        if is_watch && self.heard_at.is_some() && !self.objects.is_within_object() {
+        if is_watch && self.last_answer_at.is_some() && !self.objects.is_within_object() {
             Ok(true)
         } else {
             Err(DiscoveryError::UnexpectedEnd)
         }
     }
 
-    /// When the call was last seen to be alive.
-    pub(super) fn quiet_since(&self) -> Instant {
-        self.heard_at.unwrap_or(self.opened_at)
+    /// When the call last received the response's head or an item, or was opened.
+    pub(super) fn silent_since(&self) -> Instant {
+        self.last_answer_at.unwrap_or(self.opened_at)
     }
 
-    /// When anything last arrived.
-    pub(super) fn last_sign_at(&self) -> Instant {
-        self.bytes_at.unwrap_or(self.opened_at)
+    /// When bytes last arrived on the call, or when it was opened.
+    pub(super) fn idle_since(&self) -> Instant {
+        self.last_read_at.unwrap_or(self.opened_at)
     }
 
-    /// Closes the connection without waiting for the other side.
+    /// Closes the connection with a TCP reset.
     pub(super) fn reset(self) {
         let _ = set_socket_linger(&self.stream, Some(Duration::ZERO));
     }
--- a/src/net/discovery/call_policy.rs
+++ b/src/net/discovery/call_policy.rs
@@ -1,91 +1,95 @@
-//! How calls to discovery follow each other: when another one is opened beside one that is quiet, how long
-//! a failed one is followed by a pause, and how many may be open.
+//! The timing of calls to discovery: when another call is opened beside one that does not respond, how long
+//! the watch waits after a failed call, and how many calls may be open.
 
 use super::SILENCE_TIMEOUT;
 use std::time::Duration;
 
-/// Who answers calls to discovery.
+/// The kind of server that answers calls to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryKind {
-    /// An agent on the proxy's machine. It answers at once, or is silent while discovery is down. What it
-    /// has counts as delivered whether or not a call is open: after an outage the proxy must hear of it
-    /// within this grace for draining endpoints.
+    /// An agent on the proxy's machine. It answers immediately, or not at all while discovery is down. An
+    /// update counts as delivered when the agent has it, whether or not a call is open: after an outage the
+    /// proxy must receive the update within `drain_grace`.
     LocalAgent {
-        /// The time within which sends to a draining endpoint have to stop.
+        /// The time within which the proxy must stop sending to a draining endpoint.
         drain_grace: Duration,
     },
-    /// One service for all proxies. It works through their calls in turn, and ends a call that waited too
+    /// One service for all proxies. It processes their calls in turn, and ends a call that has waited too
     /// long.
     SharedService,
 }
 
 impl DiscoveryKind {
-    /// Whether the first call asks only for what has changed since the known list. An agent gives the
-    /// complete list at no cost, and only that shows at once that the known one is not outdated.
+    /// Whether the first call requests only the changes since the known list. An agent sends the complete
+    /// list at no cost, and only the complete list shows immediately whether the known one is outdated.
     pub(super) fn trusts_known_list(self) -> bool {
         self == DiscoveryKind::SharedService
     }
 }
 
-/// An agent that does not answer is called again after two fifths of the grace, and after half of that
-/// where the call failed: with the jitter and a process pause, an update is still applied within
-/// the grace.
+/// The answer limit for calls to an agent, in fifths of the drain grace. An agent that does not answer is
+/// called again after two fifths of the grace, and after half of that if the call failed. With jitter and a
+/// process pause, an update is then still applied within the grace.
 const AGENT_GRACE_FIFTHS: u32 = 2;
 const AGENT_MAX_ANSWER_LIMIT: Duration = Duration::from_millis(200);
 const AGENT_MIN_ANSWER_LIMIT: Duration = Duration::from_millis(40);
-/// Calls to the agent that may be open.
-const AGENT_OPEN_CALLS: usize = 3;
+/// The most calls to an agent that are open at a time.
+const AGENT_MAX_OPEN_CALLS: usize = 3;
 
-/// Guards against calls that are repeated while they wait for their turn: all proxies make another call
-/// each, and the service falls further and further behind.
+/// The answer limit of a call to the service. A call may wait until the service has processed those of other
+/// proxies. With a shorter limit, every proxy would open another call while its first one waits, and the
+/// service would fall further and further behind.
 const SERVICE_ANSWER_LIMIT: Duration = Duration::from_millis(2500);
-/// The same after a call that hung.
+/// The answer limit of a call that is opened beside one that does not respond.
 const SERVICE_LATER_ANSWER_LIMIT: Duration = Duration::from_millis(3300);
-/// The pause after a call that failed, and the longest one.
+/// The shortest delay after a failed call to the service, before jitter.
 const SERVICE_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The longest delay after a failed call to the service, before jitter.
 const SERVICE_MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
-/// Calls to the service that may be open.
-const SERVICE_OPEN_CALLS: usize = 2;
+/// The most calls to the service that are open at a time.
+const SERVICE_MAX_OPEN_CALLS: usize = 2;
 
-/// An answer limit and a retry delay are stretched by up to this part of themselves. Guards against
-/// hundreds of proxies that call in step.
+/// Jitter is at most the duration divided by this: it lengthens an answer limit, and lengthens or shortens a
+/// retry delay. Without jitter, hundreds of proxies would repeat their calls at the same time.
 pub(super) const JITTER_DIVISOR: u32 = 4;
 
-/// A quiet call is kept this long beside newer ones: discovery may answer it though it answers no newer
-/// one.
-pub(super) const PATIENCE: Duration = Duration::from_millis(5000);
+/// Where too many calls are open, the oldest one is closed only if no bytes have arrived on it for this long:
+/// discovery may answer the oldest call though it answers no newer one.
+pub(super) const UNRESPONSIVE_CALL_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// An update counts as delivered 6 s after discovery had it and was reachable, and 6 s after a watch fell
-/// silent; this leaves time for the call that succeeds.
+/// The most time until a call that can deliver an update is open. An update must be delivered within 6 s of
+/// when discovery has it and is reachable, and within 6 s of when a watch call falls silent; the rest of
+/// the 6 s is left for the call that succeeds.
 const UPDATE_BUDGET_MS: u128 = 5700;
 const _: () = {
-    const fn stretched(duration: Duration) -> u128 {
+    const fn with_max_jitter(duration: Duration) -> u128 {
         duration.as_millis() + duration.as_millis() / JITTER_DIVISOR as u128
     }
-    // A silent watch, then a call that hangs: another one is open by then.
-    assert!(SILENCE_TIMEOUT.as_millis() + stretched(SERVICE_ANSWER_LIMIT) < UPDATE_BUDGET_MS);
-    // The service is reachable again just after a call that hangs was made, or in the longest pause.
-    let after_pause = stretched(SERVICE_MAX_RETRY_DELAY) + stretched(SERVICE_LATER_ANSWER_LIMIT);
+    // A watch call falls silent, and a call with the first answer limit hangs: the next call is open in time.
+    assert!(SILENCE_TIMEOUT.as_millis() + with_max_jitter(SERVICE_ANSWER_LIMIT) < UPDATE_BUDGET_MS);
+    // The service becomes reachable during the longest retry delay, and the call that follows hangs: the
+    // next call is open in time. This covers a service that becomes reachable just after a call that hangs
+    // was opened.
+    let after_pause = with_max_jitter(SERVICE_MAX_RETRY_DELAY) + with_max_jitter(SERVICE_LATER_ANSWER_LIMIT);
     assert!(after_pause < UPDATE_BUDGET_MS);
 };
 
 /// The policy for one kind of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CallPolicy {
-    /// Another call is opened beside one that has not been answered within this.
+    /// Another call is opened beside one that has not been answered within this time.
     pub(super) answer_limit: Duration,
-    /// The same if a call before it was not answered either.
+    /// The answer limit of a call that was itself opened beside one that does not respond.
     pub(super) later_answer_limit: Duration,
-    /// The pause after a call that failed.
+    /// The shortest delay after a failed call, before jitter.
     pub(super) retry_delay: Duration,
-    /// The longest pause: it doubles while calls fail.
+    /// The longest delay, before jitter: the delay doubles while calls receive nothing.
     pub(super) max_retry_delay: Duration,
-    /// Calls that may be open.
+    /// The most calls that are open at a time.
     pub(super) max_open: usize,
 }
 
 impl CallPolicy {
-    /// The policy for this kind.
     pub(super) fn new(kind: DiscoveryKind) -> CallPolicy {
         match kind {
             DiscoveryKind::LocalAgent { drain_grace } => {
@@ -96,7 +100,7 @@
                     later_answer_limit: answer_limit,
                     retry_delay: answer_limit / 2,
                     max_retry_delay: answer_limit / 2,
-                    max_open: AGENT_OPEN_CALLS,
+                    max_open: AGENT_MAX_OPEN_CALLS,
                 }
             }
             DiscoveryKind::SharedService => CallPolicy {
@@ -104,7 +108,7 @@
                 later_answer_limit: SERVICE_LATER_ANSWER_LIMIT,
                 retry_delay: SERVICE_RETRY_DELAY,
                 max_retry_delay: SERVICE_MAX_RETRY_DELAY,
-                max_open: SERVICE_OPEN_CALLS,
+                max_open: SERVICE_MAX_OPEN_CALLS,
             },
         }
     }
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn objects_are_split_at_their_closing_brace_whatever_their_strings_hold() {
+fn objects_end_at_their_closing_brace_whatever_their_strings_contain() {
     let objects = [r#"{"a":"}\"{"}"#, "{\"b\":{\n}}"];
     let expected = [
         StreamItem::Object(objects[0].into()),
@@ -27,8 +27,8 @@
     assert!(matches!(items("x"), Err(DiscoveryError::NotAnObject)));
 }
 
-/// The complete body of this response, which arrives in pieces of this many bytes; an error if it ends
-/// early.
+/// Decodes a response that arrives in pieces of `piece` bytes, and returns its body. Without the end of the
+/// body, "..." follows the bytes received.
 fn body_of(response: &str, piece: usize) -> Result<String, DiscoveryError> {
     let mut decoder = ResponseDecoder::new();
     let mut body = Vec::new();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn bodies_end_with_their_last_chunk_their_stated_length_or_the_stream() {
+fn a_body_ends_with_its_last_chunk_its_content_length_or_the_stream() {
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nx";
     for piece in [1, 2, 7, 1000] {
         assert_eq!(body_of(chunked, piece).unwrap(), "abcde");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn responses_that_can_not_be_used_are_told_apart() {
+fn an_unusable_response_is_reported_with_its_error_and_reason() {
     let cases = [
         ("HTTP/1.1 503 Busy\r\n\r\n", "discovery answered Some(503)", "status"),
         ("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", "bad length", "unreadable"),
@@ -74,22 +74,23 @@
     assert!(matches!(body_of(&endless, 1000).unwrap_err(), DiscoveryError::ChunkSize));
 }
 
-/// Guards against a pause that fits the load on discovery and not the grace: an update must be heard of, and
-/// a process may be paused for 150 ms, within the grace and the 50 ms that sockets allow.
+/// Fails if the delays to the next call follow from the load on discovery instead of the drain grace. The
+/// update must arrive within the grace and the 50 ms that sockets allow, though the process may be paused for
+/// 150 ms of that time.
 #[test]
-fn an_agent_is_called_again_well_within_any_grace() {
+fn an_agent_is_called_again_within_any_drain_grace() {
     for grace in [200, 250, 500, 1000, 2000] {
         let grace = Duration::from_millis(grace);
         let policy = CallPolicy::new(DiscoveryKind::LocalAgent { drain_grace: grace });
-        let longest = policy.answer_limit.max(policy.later_answer_limit).max(policy.max_retry_delay);
-        let stretched = longest + longest / JITTER_DIVISOR;
+        let longest_delay = policy.answer_limit.max(policy.later_answer_limit).max(policy.max_retry_delay);
+        let with_jitter = longest_delay + longest_delay / JITTER_DIVISOR;
         let allowed = grace + Duration::from_millis(50) - Duration::from_millis(150);
-        assert!(stretched <= allowed, "{stretched:?} of {grace:?}");
+        assert!(with_jitter <= allowed, "{with_jitter:?} of {grace:?}");
     }
 }
 
 #[test]
-fn the_delay_doubles_while_nothing_is_received_and_stays_within_a_quarter() {
+fn the_delay_doubles_while_nothing_is_received_with_jitter_of_up_to_a_quarter() {
     let grace = |ms| DiscoveryKind::LocalAgent { drain_grace: Duration::from_millis(ms) };
     let cases = [
         (DiscoveryKind::SharedService, [200, 400, 800, 800, 200]),
