--- a/src/net/member/connect.rs
+++ b/src/net/member/connect.rs
@@ -1,4 +1,4 @@
-//! Opening a connection to a member, up to its first ReadyForQuery.
+//! Opens a connection to a member, up to the member's first ReadyForQuery.
 
 use crate::Outcome;
 use crate::pg::message_tags::backend;
@@ -9,20 +9,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The user and the database that the startup message names.
+/// The user in the startup message.
 const USER: &str = "web";
+/// The database in the startup message.
 const DATABASE: &str = "orders";
 
-/// A connection that has reached the member, with the bytes read from it.
+/// A connection that the member has accepted, with the bytes read from it.
 pub(super) struct OpenConnection {
-    /// The socket, shared with the owner that may abort the connection.
+    /// The socket, shared with the event loop's handle, which may abort the connection.
     pub(super) stream: Arc<TcpStream>,
-    /// Bytes that have arrived but are not parsed yet.
+    /// Received bytes that are not parsed yet.
     pub(super) frames: FrameReader,
 }
 
 impl OpenConnection {
-    /// Reads once; `false` at the end of the stream.
+    /// Reads from the socket once; returns `false` at the end of the stream.
     pub(super) fn fill(&mut self) -> std::io::Result<bool> {
         self.frames.fill(&*self.stream)
     }
@@ -34,13 +35,13 @@
     /// The socket could not be opened or connected.
     #[error(transparent)]
     Socket(std::io::Error),
-    /// The connection broke, or was silent for too long, before ReadyForQuery.
+    /// The connection broke, or ReadyForQuery did not arrive before the deadline.
     #[error(transparent)]
     Handshake(std::io::Error),
     /// The member violated the protocol before ReadyForQuery.
     #[error("protocol violation")]
     Protocol,
-    /// The member rejected the connection with this SQLSTATE, if it is a well formed one.
+    /// The member rejected the connection with this SQLSTATE; `None` if the error has no well-formed one.
     #[error("rejected by the member")]
     Rejected(Option<Vec<u8>>),
 }
@@ -59,7 +60,8 @@
     }
 }
 
-/// Connects to a member and waits until it is ready for queries, `timeout` at most for both together.
+/// Connects to a member and waits until the member is ready for queries. Both together take `timeout` at
+/// most.
 pub(super) fn connect(address: SocketAddr, timeout: Duration) -> Result<OpenConnection, ConnectError> {
     let deadline = Instant::now() + timeout;
     let stream = TcpStream::connect_timeout(&address, timeout).map_err(ConnectError::Socket)?;
@@ -84,12 +86,12 @@
             None => fill_before(deadline, stream, frames).map_err(ConnectError::Handshake)?,
         }
     }
-    // Bytes after ReadyForQuery belong to no reply.
+    // No request is outstanding, so bytes after ReadyForQuery violate the protocol.
     if frames.buffered().is_empty() { Ok(()) } else { Err(ConnectError::Protocol) }
 }
 
-/// Reads once; an error if nothing arrives before the deadline or the connection ends. Leaves the read
-/// timeout set.
+/// Reads from the socket once. Fails if nothing arrives before the deadline, or the connection ends. The read
+/// timeout remains set.
 pub(super) fn fill_before(
     deadline: Instant,
     stream: &TcpStream,
--- a/src/net/member/liveness.rs
+++ b/src/net/member/liveness.rs
@@ -1,4 +1,4 @@
-//! Checks whether an idle connection is still alive.
+//! The liveness check of an idle connection.
 
 use super::connect::{OpenConnection, fill_before};
 use crate::pg;
@@ -6,8 +6,8 @@
 use std::io::Write;
 use std::time::Instant;
 
-/// Whether a connection to a member is alive: an empty query, which has no effect, is answered before
-/// the deadline. Leaves the read timeout set.
+/// Whether the member answers an empty query, which has no effect, before the deadline. The read timeout
+/// remains set.
 pub(super) fn answers_empty_query(connection: &mut OpenConnection, deadline: Instant) -> bool {
     let OpenConnection { stream, frames } = connection;
     if (&**stream).write_all(&pg::query_message(&[])).is_err() {
@@ -24,7 +24,8 @@
             Some(backend::PARAMETER_STATUS | backend::NOTICE_RESPONSE) => {}
             Some(backend::READY_FOR_QUERY) => return empty_query_answered && frames.buffered().is_empty(),
             Some(_) => return false,
-            // One deadline for the complete reply. Guards against a member that sends a little at a time.
+            // The deadline limits the complete reply: a timeout for each read would let a member that sends a
+            // few bytes at a time prolong the check without limit.
             None => {
                 if fill_before(deadline, stream, frames).is_err() {
                     return false;
