--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -1,5 +1,4 @@
-//! A connection to a member: it is opened for its first job, checked before it is reused, and reopened
-//! if it turns out to be dead.
+//! A connection to a member: opened for its first job, checked before reuse, and reopened if it is dead.
 
 use super::connect::{ConnectError, OpenConnection, connect};
 use super::events::{MemberEvent, MemberEvents};
@@ -13,30 +12,34 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The least interval between two log lines about errors of this machine.
+/// The shortest interval between two log lines about local errors.
 const LOCAL_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A connection to a member, opened or to be opened.
+/// A connection to a member, open or not yet opened. A job that runs on it uses it from a worker thread,
+/// while the event loop may abort it.
 pub(super) struct MemberConnection {
-    link: ConnectionId,
+    connection_id: ConnectionId,
     address: SocketAddr,
-    /// For opening the connection, and for a liveness check.
+    /// The time limit for opening the connection, and for a liveness check.
     connect_timeout: Duration,
     events: MemberEvents,
-    /// The current socket, for aborting the connection.
+    /// The current socket, which [`Self::abort`] shuts down; `None` while none is open.
     abort_target: Mutex<Option<Arc<TcpStream>>>,
-    /// The state of the connection while no job is running; a job takes it. `None` also once it has ended.
+    /// The state of the connection while no job is running; `None` while a job uses it, and after the
+    /// connection has ended.
     idle_state: Mutex<Option<ConnectionState>>,
 }
 
-/// The state of the current connection; the default is not opened yet.
+/// The state of the current connection; the default is a connection that is not opened yet.
 #[derive(Default)]
 struct ConnectionState {
     open: Option<OpenConnection>,
+    /// The statements that are prepared on this connection.
     statements: PreparedStatementCache,
 }
 
 impl ConnectionState {
+    /// Whether the connection is open, and the member has closed it or sent unexpected bytes.
     fn is_unusable(&self) -> bool {
         self.open.as_ref().is_some_and(|open| closed_by_peer(&open.stream))
     }
@@ -48,20 +51,20 @@
     Dead,
     /// The job was withdrawn before the check.
     WithdrawnBefore,
-    /// The job was withdrawn during the check, which cuts the connection: nothing has been executed.
+    /// The job was withdrawn during the check, which aborts the connection. The member has executed nothing.
     WithdrawnDuring,
 }
 
 impl MemberConnection {
-    /// A connection to the member at this address that is not opened yet.
+    /// Creates a connection to the member at this address, without opening it.
     pub(super) fn new(
-        link: ConnectionId,
+        connection_id: ConnectionId,
         address: SocketAddr,
         connect_timeout: Duration,
         events: MemberEvents,
     ) -> MemberConnection {
         MemberConnection {
-            link,
+            connection_id,
             address,
             connect_timeout,
             events,
@@ -70,14 +73,14 @@
         }
     }
 
-    /// Ends the connection, whatever its state.
+    /// Shuts down the socket of the connection, if one is open.
     pub(super) fn abort(&self) {
         if let Some(stream) = self.abort_target().as_ref() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Runs a job; returns the event for the event loop.
+    /// Runs a job; returns the events that the event loop is to be notified of after it.
     pub(super) fn run_job(&self, job: Job) -> Vec<MemberEvent> {
         let state = self.idle_state().take();
         let mut events = Vec::new();
@@ -85,12 +88,12 @@
             *self.idle_state() = Some(state);
         } else {
             *self.abort_target() = None;
-            events.push(Input::ConnectionClosed(self.link));
+            events.push(Input::ConnectionClosed(self.connection_id));
         }
         events
     }
 
-    /// Notifies the event loop.
+    /// Sends an event to the event loop.
     pub(super) fn notify(&self, event: MemberEvent) {
         self.events.send(event);
     }
@@ -103,7 +106,8 @@
         self.idle_state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Runs a job on the connection; returns the state to keep for the next job, `None` if it has ended.
+    /// Runs a job on the connection. Returns the connection's state for the next job; `None` if the
+    /// connection has ended.
     fn run_job_with(
         &self,
         mut state: ConnectionState,
@@ -111,11 +115,11 @@
         events: &mut Vec<MemberEvent>,
     ) -> Option<ConnectionState> {
         if job.state.is_withdrawn() {
-            events.push(Input::ConnectionIdle(self.link));
+            events.push(Input::ConnectionIdle(self.connection_id));
             return Some(state);
         }
-        // Guards against a connection that the member closed while it was idle: a write to it would count as
-        // sent. It is reopened, and the job has not started.
+        // A connection that the member closed while it was idle is reopened before the job starts: a write to
+        // it could still succeed, and the request would count as sent.
         if state.is_unusable() {
             state = self.discard(state);
         }
@@ -129,33 +133,39 @@
                     state = self.discard(state);
                 }
                 Liveness::WithdrawnBefore => {
-                    events.push(Input::ConnectionIdle(self.link));
+                    events.push(Input::ConnectionIdle(self.connection_id));
                     return Some(state);
                 }
                 Liveness::WithdrawnDuring => return None,
             }
         }
-        let Some(JobReply { ending, reusable }) = self.execute(&mut state, job) else {
-            events.push(Input::ConnectionIdle(self.link));
+        let Some(JobReply { job_result, reusable }) = self.execute(&mut state, job) else {
+            events.push(Input::ConnectionIdle(self.connection_id));
             return Some(state);
         };
-        events.push(Input::JobFinished { connection: self.link, job: job.id, result: ending, reusable });
+        events.push(Input::JobFinished {
+            connection: self.connection_id,
+            job: job.id,
+            result: job_result,
+            reusable,
+        });
         reusable.then_some(state)
     }
 
-    /// Closes a connection that can't be used; returns the state of one not opened yet. Guards against a
-    /// socket that stays open, and that nobody reads, while the next one is being opened.
+    /// Closes a connection that can't be used, and returns the state of one that is not opened yet. Without
+    /// this, the old socket would stay open, unread, while the next one is being opened.
     fn discard(&self, state: ConnectionState) -> ConnectionState {
         *self.abort_target() = None;
         drop(state);
         ConnectionState::default()
     }
 
+    /// Checks whether the connection is alive, unless the job is withdrawn before or during the check.
     fn check_liveness(&self, open: &mut OpenConnection, job: &Job) -> Liveness {
         if !job.state.start_preparing() {
             return Liveness::WithdrawnBefore;
         }
-        // With the check's time limit left on it, the connection would break off a job that takes longer.
+        // The check's read timeout is removed: otherwise a job that takes longer would fail.
         let alive = answers_empty_query(open, Instant::now() + self.connect_timeout)
             && open.stream.set_read_timeout(None).is_ok();
         if !job.state.return_to_queued() {
@@ -164,8 +174,8 @@
         if alive { Liveness::Alive } else { Liveness::Dead }
     }
 
-    /// Opens the connection if it is not open, and executes the job on it; `None` if the job was withdrawn
-    /// before anything was written.
+    /// Opens the connection if it is not open, and executes the job on it. Returns `None` if the job was
+    /// withdrawn before anything was written.
     fn execute(&self, state: &mut ConnectionState, job: &Job) -> Option<JobReply> {
         let mut open = match state.open.take() {
             Some(open) => open,
@@ -180,11 +190,12 @@
             conditions: &job.conditions,
             on_written: &|| self.notify(Input::AttemptWritten),
         };
-        let reply = execution.run(&job.what, &mut state.statements);
+        let reply = execution.run(&job.spec, &mut state.statements);
         state.open = Some(open);
         reply
     }
 
+    /// Opens the connection; on failure, returns the job's outcome.
     fn open(&self) -> Result<OpenConnection, Outcome> {
         let open = connect(self.address, self.connect_timeout).map_err(|error| {
             let outcome = error.outcome();
@@ -198,7 +209,8 @@
     }
 }
 
-/// Logs that this machine could not open a connection, once in a while: each request may meet it.
+/// Logs that this machine could not open a connection, once a second at most: while the error lasts, each
+/// request may cause it again.
 fn log_local_error(error: &ConnectError) {
     static LAST_LOGGED: Mutex<Option<Instant>> = Mutex::new(None);
     let mut last_logged = LAST_LOGGED.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -1,4 +1,4 @@
-//! A batch of extended-query messages and the replies to it.
+//! Runs a batch of extended-query messages and reads the replies.
 
 use super::connect::OpenConnection;
 use super::job::{JobExecution, JobReply, WriteError};
@@ -9,13 +9,13 @@
 use crate::{Outcome, pg};
 use std::time::Duration;
 
-/// The time limit of a member for the messages before the first Execute. After it, waiting ends:
-/// the member has executed nothing.
+/// The read timeout while the member answers the messages before the first Execute. When it expires, the
+/// attempt fails: the member has executed nothing.
 const PRE_EXECUTE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Reading stops if a response is longer than this.
+/// The longest accepted response to a batch, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 * pg::MAX_MESSAGE_BYTES;
 
-/// The replies to a batch, and what they report about the member.
+/// The execution of a batch, and what the replies report about the member.
 struct BatchReplies<'a> {
     execution: BatchExecution,
     statements: &'a mut PreparedStatementCache,
@@ -23,14 +23,16 @@
 }
 
 impl BatchReplies<'_> {
-    /// Prepares what follows the messages before the first Execute, unless one of these has met an error.
+    /// Prepares the messages from the first Execute on, unless the batch has none or a message before it has
+    /// failed.
     fn add_from_execute(&mut self, batch: &ExtendedBatch, time_left: Duration) {
         if batch.executes() && self.execution.error.is_none() {
             self.execution.add_from_execute(batch, self.statements, time_left);
         }
     }
 
-    /// Reads one reply; `None` if the connection ends.
+    /// Reads and handles one reply; returns `None` if the connection ends, the reply is malformed, or the
+    /// response is too long.
     fn read(&mut self, connection: &mut OpenConnection) -> Option<Progress> {
         loop {
             if let Some((tag, message)) = connection.frames.next_reply().ok()? {
@@ -42,7 +44,8 @@
         }
     }
 
-    /// Reads until all messages before the first Execute are answered; `false` if that does not happen.
+    /// Reads until all messages before the first Execute are answered; returns `false` if the replies end
+    /// before that.
     fn read_pre_execute(&mut self, connection: &mut OpenConnection) -> bool {
         while !self.execution.pre_execute_answered() {
             if self.read(connection) != Some(Progress::AwaitingReplies) {
@@ -52,7 +55,8 @@
         true
     }
 
-    /// Reads up to ReadyForQuery; `false` if it does not arrive.
+    /// Reads up to ReadyForQuery; returns `false` if ReadyForQuery does not arrive or the replies violate the
+    /// protocol.
     fn read_to_end(&mut self, connection: &mut OpenConnection) -> bool {
         loop {
             match self.read(connection) {
@@ -75,10 +79,10 @@
 }
 
 impl JobExecution<'_> {
-    /// Runs a batch; `None` if it was withdrawn before anything was written.
+    /// Runs a batch; returns `None` if the job was withdrawn before anything was written.
     ///
-    /// Where the batch must not be executed twice, Execute is held back until the member has confirmed all
-    /// messages before it: until then, nothing can have been executed.
+    /// If the batch must not be executed twice, the first Execute is sent only after the member has confirmed
+    /// all messages before it. If the connection breaks before that, nothing has been executed.
     pub(super) fn run_batch(
         &mut self,
         batch: &ExtendedBatch,
@@ -87,10 +91,11 @@
         let executes = batch.executes();
         let confirm_first = batch.confirm_before_execute || !executes;
         let Some(time_left) = self.conditions.time_left() else {
-            return Some(JobReply::not_begun());
+            return Some(JobReply::not_started());
         };
-        // Checked before the execution is created, as its statements count as prepared from then on.
-        let started = if confirm_first { self.state.start_preparing() } else { self.state.begin() };
+        // The job must not be withdrawn once the execution exists: creating it marks the batch's statements
+        // as prepared on this connection.
+        let started = if confirm_first { self.state.start_preparing() } else { self.state.start_queued() };
         if !started {
             return None;
         }
@@ -111,9 +116,9 @@
         Some(self.finish_batch(Vec::new(), replies, executes))
     }
 
-    /// Sends the messages before the first Execute and waits until they are answered; returns how much time
-    /// is left then. On success, the job has started, or there is nothing to execute: the batch executes
-    /// nothing or has met an error.
+    /// Sends the messages before the first Execute, waits until they are answered, and returns the time left
+    /// after that. On success, the job has started, unless there is nothing to execute: the batch has no
+    /// Execute, or one of its messages has failed.
     fn confirm_pre_execute(
         &mut self,
         mut messages: Vec<u8>,
@@ -123,21 +128,21 @@
         pg::put_message(&mut messages, frontend::FLUSH, &[]);
         let _ = self.connection.stream.set_read_timeout(Some(PRE_EXECUTE_TIMEOUT));
         let confirmed = self.write(&messages).is_ok() && replies.read_pre_execute(self.connection);
-        // With the limit left on it, the connection would break off an Execute that takes longer.
+        // The read timeout is removed: otherwise an Execute that takes longer would fail.
         let is_unlimited = self.connection.stream.set_read_timeout(None).is_ok();
         if !confirmed || !is_unlimited {
             return Err(Outcome::ConnectFailed);
         }
-        // Without time left, the batch is incomplete at the member: the connection can't be reused.
+        // If no time is left, the rest of the batch is not sent, and the connection can't be reused.
         let time_left = self.conditions.time_left().ok_or(Outcome::NeverSent)?;
         let will_execute = executes && replies.execution.error.is_none();
-        if will_execute && !self.state.begin_prepared() {
+        if will_execute && !self.state.start_prepared() {
             return Err(Outcome::ConnectFailed);
         }
         Ok(time_left)
     }
 
-    /// Sends the rest of the batch after these messages, and reads the replies.
+    /// Sends `messages` and the rest of the batch, and reads the replies.
     fn finish_batch(
         &mut self,
         mut messages: Vec<u8>,
@@ -157,8 +162,9 @@
         let BatchReplies { execution, status, .. } = replies;
         let error = execution.error.as_deref();
         if error == Some(INVALID_SQL_STATEMENT_NAME) {
-            // Guards against a member that lost its prepared statements: the batch has no effect, and the
-            // next connection starts with an empty cache.
+            // The member has lost a prepared statement that the cache of this connection contains. The batch
+            // had no effect, so it counts as rejected; the connection is closed, as the next one starts with
+            // an empty cache.
             return JobReply::failed(Outcome::RejectedByMember);
         }
         JobReply::answered(outcome_of_reply(error), status, execution.response, self.connection)
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -1,4 +1,4 @@
-//! A job on a member connection: the messages written for it, and its result.
+//! A job on a member connection: writes the job's messages and classifies its result.
 
 use super::connect::OpenConnection;
 use super::job_state::JobState;
@@ -14,61 +14,62 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The simple query that requests a member's load report.
+/// The simple query of a probe, which requests the member's load report.
 const HEALTH_CHECK: &[u8] = b"SHOW health";
 
 /// A job for a connection.
 pub(super) struct Job {
-    /// The number of the job.
+    /// The id of the job in events.
     pub(super) id: JobId,
-    /// The work of the job.
-    pub(super) what: JobSpec<MemberRequest>,
+    /// The work of the job: a probe or an attempt.
+    pub(super) spec: JobSpec<MemberRequest>,
     /// The conditions under which the job may start.
     pub(super) conditions: StartConditions,
-    /// The progress of the job.
+    /// The progress of the job, shared with the event loop.
     pub(super) state: Arc<JobState>,
 }
 
 impl Job {
-    /// Whether an open connection is checked before the job starts.
+    /// Whether the liveness of an open connection is checked before the job starts.
     pub(super) fn wants_liveness_check(&self) -> bool {
-        matches!(self.what, JobSpec::Attempt { verify_connection: true, .. })
+        matches!(self.spec, JobSpec::Attempt { verify_connection: true, .. })
     }
 }
 
 /// How a job ended on its connection.
 pub(super) struct JobReply {
     /// The result for the event loop.
-    pub(super) ending: JobResult<MemberResponse>,
-    /// The connection can be given another job.
+    pub(super) job_result: JobResult<MemberResponse>,
+    /// Whether the connection can be given another job.
     pub(super) reusable: bool,
 }
 
 impl JobReply {
-    /// The job ended with this outcome, without a response, and the connection can't be reused.
+    /// The reply of a job that ended with this outcome, without a response. The connection can't be reused.
     pub(super) fn failed(outcome: Outcome) -> JobReply {
-        JobReply { ending: JobResult::from_outcome(outcome), reusable: false }
+        JobReply { job_result: JobResult::from_outcome(outcome), reusable: false }
     }
 
-    /// The job ended before anything was written for it.
-    pub(super) fn not_begun() -> JobReply {
-        JobReply { ending: JobResult::from_outcome(Outcome::NeverSent), reusable: true }
+    /// The reply of a job whose start conditions were not met: nothing was written for it.
+    pub(super) fn not_started() -> JobReply {
+        JobReply { job_result: JobResult::from_outcome(Outcome::NeverSent), reusable: true }
     }
 
-    /// The member's response is complete.
+    /// The reply of a job that the member answered with a complete response.
     pub(super) fn answered(
         outcome: Outcome,
         status: MemberStatus,
         bytes: Vec<u8>,
         connection: &OpenConnection,
     ) -> JobReply {
-        // Guards against bytes after a complete reply: they would count as part of the next job's reply.
+        // Bytes after a complete reply would count as part of the next job's reply.
         let reusable = connection.frames.buffered().is_empty();
-        JobReply { ending: status.into_ending(outcome, bytes), reusable }
+        JobReply { job_result: status.into_job_result(outcome, bytes), reusable }
     }
 }
 
-/// The execution of one job on an open connection, classified exactly by the protocol's table.
+/// The execution of one job on an open connection. Its outcome distinguishes whether the member may have
+/// executed the request.
 pub(super) struct JobExecution<'a> {
     /// The connection.
     pub(super) connection: &'a mut OpenConnection,
@@ -76,18 +77,18 @@
     pub(super) state: &'a JobState,
     /// The conditions under which the job may start.
     pub(super) conditions: &'a StartConditions,
-    /// Called when the last byte of an attempt has been written.
+    /// A function that is called when the last byte of an attempt has been written.
     pub(super) on_written: &'a dyn Fn(),
 }
 
 impl JobExecution<'_> {
-    /// Runs the job; `None` if it was withdrawn before anything was written.
+    /// Runs the job; returns `None` if the job was withdrawn before anything was written.
     pub(super) fn run(
         &mut self,
-        what: &JobSpec<MemberRequest>,
+        spec: &JobSpec<MemberRequest>,
         statements: &mut PreparedStatementCache,
     ) -> Option<JobReply> {
-        match what {
+        match spec {
             JobSpec::Probe => self.run_simple_query(HEALTH_CHECK, None, true),
             JobSpec::Attempt { work, .. } => match work.as_ref() {
                 MemberRequest::Extended(batch) => self.run_batch(batch, statements),
@@ -102,25 +103,25 @@
         &mut self,
         text: &[u8],
         timeout_digits: Option<&Range<usize>>,
-        health_check: bool,
+        is_health_check: bool,
     ) -> Option<JobReply> {
         let Some(time_left) = self.conditions.time_left() else {
-            return Some(JobReply::not_begun());
+            return Some(JobReply::not_started());
         };
-        if !self.state.begin() {
+        if !self.state.start_queued() {
             return None;
         }
         if self.write(&simple_query(text, timeout_digits, time_left)).is_err() {
-            // The connection broke before the last byte was written: the query was never executed.
+            // The last byte was not written: the member can't have executed the query.
             return Some(JobReply::failed(Outcome::ConnectFailed));
         }
-        if !health_check {
+        if !is_health_check {
             (self.on_written)();
         }
-        Some(self.read_simple_query_reply(health_check))
+        Some(self.read_simple_query_reply(is_health_check))
     }
 
-    /// Writes all bytes.
+    /// Writes all bytes, and repeats a write that met a momentary error.
     pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), WriteError> {
         let mut written = 0;
         let mut momentary = MomentaryErrors::default();
@@ -135,20 +136,20 @@
     }
 }
 
-/// The connection broke while a request was written.
+/// The error of a connection that broke while a request was written.
 pub(super) struct WriteError {
-    /// The number of bytes that had been written.
+    /// The number of bytes that had been written before the error.
     pub(super) written: usize,
 }
 
-/// The query message of a statement, with the remaining time of this proxy's wait in place of the timeout's
-/// digits.
+/// The Query message of a statement. The time left, in whole milliseconds, replaces the digits of the timeout
+/// in the statement's text.
 fn simple_query(text: &[u8], timeout_digits: Option<&Range<usize>>, time_left: Duration) -> Vec<u8> {
     match timeout_digits {
         None => pg::query_message(&[text]),
         Some(digits) => {
-            let wait = time_left.as_millis().to_string();
-            pg::query_message(&[&text[..digits.start], wait.as_bytes(), &text[digits.end..]])
+            let timeout_ms = time_left.as_millis().to_string();
+            pg::query_message(&[&text[..digits.start], timeout_ms.as_bytes(), &text[digits.end..]])
         }
     }
 }
--- a/src/net/member/load_report.rs
+++ b/src/net/member/load_report.rs
@@ -1,4 +1,4 @@
-//! What a member's replies report about it: its role, its position and its load report.
+//! Parses what a member's replies report about the member: its role, its position and its load report.
 
 #[cfg(test)]
 mod tests;
@@ -21,11 +21,12 @@
 const POSITION_FIELD: &str = "x0";
 /// The field of a load report with the member's role.
 const ROLE_FIELD: &str = "x1";
+/// Values of [`ROLE_FIELD`].
 const ROLE_PRIMARY: f64 = 1.0;
 const ROLE_REPLICA: f64 = 0.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What the replies to a job reported about the member.
+/// The status of a member as the replies to one job report it.
 #[derive(Default)]
 pub(super) struct MemberStatus {
     metadata: ResponseMetadata,
@@ -33,7 +34,7 @@
 }
 
 impl MemberStatus {
-    /// Handles the body of a ParameterStatus. One that is malformed or has another name is ignored.
+    /// Handles the body of a ParameterStatus. A malformed body or an unknown parameter is ignored.
     pub(super) fn on_parameter(&mut self, body: &[u8]) {
         let Some((name, value)) = parameter(body) else { return };
         match name {
@@ -53,19 +54,20 @@
         }
     }
 
-    /// Handles a load report. One that can't be parsed completely is ignored.
+    /// Handles a load report. If the text can't be parsed completely, an empty report replaces the previous
+    /// one.
     pub(super) fn on_load_report(&mut self, text: &[u8]) {
         self.report = parse_load_report(text).unwrap_or_default();
     }
 
-    /// The result of a job with these bytes as its response.
-    pub(super) fn into_ending(self, outcome: Outcome, bytes: Vec<u8>) -> JobResult<MemberResponse> {
+    /// Creates the result of a job with these bytes as its response.
+    pub(super) fn into_job_result(self, outcome: Outcome, bytes: Vec<u8>) -> JobResult<MemberResponse> {
         let response = MemberResponse { bytes, commit_position: self.metadata.position };
         JobResult { outcome, metadata: self.metadata, report: self.report, answer: Some(response) }
     }
 }
 
-/// Name and value of a ParameterStatus.
+/// The name and the value in the body of a ParameterStatus; `None` if the body is malformed.
 fn parameter(body: &[u8]) -> Option<(&[u8], &[u8])> {
     if !pg::is_well_formed(backend::PARAMETER_STATUS, body) {
         return None;
@@ -75,8 +77,8 @@
     Some((name, value))
 }
 
-/// Parses a load report: fields as `name=number`, separated by commas. Unknown fields are ignored; `None`
-/// if anything else can't be parsed.
+/// Parses a load report: fields of the form `name=number`, separated by commas. Unknown fields are ignored.
+/// Returns `None` if a field has another form or a known field has an invalid value.
 fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for field in std::str::from_utf8(text).ok()?.split(',') {
@@ -95,11 +97,11 @@
     Some(report)
 }
 
-/// A position of a load report; 0 means none.
+/// Converts a position in a load report, in seconds, to microseconds; 0 means no position.
 ///
-/// Guards against reading seconds as milliseconds, the unit of positions beside replies: the member counted
-/// as years behind, reads with any freshness requirement were refused there, and its reported role counted as
-/// outdated.
+/// The position parameter beside replies is in milliseconds. If the seconds of a load report were read as
+/// milliseconds, the member would count as years behind: reads with any freshness requirement would be
+/// rejected there, and the member's reported role would count as outdated.
 fn position_of(seconds: f64) -> Option<Micros> {
     let position = (seconds * MICROS_PER_SECOND) as Micros;
     (position > 0).then_some(position)
--- a/src/net/member/load_report/tests.rs
+++ b/src/net/member/load_report/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_load_report_tells_the_position_in_seconds() {
+fn the_position_in_a_load_report_is_in_seconds() {
     let report = report_of(b"x0=1796159340.996,x1=0");
     assert_eq!(report.role, Some(Role::Replica));
     let millis = report.position.unwrap().div_ceil(1000);
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -1,5 +1,5 @@
 //! Connections to members. Each running job has its own thread, so that a member that hangs blocks only
-//! that thread. A connection without a job has no thread.
+//! that thread. A connection without a job has none.
 
 mod connect;
 mod connection;
@@ -31,14 +31,14 @@
 /// The result of withdrawing a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Withdrawal {
-    /// The last byte of the request may have been sent, so that the member may execute it.
+    /// Whether the last byte of the request may have been sent: if so, the member may execute the request.
     pub maybe_sent: bool,
-    /// The connection can be given another job. If not, it has been aborted.
+    /// Whether the connection can be given another job. If not, the connection has been aborted.
     pub reusable: bool,
 }
 
 impl Withdrawal {
-    /// The job had started, and the connection was aborted.
+    /// The withdrawal of a job that had started: the connection was aborted.
     pub const ABORTED: Withdrawal = Withdrawal { maybe_sent: true, reusable: false };
 }
 
@@ -46,21 +46,23 @@
 pub struct MemberHandle {
     connection: Arc<MemberConnection>,
     workers: WorkerPool,
-    /// The latest job and its state.
+    /// The latest job; 0 before the first one.
     job: JobId,
+    /// The state of the latest job.
     state: Arc<JobState>,
 }
 
 impl MemberHandle {
-    /// Prepares a connection to the member at this address: its first job opens it, within `connect_timeout`.
+    /// Creates a handle without opening the connection. The first job opens it, and fails if that takes
+    /// longer than `connect_timeout`.
     pub fn new(
-        link: ConnectionId,
+        connection_id: ConnectionId,
         address: SocketAddr,
         connect_timeout: Duration,
         events: MemberEvents,
         workers: &WorkerPool,
     ) -> MemberHandle {
-        let connection = MemberConnection::new(link, address, connect_timeout, events);
+        let connection = MemberConnection::new(connection_id, address, connect_timeout, events);
         MemberHandle {
             connection: Arc::new(connection),
             workers: workers.clone(),
@@ -69,21 +71,22 @@
         }
     }
 
-    /// Starts a job on the connection; `false` if there is no thread for it.
+    /// Passes a job to a worker thread; returns `false` if no thread could be started for it.
     pub fn start_job(
         &mut self,
         job: JobId,
-        what: JobSpec<MemberRequest>,
+        spec: JobSpec<MemberRequest>,
         conditions: StartConditions,
     ) -> bool {
         self.job = job;
         self.state = Arc::new(JobState::queued());
-        let job = Job { id: job, what, conditions, state: self.state.clone() };
+        let job = Job { id: job, spec, conditions, state: self.state.clone() };
         self.workers.dispatch(AssignedJob { connection: self.connection.clone(), job })
     }
 
-    /// Withdraws a job that has not started; `None` if it has. A connection in use for a liveness check,
-    /// or for the messages before an Execute, is aborted.
+    /// Withdraws a job that has not started; returns `None` if the job has started or has been replaced by
+    /// a later one. If the connection is in use for a liveness check or for the messages before an Execute,
+    /// it is aborted.
     pub fn withdraw_unsent(&self, job: JobId) -> Option<Withdrawal> {
         if self.job != job {
             return None;
@@ -98,7 +101,7 @@
         None
     }
 
-    /// Withdraws a job, whether it has started or not. If it has started, the connection is aborted.
+    /// Withdraws a job, whether or not it has started. If it has started, the connection is aborted.
     pub fn abandon(&self, job: JobId) -> Withdrawal {
         self.withdraw_unsent(job).unwrap_or_else(|| {
             self.abort();
@@ -106,7 +109,7 @@
         })
     }
 
-    /// Ends the connection, whatever its state.
+    /// Closes the socket of the connection, if it is open, in both directions. A job that runs on it fails.
     pub fn abort(&self) {
         self.connection.abort();
     }
--- a/src/net/member/simple_query.rs
+++ b/src/net/member/simple_query.rs
@@ -1,4 +1,4 @@
-//! The reply to a simple query.
+//! Parses the reply to a simple query.
 
 use super::job::{JobExecution, JobReply};
 use super::load_report::MemberStatus;
@@ -6,10 +6,10 @@
 use crate::pg::message_tags::backend;
 use crate::{Outcome, pg};
 
-/// The column count at the start of the body of a RowDescription of one column.
+/// The column count 1, with which the body of a RowDescription of one column starts.
 const ONE_COLUMN: [u8; 2] = [0, 1];
 
-/// The last message of the reply, for checking the order of messages.
+/// The last message received, for checking the order of messages.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Start,
@@ -23,35 +23,37 @@
 enum Progress {
     /// More messages are expected.
     AwaitingMessages,
-    /// ReadyForQuery: the reply has ended.
+    /// The message is ReadyForQuery, which completes the reply.
     Complete,
     /// The message is malformed, or not allowed in this position.
     ProtocolViolation,
 }
 
-/// The reply to a simple query so far.
+/// The part of a simple query's reply that has been received.
 ///
-/// Only the complete sequence counts, each message well formed: RowDescription of one column, one DataRow,
-/// CommandComplete, ReadyForQuery; or an error before the DataRow and ReadyForQuery. Guards against corrupted
-/// replies: otherwise the reply to this request can't be told apart from noise, and the request may
-/// have been executed.
+/// A reply is accepted only as a complete sequence of well-formed messages: RowDescription of one column, one
+/// DataRow, CommandComplete, ReadyForQuery; or an ErrorResponse before the DataRow, then ReadyForQuery. Any
+/// other sequence is a protocol violation: a corrupted reply could otherwise be taken for the reply to this
+/// request, which may have been executed.
 struct SimpleQueryReply {
     stage: Stage,
-    /// Keep the value of the row, which is a load report.
-    health_check: bool,
+    /// Whether the value of the row is kept as a load report.
+    is_health_check: bool,
+    /// The text of the load report; `None` before the row, and for a query that is no health check.
     load_report: Option<Vec<u8>>,
-    /// The SQLSTATE of the error.
+    /// The SQLSTATE of the ErrorResponse; `None` if there is none.
     error: Option<Vec<u8>>,
-    /// The client's messages.
+    /// The messages that are passed on to the client.
     response: Vec<u8>,
+    /// What the reply's ParameterStatus messages report about the member.
     status: MemberStatus,
 }
 
 impl SimpleQueryReply {
-    fn new(health_check: bool) -> SimpleQueryReply {
+    fn new(is_health_check: bool) -> SimpleQueryReply {
         SimpleQueryReply {
             stage: Stage::Start,
-            health_check,
+            is_health_check,
             load_report: None,
             error: None,
             response: Vec::new(),
@@ -59,11 +61,11 @@
         }
     }
 
-    /// Handles the next message: its type byte and the complete message.
+    /// Handles the next message, given as its type byte and all of its bytes.
     fn on_message(&mut self, tag: u8, message: &[u8]) -> Progress {
         let body = pg::message_body(message);
         if tag == backend::PARAMETER_STATUS {
-            // A load report that can't be read affects nothing else.
+            // A parameter that can't be parsed is ignored: the reply remains valid.
             self.status.on_parameter(body);
             return Progress::AwaitingMessages;
         }
@@ -79,7 +81,7 @@
             }
             (Stage::RowDescription, backend::DATA_ROW) => {
                 let Some(value) = pg::single_column(body) else { return Progress::ProtocolViolation };
-                self.load_report = self.health_check.then(|| value.to_vec());
+                self.load_report = self.is_health_check.then(|| value.to_vec());
                 Stage::DataRow
             }
             (Stage::DataRow, backend::COMMAND_COMPLETE) => Stage::CommandComplete,
@@ -97,9 +99,9 @@
 }
 
 impl JobExecution<'_> {
-    /// Reads the reply to a simple query, a health check or an attempt.
-    pub(super) fn read_simple_query_reply(&mut self, health_check: bool) -> JobReply {
-        let mut reply = SimpleQueryReply::new(health_check);
+    /// Reads the reply to a simple query, which is either a health check or an attempt.
+    pub(super) fn read_simple_query_reply(&mut self, is_health_check: bool) -> JobReply {
+        let mut reply = SimpleQueryReply::new(is_health_check);
         loop {
             match self.connection.frames.next_reply() {
                 Ok(Some((tag, message))) => match reply.on_message(tag, message) {
@@ -126,8 +128,9 @@
     }
 }
 
-/// The connection ended before the reply was complete. An error that was received completely counts.
+/// The reply of a job whose connection ended before ReadyForQuery. If a complete ErrorResponse was received,
+/// its SQLSTATE determines the outcome.
 fn disconnected(reply: SimpleQueryReply) -> JobReply {
     let outcome = reply.error.map_or(Outcome::Reset, |code| outcome_of_error(&code));
-    JobReply { ending: reply.status.into_ending(outcome, Vec::new()), reusable: false }
+    JobReply { job_result: reply.status.into_job_result(outcome, Vec::new()), reusable: false }
 }
