--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -1,10 +1,10 @@
-//! The admin listener's requests and responses as HTTP/1.1.
+//! Parses the admin listener's requests and formats its responses as HTTP/1.1.
 
 use super::AdminRequest;
 
 /// The longest head of a request, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The most headers of a request.
+/// The most headers of a request; one with more is rejected as too long.
 const MAX_HEADERS: usize = 64;
 
 /// The status of a response.
@@ -52,28 +52,28 @@
     }
 }
 
-/// Why a request is rejected; the text is the body of the response.
+/// The reason for which a request is rejected. The error's text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// It is not HTTP.
+    /// The request is not HTTP.
     #[error("the call can't be read")]
     Malformed,
-    /// There is no resource at its path.
+    /// The request's path names no resource.
     #[error("unknown path")]
     UnknownPath,
-    /// Its path requires another method.
+    /// The request's path requires another method.
     #[error("wrong method")]
     WrongMethod,
-    /// Its head did not arrive completely in time.
+    /// The request's head did not arrive completely in time.
     #[error("no whole call in time")]
     Incomplete,
-    /// Its head is too long.
+    /// The request's head has more than [`MAX_HEAD_BYTES`] or too many headers.
     #[error("the call is too long")]
     TooLong,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The status of the response to such a request.
     pub fn status(self) -> Status {
         match self {
             RequestError::Malformed => Status::BadRequest,
@@ -93,12 +93,12 @@
 }
 
 impl HttpResponse {
-    /// A response with this status and body.
+    /// Creates a response with this status and body.
     pub fn new(status: Status, body: impl Into<String>) -> Self {
         HttpResponse { status, body: body.into() }
     }
 
-    /// The response as it is sent.
+    /// Formats the complete response, head and body.
     pub fn to_bytes(&self) -> Vec<u8> {
         let head = format!(
             "HTTP/1.1 {} {}\r\n\
@@ -120,7 +120,7 @@
     }
 }
 
-/// Parses the head of a request; `None` if it has not arrived completely.
+/// Parses the head of a request; returns `None` if the head is incomplete.
 pub fn parse_request(received: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,6 +1,7 @@
 //! The admin listener: HTTP/1.1, one request per connection.
 //!
-//! Each connection has a thread, with a small limit on their number; the event loop answers.
+//! Each connection has a thread, up to [`MAX_CONNECTIONS`]. The thread passes the request to the event loop
+//! and sends the event loop's answer.
 
 mod http;
 
@@ -19,12 +20,13 @@
 
 /// The most concurrent connections; further ones are rejected.
 pub const MAX_CONNECTIONS: usize = 16;
-/// A request must have arrived within this time. A write may take as long.
+/// The time limit for reading the head of a request, and for a write of a response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time limit of the event loop's answer: a caller waits for a second.
+/// The time limit for the event loop's answer. Clients wait 1 s for a response: without an answer, they are
+/// sent one that says so before they give up.
 const LOOP_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a connection stays open for its caller to read the response.
-const LINGER: Duration = Duration::from_millis(200);
+/// How long a connection remains open after the response has been written, for the client to read it.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The most bytes in one read from a socket.
@@ -33,37 +35,37 @@
 /// A request of an operator to the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process can serve.
+    /// Asks whether this process can serve.
     Ready,
-    /// The counters.
+    /// Asks for the counters.
     Counters,
-    /// Puts the proxy in service, or out of service.
+    /// Puts the proxy in service (`true`) or out of service.
     SetInService(bool),
 }
 
 /// The event loop's answer to an [`AdminRequest`].
 pub enum AdminResponse {
-    /// Yes or no.
+    /// The answer `yes` (`true`) or `no`.
     Answer(bool),
-    /// The counters.
+    /// The counters when the event loop handled the request.
     Counters(Counters),
 }
 
-/// A request on its way to the event loop.
+/// A request that is passed to the event loop.
 pub struct AdminCall {
-    /// The request.
+    /// The operator's request.
     pub request: AdminRequest,
-    /// The sender for the answer.
+    /// The channel on which the event loop sends its answer.
     pub respond_to: Sender<AdminResponse>,
 }
 
 /// The event loop has not accepted a call in time, or has ended.
 pub struct LoopUnavailable;
 
-/// Passes calls to the event loop; waits for capacity for this long at most.
+/// Passes a call to the event loop, and waits for capacity up to the given time.
 pub type CallSink = Arc<dyn Fn(AdminCall, Duration) -> Result<(), LoopUnavailable> + Send + Sync>;
 
-/// Starts listening; returns the address that is bound.
+/// Starts the listener's thread; returns the bound address.
 pub fn listen(address: SocketAddr, settings: Arc<Settings>, calls: CallSink) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind(address)?;
     let bound = listener.local_addr()?;
@@ -75,7 +77,7 @@
     let open_connections = Arc::new(AtomicUsize::new(0));
     loop {
         let Ok((stream, _)) = listener.accept() else {
-            // Guards against a busy loop while the table of descriptors is full.
+            // Without the delay, this loop would spin while no descriptor is free.
             std::thread::sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
@@ -86,12 +88,12 @@
             continue;
         }
         let connection = Arc::new((stream, slot));
-        let (settings_of_caller, calls_of_caller) = (settings.clone(), calls.clone());
-        let connection_of_caller = connection.clone();
+        let (thread_settings, thread_calls) = (settings.clone(), calls.clone());
+        let thread_connection = connection.clone();
         let spawned = spawn("caller", move || {
-            serve_connection(&connection_of_caller.0, &settings_of_caller, &calls_of_caller);
+            serve_connection(&thread_connection.0, &thread_settings, &thread_calls);
         });
-        // Without a thread for it the caller is served here, and others wait.
+        // If no thread can be started, this thread serves the connection, and other connections wait.
         if spawned.is_err() {
             serve_connection(&connection.0, settings, calls);
         }
@@ -107,21 +109,23 @@
     }
 }
 
+/// Serves the one request of a connection.
 fn serve_connection(mut stream: &TcpStream, settings: &Settings, calls: &CallSink) {
     let response = match read_request(stream) {
-        Ok(request) => ask_event_loop(request, settings, calls),
+        Ok(request) => call_event_loop(request, settings, calls),
         Err(error) => HttpResponse::from(error),
     };
     let _ = write_response(stream, &response);
-    // Guards against a reset that overtakes the response while bytes of the request are still unread.
+    // The rest of the request is read and discarded: closing a socket with unread bytes sends a reset, which
+    // could arrive before the client has read the response.
     let _ = stream.shutdown(Shutdown::Write);
-    let _ = stream.set_read_timeout(Some(LINGER));
-    let deadline = Instant::now() + LINGER;
-    let mut unread = [0; READ_BYTES];
-    while Instant::now() < deadline && matches!(stream.read(&mut unread), Ok(length) if length > 0) {}
+    let _ = stream.set_read_timeout(Some(LINGER_TIMEOUT));
+    let deadline = Instant::now() + LINGER_TIMEOUT;
+    let mut discarded = [0; READ_BYTES];
+    while Instant::now() < deadline && matches!(stream.read(&mut discarded), Ok(length) if length > 0) {}
 }
 
-/// Reads the head of a request.
+/// Reads and parses the head of a request.
 fn read_request(mut stream: &TcpStream) -> Result<AdminRequest, RequestError> {
     let deadline = Instant::now() + REQUEST_TIMEOUT;
     let mut received = Vec::new();
@@ -143,7 +147,8 @@
     }
 }
 
-fn ask_event_loop(request: AdminRequest, settings: &Settings, calls: &CallSink) -> HttpResponse {
+/// Passes a request to the event loop and waits for the answer, [`LOOP_TIMEOUT`] at most for both.
+fn call_event_loop(request: AdminRequest, settings: &Settings, calls: &CallSink) -> HttpResponse {
     let (sender, receiver) = bounded(1);
     let deadline = Instant::now() + LOOP_TIMEOUT;
     let call = AdminCall { request, respond_to: sender };
@@ -152,38 +157,39 @@
     match sent.then(|| receiver.recv_timeout(left)) {
         Some(Ok(AdminResponse::Answer(true))) => HttpResponse::new(Status::Ok, "yes\n"),
         Some(Ok(AdminResponse::Answer(false))) => HttpResponse::new(Status::ServiceUnavailable, "no\n"),
-        Some(Ok(AdminResponse::Counters(tally))) => {
-            HttpResponse::new(Status::Ok, counters_text(&tally, settings))
+        Some(Ok(AdminResponse::Counters(counters))) => {
+            HttpResponse::new(Status::Ok, counters_text(&counters, settings))
         }
         _ => HttpResponse::new(Status::ServiceUnavailable, "no answer in time\n"),
     }
 }
 
-/// The counters, one per line.
-fn counters_text(tally: &Counters, settings: &Settings) -> String {
+/// The counters as text, one per line in the form `name=value`.
+fn counters_text(counters: &Counters, settings: &Settings) -> String {
     let mut text = String::new();
-    for (class, answers) in settings.class_names.iter().zip(&tally.answers) {
+    for (class, answers) in settings.class_names.iter().zip(&counters.answers) {
         let counts =
             [("completed", answers.served), ("rejected", answers.rejected), ("failed", answers.failed)];
         for (name, count) in counts {
             let _ = writeln!(text, "downstream_requests.{class}.{name}={count}");
         }
     }
-    let members = tally.members.listed;
-    let unavailable = tally.members.unavailable;
-    let _ = writeln!(text, "upstream_requests={}", tally.attempts_written);
-    let _ = writeln!(text, "pending={}", tally.pending);
+    let members = counters.members.listed;
+    let unavailable = counters.members.unavailable;
+    let _ = writeln!(text, "upstream_requests={}", counters.attempts_written);
+    let _ = writeln!(text, "pending={}", counters.pending);
     let _ = writeln!(text, "members={members}");
     let _ = writeln!(text, "members_unavailable={unavailable}");
-    let _ = writeln!(text, "endpoint_list.revision={}", tally.list_revision);
-    for ((kind, reason), count) in &tally.records {
+    let _ = writeln!(text, "endpoint_list.revision={}", counters.list_revision);
+    for ((kind, reason), count) in &counters.records {
         let _ = writeln!(text, "{}.{reason}={count}", kind.name());
     }
     text
 }
 
 fn write_response(mut stream: &TcpStream, response: &HttpResponse) -> std::io::Result<()> {
-    // Without the limit a response still fits the socket's buffer.
+    // An error is ignored: without the limit, the write does not block either, as the response fits the
+    // socket's send buffer.
     let _ = stream.set_write_timeout(Some(REQUEST_TIMEOUT));
     stream.write_all(&response.to_bytes())
 }
