--- a/src/net/client_listener.rs
+++ b/src/net/client_listener.rs
@@ -5,34 +5,35 @@
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 use std::net::{SocketAddr, TcpListener};
 
-/// Why there is no listening socket.
+/// The error of opening the listening socket for clients.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
     /// The address can't be bound.
-    #[error("{address}: {source}")]
+    #[error("can't listen at {address}: {source}")]
     Bind {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the system call.
         source: std::io::Error,
     },
     /// The configured descriptor can't be duplicated.
-    #[error("{LISTEN_FD_VARIABLE} {descriptor}: {source}")]
+    #[error("{LISTEN_FD_VARIABLE} {descriptor}: can't duplicate the descriptor: {source}")]
     Duplicate {
-        /// The descriptor.
+        /// The configured descriptor.
         descriptor: i32,
-        /// Why not.
+        /// The error of the system call.
         source: rustix::io::Errno,
     },
     /// The configured descriptor is not a listening socket.
-    #[error("{LISTEN_FD_VARIABLE} {descriptor} is no listening socket")]
+    #[error("{LISTEN_FD_VARIABLE} {descriptor}: expected a listening socket")]
     NotListening {
-        /// The descriptor.
+        /// The configured descriptor.
         descriptor: i32,
     },
 }
 
-/// The listening socket for clients: inherited where the platform provides one, or else bound here.
+/// Returns the listening socket for clients: a duplicate of the inherited descriptor if one is configured,
+/// otherwise a socket that is bound to the configured address.
 pub fn client_listener(config: &Config) -> Result<TcpListener, ListenError> {
     match config.listen_fd {
         Some(descriptor) => inherit(descriptor),
@@ -40,7 +41,7 @@
     }
 }
 
-/// Duplicates a descriptor of this process, and leaves the inherited one unchanged.
+/// Duplicates an inherited descriptor, and leaves the original open.
 fn inherit(descriptor: i32) -> Result<TcpListener, ListenError> {
     let socket = pidfd_open(getpid(), PidfdFlags::empty())
         .and_then(|process| pidfd_getfd(&process, descriptor, PidfdGetfdFlags::empty()))
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The sockets: threads that read and write. They handle bytes and connections, and report events;
-//! they make no decisions.
+//! Network input and output: the threads that read and write sockets. They handle bytes and connections and
+//! report events; the event loop makes all decisions.
 
 pub mod admin;
 pub mod client;
