--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -93,8 +93,8 @@
         let Some(time_left) = self.conditions.time_left() else {
             return Some(JobReply::not_started());
         };
-        // The job must not be withdrawn once the execution exists: creating it marks the batch's statements
-        // as prepared on this connection.
+        // Creating the execution marks the batch's statements as prepared on this connection. The state
+        // changes before that, so that a job that has been withdrawn leaves the cache unchanged.
         let started = if confirm_first { self.state.start_preparing() } else { self.state.start_queued() };
         if !started {
             return None;
