--- a/src/net/member/connection.rs
+++ b/src/net/member/connection.rs
@@ -49,10 +49,10 @@
 enum Liveness {
     Alive,
     Dead,
-    /// The job was withdrawn before the check.
-    WithdrawnBefore,
-    /// The job was withdrawn during the check, which aborts the connection. The member has executed nothing.
-    WithdrawnDuring,
+    /// The job was cancelled before the check.
+    CancelledBefore,
+    /// The job was cancelled during the check, which aborts the connection. The member has executed nothing.
+    CancelledDuring,
 }
 
 impl MemberConnection {
@@ -114,7 +114,7 @@
         job: &Job,
         events: &mut Vec<MemberEvent>,
     ) -> Option<ConnectionState> {
-        if job.state.is_withdrawn() {
+        if job.state.is_cancelled() {
             events.push(Input::ConnectionIdle(self.connection_id));
             return Some(state);
         }
@@ -132,11 +132,11 @@
                     self.notify(Input::StaleConnectionFound);
                     state = self.discard(state);
                 }
-                Liveness::WithdrawnBefore => {
+                Liveness::CancelledBefore => {
                     events.push(Input::ConnectionIdle(self.connection_id));
                     return Some(state);
                 }
-                Liveness::WithdrawnDuring => return None,
+                Liveness::CancelledDuring => return None,
             }
         }
         let Some(JobReply { job_result, reusable }) = self.execute(&mut state, job) else {
@@ -160,22 +160,22 @@
         ConnectionState::default()
     }
 
-    /// Checks whether the connection is alive, unless the job is withdrawn before or during the check.
+    /// Checks whether the connection is alive, unless the job is cancelled before or during the check.
     fn check_liveness(&self, open: &mut OpenConnection, job: &Job) -> Liveness {
         if !job.state.start_preparing() {
-            return Liveness::WithdrawnBefore;
+            return Liveness::CancelledBefore;
         }
         // The check's read timeout is removed: otherwise a job that takes longer would fail.
         let alive = answers_empty_query(open, Instant::now() + self.connect_timeout)
             && open.stream.set_read_timeout(None).is_ok();
         if !job.state.return_to_queued() {
-            return Liveness::WithdrawnDuring;
+            return Liveness::CancelledDuring;
         }
         if alive { Liveness::Alive } else { Liveness::Dead }
     }
 
     /// Opens the connection if it is not open, and executes the job on it. Returns `None` if the job was
-    /// withdrawn before anything was written.
+    /// cancelled before anything was written.
     fn execute(&self, state: &mut ConnectionState, job: &Job) -> Option<JobReply> {
         let mut open = match state.open.take() {
             Some(open) => open,
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -79,7 +79,7 @@
 }
 
 impl JobExecution<'_> {
-    /// Runs a batch; returns `None` if the job was withdrawn before anything was written.
+    /// Runs a batch; returns `None` if the job was cancelled before anything was written.
     ///
     /// If the batch must not be executed twice, the first Execute is sent only after the member has confirmed
     /// all messages before it. If the connection breaks before that, nothing has been executed.
@@ -94,7 +94,7 @@
             return Some(JobReply::not_started());
         };
         // Creating the execution marks the batch's statements as prepared on this connection. The state
-        // changes before that, so that a job that has been withdrawn leaves the cache unchanged.
+        // changes before that, so that a job that has been cancelled leaves the cache unchanged.
         let started = if confirm_first { self.state.start_preparing() } else { self.state.start_queued() };
         if !started {
             return None;
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -82,7 +82,7 @@
 }
 
 impl JobExecution<'_> {
-    /// Runs the job; returns `None` if the job was withdrawn before anything was written.
+    /// Runs the job; returns `None` if the job was cancelled before anything was written.
     pub(super) fn run(
         &mut self,
         spec: &JobSpec<MemberRequest>,
--- a/src/net/member/job_state.rs
+++ b/src/net/member/job_state.rs
@@ -1,4 +1,4 @@
-//! The progress of a job, shared by the worker thread that runs the job and the event loop that may withdraw
+//! The progress of a job, shared by the worker thread that runs the job and the event loop that may cancel
 //! the job.
 
 #[cfg(test)]
@@ -12,8 +12,8 @@
 enum Phase {
     /// Nothing has been written for the job.
     Queued,
-    /// The job was withdrawn before it started: the member has executed nothing, and will not.
-    Withdrawn,
+    /// The job was cancelled before it started: the member has executed nothing, and will not.
+    Cancelled,
     /// The connection is in use for a liveness check or for the messages before the first Execute: the member
     /// has executed nothing.
     Preparing,
@@ -31,24 +31,24 @@
         JobState(AtomicU8::new(Phase::Queued as u8))
     }
 
-    /// The state of a connection that has had no job: there is none to withdraw.
-    pub(super) fn withdrawn() -> JobState {
-        JobState(AtomicU8::new(Phase::Withdrawn as u8))
+    /// The state of a connection that has had no job: there is none to cancel.
+    pub(super) fn cancelled() -> JobState {
+        JobState(AtomicU8::new(Phase::Cancelled as u8))
     }
 
-    /// Whether the job has been withdrawn.
-    pub(super) fn is_withdrawn(&self) -> bool {
-        self.0.load(Ordering::SeqCst) == Phase::Withdrawn as u8
+    /// Whether the job has been cancelled.
+    pub(super) fn is_cancelled(&self) -> bool {
+        self.0.load(Ordering::SeqCst) == Phase::Cancelled as u8
     }
 
-    /// Withdraws the job, on the event loop, if nothing has been written for it.
-    pub(super) fn withdraw_queued(&self) -> bool {
-        self.transition(Phase::Queued, Phase::Withdrawn)
+    /// Cancels the job, on the event loop, if nothing has been written for it.
+    pub(super) fn cancel_queued(&self) -> bool {
+        self.transition(Phase::Queued, Phase::Cancelled)
     }
 
-    /// Withdraws the job, on the event loop, if the connection is in use but nothing can have been executed.
-    pub(super) fn withdraw_preparing(&self) -> bool {
-        self.transition(Phase::Preparing, Phase::Withdrawn)
+    /// Cancels the job, on the event loop, if the connection is in use but nothing can have been executed.
+    pub(super) fn cancel_preparing(&self) -> bool {
+        self.transition(Phase::Preparing, Phase::Cancelled)
     }
 
     /// Marks, on the worker, that the connection is in use for a step before the job itself.
--- a/src/net/member/job_state/tests.rs
+++ b/src/net/member/job_state/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
 
 #[test]
-fn a_queued_job_is_either_started_or_withdrawn() {
+fn a_queued_job_is_either_started_or_cancelled() {
     let started = JobState::queued();
     assert!(started.start_queued());
-    assert!(!started.withdraw_queued() && !started.withdraw_preparing() && !started.is_withdrawn());
+    assert!(!started.cancel_queued() && !started.cancel_preparing() && !started.is_cancelled());
 
-    let withdrawn = JobState::queued();
-    assert!(withdrawn.withdraw_queued());
-    assert!(!withdrawn.start_queued() && !withdrawn.start_preparing() && withdrawn.is_withdrawn());
+    let cancelled = JobState::queued();
+    assert!(cancelled.cancel_queued());
+    assert!(!cancelled.start_queued() && !cancelled.start_preparing() && cancelled.is_cancelled());
 }
 
 #[test]
-fn a_job_in_preparation_can_be_withdrawn_until_it_is_started() {
+fn a_job_in_preparation_can_be_cancelled_until_it_is_started() {
     let started = JobState::queued();
-    assert!(started.start_preparing() && !started.withdraw_queued());
-    assert!(started.start_prepared() && !started.withdraw_preparing());
+    assert!(started.start_preparing() && !started.cancel_queued());
+    assert!(started.start_prepared() && !started.cancel_preparing());
 
-    let withdrawn = JobState::queued();
-    assert!(withdrawn.start_preparing() && withdrawn.withdraw_preparing());
-    assert!(!withdrawn.start_prepared() && !withdrawn.return_to_queued() && withdrawn.is_withdrawn());
+    let cancelled = JobState::queued();
+    assert!(cancelled.start_preparing() && cancelled.cancel_preparing());
+    assert!(!cancelled.start_prepared() && !cancelled.return_to_queued() && cancelled.is_cancelled());
 
     let checked = JobState::queued();
     assert!(checked.start_preparing() && checked.return_to_queued());
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -28,18 +28,18 @@
 use std::time::Duration;
 use worker_pool::AssignedJob;
 
-/// The result of withdrawing a job.
+/// The result of cancelling a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Withdrawal {
+pub struct JobCancellation {
     /// Whether the last byte of the request may have been sent: if so, the member may execute the request.
     pub maybe_sent: bool,
     /// Whether the connection can be given another job. If not, the connection has been aborted.
     pub reusable: bool,
 }
 
-impl Withdrawal {
-    /// The withdrawal of a job that had started: the connection was aborted.
-    pub const ABORTED: Withdrawal = Withdrawal { maybe_sent: true, reusable: false };
+impl JobCancellation {
+    /// The cancellation of a job that had started: the connection was aborted.
+    pub const ABORTED: JobCancellation = JobCancellation { maybe_sent: true, reusable: false };
 }
 
 /// The event loop's handle of a member connection.
@@ -67,7 +67,7 @@
             connection: Arc::new(connection),
             workers: workers.clone(),
             job: 0,
-            state: Arc::new(JobState::withdrawn()),
+            state: Arc::new(JobState::cancelled()),
         }
     }
 
@@ -84,28 +84,28 @@
         self.workers.dispatch(AssignedJob { connection: self.connection.clone(), job })
     }
 
-    /// Withdraws a job that has not started; returns `None` if the job has started or has been replaced by
+    /// Cancels a job that has not started; returns `None` if the job has started or has been replaced by
     /// a later one. If the connection is in use for a liveness check or for the messages before an Execute,
     /// it is aborted.
-    pub fn withdraw_unsent(&self, job: JobId) -> Option<Withdrawal> {
+    pub fn cancel_unsent(&self, job: JobId) -> Option<JobCancellation> {
         if self.job != job {
             return None;
         }
-        if self.state.withdraw_queued() {
-            return Some(Withdrawal { maybe_sent: false, reusable: true });
+        if self.state.cancel_queued() {
+            return Some(JobCancellation { maybe_sent: false, reusable: true });
         }
-        if self.state.withdraw_preparing() {
+        if self.state.cancel_preparing() {
             self.abort();
-            return Some(Withdrawal { maybe_sent: false, reusable: false });
+            return Some(JobCancellation { maybe_sent: false, reusable: false });
         }
         None
     }
 
-    /// Withdraws a job, whether or not it has started. If it has started, the connection is aborted.
-    pub fn abandon(&self, job: JobId) -> Withdrawal {
-        self.withdraw_unsent(job).unwrap_or_else(|| {
+    /// Cancels a job, whether or not it has started. If it has started, the connection is aborted.
+    pub fn cancel(&self, job: JobId) -> JobCancellation {
+        self.cancel_unsent(job).unwrap_or_else(|| {
             self.abort();
-            Withdrawal::ABORTED
+            JobCancellation::ABORTED
         })
     }
 
--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -5,7 +5,7 @@
 use crate::core::{ConnectionId, Effect, FinalAnswer, Input, JobId, JobResult, JobSpec, Record};
 use crate::exchange::{MemberRequest, MemberResponse};
 use crate::net::client::ClientHandle;
-use crate::net::member::{MemberHandle, StartConditions, Withdrawal};
+use crate::net::member::{JobCancellation, MemberHandle, StartConditions};
 use crate::{Micros, Outcome, RequestId};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -83,14 +83,14 @@
 
     fn cancel_job(&mut self, now: Micros, connection: ConnectionId, job: JobId) {
         let handle = self.member_connections.get(&connection);
-        let withdrawal = handle.map_or(Withdrawal::ABORTED, |handle| handle.abandon(job));
-        self.finish_cancellation(now, connection, job, withdrawal);
+        let cancellation = handle.map_or(JobCancellation::ABORTED, |handle| handle.cancel(job));
+        self.finish_cancellation(now, connection, job, cancellation);
     }
 
     fn cancel_unsent_job(&mut self, now: Micros, connection: ConnectionId, job: JobId) {
         let handle = self.member_connections.get(&connection);
-        if let Some(withdrawal) = handle.and_then(|handle| handle.withdraw_unsent(job)) {
-            self.finish_cancellation(now, connection, job, withdrawal);
+        if let Some(cancellation) = handle.and_then(|handle| handle.cancel_unsent(job)) {
+            self.finish_cancellation(now, connection, job, cancellation);
         }
     }
 
@@ -99,9 +99,9 @@
         now: Micros,
         connection: ConnectionId,
         job: JobId,
-        withdrawal: Withdrawal,
+        cancellation: JobCancellation,
     ) {
-        let Withdrawal { maybe_sent, reusable } = withdrawal;
+        let JobCancellation { maybe_sent, reusable } = cancellation;
         if !reusable {
             self.member_connections.remove(&connection);
         }
