--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -162,7 +162,7 @@
         for byte in bytes {
             let Some(item) = self.objects.push(*byte)? else { continue };
             // Line breaks around a complete list are no heartbeats.
-            if item == StreamItem::KeepAlive && self.kind == CallKind::List {
+            if item == StreamItem::Heartbeat && self.kind == CallKind::List {
                 continue;
             }
             self.last_answer_at = Some(Instant::now());
--- a/src/net/discovery/call_policy.rs
+++ b/src/net/discovery/call_policy.rs
@@ -31,6 +31,7 @@
 /// called again after two fifths of the grace, and after half of that if the call failed. With jitter and a
 /// process pause, an update is then still applied within the grace.
 const AGENT_GRACE_FIFTHS: u32 = 2;
+/// The upper and lower bound of the answer limit for calls to an agent.
 const AGENT_MAX_ANSWER_LIMIT: Duration = Duration::from_millis(200);
 const AGENT_MIN_ANSWER_LIMIT: Duration = Duration::from_millis(40);
 /// The most calls to an agent that are open at a time.
@@ -53,8 +54,8 @@
 /// retry delay. Without jitter, hundreds of proxies would repeat their calls at the same time.
 pub(super) const JITTER_DIVISOR: u32 = 4;
 
-/// Where too many calls are open, the oldest one is closed only if no bytes have arrived on it for this long:
-/// discovery may answer the oldest call though it answers no newer one.
+/// When the limit of open calls is reached, the oldest call is closed only if no bytes have arrived on it for
+/// this long: discovery may answer the oldest call though it answers no newer one.
 pub(super) const UNRESPONSIVE_CALL_TIMEOUT: Duration = Duration::from_millis(5000);
 
 /// The most time until a call that can deliver an update is open. An update must be delivered within 6 s of
--- a/src/net/discovery/cancellation.rs
+++ b/src/net/discovery/cancellation.rs
@@ -28,7 +28,7 @@
 
 impl CancellationReceiver {
     /// Whether the watch has been cancelled.
-    pub(super) fn is_canceled(&self) -> bool {
+    pub(super) fn is_cancelled(&self) -> bool {
         matches!(std::io::Read::read(&mut &self.0, &mut [0]), Ok(0))
     }
 }
--- a/src/net/discovery/object_stream.rs
+++ b/src/net/discovery/object_stream.rs
@@ -8,8 +8,8 @@
 /// An item that a byte of the stream completes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// An empty line: a heartbeat of the sender.
-    KeepAlive,
+    /// An empty line, which the sender writes as a heartbeat.
+    Heartbeat,
     /// The text of an object.
     Object(Vec<u8>),
 }
@@ -37,7 +37,7 @@
     pub fn push(&mut self, byte: u8) -> Result<Option<StreamItem>, DiscoveryError> {
         if self.depth == 0 && byte != b'{' {
             return match byte {
-                b'\n' => Ok(Some(StreamItem::KeepAlive)),
+                b'\n' => Ok(Some(StreamItem::Heartbeat)),
                 _ if byte.is_ascii_whitespace() => Ok(None),
                 _ => Err(DiscoveryError::NotAnObject),
             };
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -20,8 +20,8 @@
     let expected = [
         StreamItem::Object(objects[0].into()),
         StreamItem::Object(objects[1].into()),
-        StreamItem::KeepAlive,
-        StreamItem::KeepAlive,
+        StreamItem::Heartbeat,
+        StreamItem::Heartbeat,
     ];
     assert_eq!(items(&format!("{}{}\n \r\n", objects[0], objects[1])).unwrap(), expected);
     assert!(matches!(items("x"), Err(DiscoveryError::NotAnObject)));
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -23,7 +23,8 @@
 const READ_BYTES: usize = 16 * 1024;
 /// The factor of the retry delay after a response that can't be parsed.
 const UNREADABLE_DELAY_FACTOR: u32 = 2;
-/// Is added to each wait: otherwise the thread could wake just before the next call is due, and wait again.
+/// The margin added to each wait: without it, the thread could wake just before the next call is due, and
+/// wait again.
 const WAIT_MARGIN: Duration = Duration::from_micros(200);
 
 /// The state of a watch's thread.
@@ -42,7 +43,7 @@
     revision: Option<u64>,
     /// The open calls, oldest first.
     calls: Vec<OpenCall>,
-    /// The number of the newest call, open or ended.
+    /// The number of the newest call, open or ended; 0 before the first one.
     last_call: u64,
     /// The number of updates passed on.
     updates: u64,
@@ -92,7 +93,7 @@
 
     /// Runs until the watch is cancelled or the receiver of its events is dropped.
     pub(super) fn run(mut self) {
-        while !self.cancellation_receiver.is_canceled() {
+        while !self.cancellation_receiver.is_cancelled() {
             self.open_call_if_due();
             let ready = self.wait();
             if self.advance_calls(&ready).is_err() {
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -1,5 +1,5 @@
 //! Connections to members. Each running job has its own thread, so that a member that hangs blocks only
-//! that thread. A connection without a job has none.
+//! that thread. A connection without a job has no thread.
 
 mod connect;
 mod connection;
