--- a/src/net/discovery/object_stream.rs
+++ b/src/net/discovery/object_stream.rs
@@ -8,8 +8,8 @@
 /// An item that a byte of the stream completes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// An empty line: a heartbeat of the sender.
-    KeepAlive,
+    /// An empty line, which the sender writes as a heartbeat.
+    Heartbeat,
     /// The text of an object.
     Object(Vec<u8>),
 }
@@ -19,14 +19,16 @@
 pub struct ObjectStream {
     /// The incomplete object.
     object: Vec<u8>,
-    /// The number of its open braces.
+    /// The number of open braces in the incomplete object; 0 between objects.
     depth: usize,
+    /// Whether the last byte is within a string, where braces do not count.
     in_string: bool,
+    /// Whether the last byte is a backslash that escapes the next one.
     after_backslash: bool,
 }
 
 impl ObjectStream {
-    /// Whether an object has begun and is not complete.
+    /// Whether the stream is between the first and the last byte of an object.
     pub fn is_within_object(&self) -> bool {
         !self.object.is_empty()
     }
@@ -35,7 +37,7 @@
     pub fn push(&mut self, byte: u8) -> Result<Option<StreamItem>, DiscoveryError> {
         if self.depth == 0 && byte != b'{' {
             return match byte {
-                b'\n' => Ok(Some(StreamItem::KeepAlive)),
+                b'\n' => Ok(Some(StreamItem::Heartbeat)),
                 _ if byte.is_ascii_whitespace() => Ok(None),
                 _ => Err(DiscoveryError::NotAnObject),
             };
--- a/src/net/member/job_state/tests.rs
+++ b/src/net/member/job_state/tests.rs
@@ -1,27 +1,27 @@
 use super::*;
 
 #[test]
-fn a_queued_job_is_either_begun_or_withdrawn() {
-    let begun = JobState::queued();
-    assert!(begun.begin());
-    assert!(!begun.withdraw_queued() && !begun.withdraw_preparing() && !begun.is_withdrawn());
+fn a_queued_job_is_either_started_or_cancelled() {
+    let started = JobState::queued();
+    assert!(started.start_queued());
+    assert!(!started.cancel_queued() && !started.cancel_preparing() && !started.is_cancelled());
 
-    let withdrawn = JobState::queued();
-    assert!(withdrawn.withdraw_queued());
-    assert!(!withdrawn.begin() && !withdrawn.start_preparing() && withdrawn.is_withdrawn());
+    let cancelled = JobState::queued();
+    assert!(cancelled.cancel_queued());
+    assert!(!cancelled.start_queued() && !cancelled.start_preparing() && cancelled.is_cancelled());
 }
 
 #[test]
-fn a_job_in_preparation_can_be_withdrawn_until_it_has_begun() {
-    let begun = JobState::queued();
-    assert!(begun.start_preparing() && !begun.withdraw_queued());
-    assert!(begun.begin_prepared() && !begun.withdraw_preparing());
+fn a_job_in_preparation_can_be_cancelled_until_it_is_started() {
+    let started = JobState::queued();
+    assert!(started.start_preparing() && !started.cancel_queued());
+    assert!(started.start_prepared() && !started.cancel_preparing());
 
-    let withdrawn = JobState::queued();
-    assert!(withdrawn.start_preparing() && withdrawn.withdraw_preparing());
-    assert!(!withdrawn.begin_prepared() && !withdrawn.return_to_queued() && withdrawn.is_withdrawn());
+    let cancelled = JobState::queued();
+    assert!(cancelled.start_preparing() && cancelled.cancel_preparing());
+    assert!(!cancelled.start_prepared() && !cancelled.return_to_queued() && cancelled.is_cancelled());
 
     let checked = JobState::queued();
     assert!(checked.start_preparing() && checked.return_to_queued());
-    assert!(!checked.begin_prepared() && checked.begin());
+    assert!(!checked.start_prepared() && checked.start_queued());
 }
