--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,33 +1,40 @@
-//! Which endpoints may be used: endpoint list states, outlier ejection, and trials.
+//! Decides which endpoints may be used: by their state in the endpoint list, and by outlier ejection.
+//!
+//! An endpoint whose failure rate stands out is ejected. An ejected endpoint gets single requests as trials
+//! and is readmitted when its failure rate has fallen.
 
 use crate::Router;
 use crate::model::{Action, EndpointState, Micros, Role};
 use crate::state::{EndpointIndex, Failure};
 
-/// The weight of one outcome in the failure rate of its endpoint.
+/// The weight of one outcome in the moving failure rate of its endpoint.
 const FAILURE_GAIN: f64 = 0.2;
-/// The weight of one outcome in the failure rate of an endpoint that is ejected or was found to be down.
-/// It is higher than [`FAILURE_GAIN`], as such an endpoint gets few attempts.
+/// The weight of one outcome in the failure rate of an endpoint that is ejected or down. It is higher than
+/// [`FAILURE_GAIN`], as such an endpoint gets few attempts.
 const TRIAL_GAIN: f64 = 0.5;
-/// The weight of one outcome in the failure rate of all endpoints. It is lower than [`FAILURE_GAIN`], as
-/// every attempt counts there.
+/// The weight of one outcome in the failure rate of all endpoints together. It is lower than
+/// [`FAILURE_GAIN`], as the attempts at every endpoint count there.
 const OVERALL_FAILURE_GAIN: f64 = 0.05;
-/// How far an endpoint's failure rate may be above that of all endpoints before it is ejected. It is
-/// readmitted at half of that. Guards against ejection for a fault that all endpoints share.
+/// An endpoint is ejected when its failure rate exceeds that of all endpoints by more than this, and
+/// readmitted when the excess is at most half of this. Comparing with all endpoints prevents a fault that
+/// they share from ejecting them.
 pub(super) const EJECTION_THRESHOLD: f64 = 0.35;
-/// The shortest wait before the next trial of an ejected endpoint; the longest is twice that, drawn at
-/// random so that routers do not try it at the same time.
+/// The shortest wait before the next trial of an ejected endpoint. The wait after a failure is drawn at
+/// random up to twice this, so that the routers do not try the endpoint at the same time.
 pub(super) const TRIAL_INTERVAL: Micros = 800_000;
-/// The part of the requests that may be trials. Guards against spending much of the traffic on endpoints
-/// that are likely to fail.
+/// The largest share of the requests that may be trials, as a trial is likely to fail.
 pub(super) const TRIAL_SHARE: f64 = 0.1;
-/// How long an endpoint must have refused or broken connections before one more refusal shows that it is
-/// down. Guards against taking a few refusals for the end of its process.
+/// How long an endpoint must have refused or broken connections before one more refusal marks it as down.
+/// Without this wait, a few refusals by a running process would pass for its end.
 const DOWN_AFTER: Micros = 50_000;
 
 impl Router {
-    /// Departure: where only draining binds, an endpoint that is listed as removed is used while it answers.
-    /// Guards against lists that are wrong, stale or empty; costs an attempt where the list is right.
+    /// Returns whether the state of an endpoint allows requests to it.
+    ///
+    /// An endpoint that is listed as removed is still used while it answers, where
+    /// [`Settings::removed_endpoints_usable`](crate::model::Settings::removed_endpoints_usable) is set. Obeying
+    /// the list instead would take running endpoints out of service when the list is wrong, stale or empty.
+    /// Where the list is right, the rule costs one attempt.
     pub(crate) fn is_usable(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         let may_be_in_service = self.may_serve_though_removed(index) && !endpoint.down;
@@ -35,33 +42,36 @@
             || (endpoint.state == EndpointState::Removed && may_be_in_service)
     }
 
-    /// Whether an endpoint that is listed as removed may still be used.
+    /// Returns whether an endpoint may still be used when it is listed as removed: the settings allow it, and
+    /// the endpoint is known to have run and was not listed as draining before.
     pub(super) fn may_serve_though_removed(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         self.settings.removed_endpoints_usable && endpoint.confirmed && !endpoint.has_drained
     }
 
-    /// Whether an endpoint may be used and is not ejected.
+    /// Returns whether an endpoint is usable and not ejected.
     pub(super) fn is_healthy(&self, index: EndpointIndex) -> bool {
         self.is_usable(index) && !self.topology[index].ejected
     }
 
-    /// Whether an ejected endpoint may get its next trial.
+    /// Returns whether an endpoint is ejected and its next trial is due.
     pub(super) fn is_trial_due(&self, index: EndpointIndex) -> bool {
         self.topology[index].ejected && self.now >= self.topology[index].next_trial_at
     }
 
-    /// Departure: an endpoint whose failures stand out is ejected and readmitted by single trials. Guards
-    /// against black holes, dead machines and fast failures, which all look idle to a pending count.
+    /// Counts a failed attempt, and ejects the endpoint if its failure rate stands out.
+    ///
+    /// Plain least-pending selection would prefer a faulty endpoint: one that drops requests, runs on a dead
+    /// machine or fails fast has few pending attempts and looks idle.
     pub(super) fn record_failure(&mut self, index: EndpointIndex, failure: Failure) {
         let is_occasional = matches!(failure, Failure::Error | Failure::Lost);
-        // A primary with occasional errors still does what no other endpoint can.
-        let is_needed = is_occasional && self.topology.role(index) == Role::Primary;
+        // No other endpoint can serve the writes, so errors and lost requests do not eject a primary.
+        let is_tolerated = is_occasional && self.topology.role(index) == Role::Primary;
         let is_down = failure == Failure::NoConnection && self.topology[index].down;
         self.update_failure_rates(index, true, is_down);
         let endpoint = &mut self.topology[index];
         let threshold = EJECTION_THRESHOLD + self.failure_rate.share();
-        if is_needed || endpoint.failure_rate.share() <= threshold {
+        if is_tolerated || endpoint.failure_rate.share() <= threshold {
             self.readmit_if_recovered(index);
             return;
         }
@@ -74,7 +84,8 @@
         endpoint.next_trial_at = self.now + TRIAL_INTERVAL + self.random.below(TRIAL_INTERVAL);
     }
 
-    /// Counts an attempt that was answered, and readmits an ejected endpoint whose failure rate has fallen.
+    /// Counts a successful attempt, and readmits an ejected endpoint whose failure rate has fallen. If the
+    /// endpoint stays ejected, its next trial is due immediately.
     pub(super) fn record_success(&mut self, index: EndpointIndex) {
         self.update_failure_rates(index, false, false);
         if !self.readmit_if_recovered(index) {
@@ -82,8 +93,8 @@
         }
     }
 
-    /// Records a connection that was refused or broke. Guards against counting a few of them as the end of
-    /// the process.
+    /// Records a connection that was refused or broke. A refusal marks the endpoint as down if connections
+    /// have failed for longer than [`DOWN_AFTER`], or if the list does not name the endpoint as ready.
     pub(super) fn record_disconnect(&mut self, index: EndpointIndex, refused: bool) {
         let endpoint = &mut self.topology[index];
         if endpoint.disconnected_since == 0 {
