--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -31,9 +31,8 @@
 impl Router {
     /// Returns whether the state of an endpoint allows requests to it.
     ///
-    /// An endpoint that is listed as removed is still used while it answers, where
-    /// [`Settings::removed_endpoints_usable`](crate::model::Settings::removed_endpoints_usable) is set. Obeying
-    /// the list instead would take running endpoints out of service when the list is wrong, stale or empty.
+    /// An endpoint that is listed as removed is still used while it answers, where the settings allow this.
+    /// Without this rule, a list that is wrong, stale or empty would take running endpoints out of service.
     /// Where the list is right, the rule costs one attempt.
     pub(crate) fn is_usable(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
@@ -42,8 +41,9 @@
             || (endpoint.state == EndpointState::Removed && may_be_in_service)
     }
 
-    /// Returns whether an endpoint may still be used when it is listed as removed: the settings allow it, and
-    /// the endpoint is known to have run and was not listed as draining before.
+    /// Returns whether an endpoint may be used even if it is listed as removed: the settings allow this, the
+    /// endpoint was in the first list or has answered, and it was not listed as draining since it was last
+    /// ready.
     pub(super) fn may_serve_though_removed(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.topology[index];
         self.settings.removed_endpoints_usable && endpoint.confirmed && !endpoint.has_drained
