--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,4 +1,6 @@
-//! The lifecycle of a request: from its arrival over its attempts, holds and retries to its final answer.
+//! The lifecycle of a request, from its arrival through attempts, holds and retries to its final answer.
+//!
+//! A request that no endpoint can take yet is held and reconsidered later, for example during a failover.
 
 use super::Selection;
 use super::health;
@@ -10,40 +12,42 @@
 };
 use crate::state::{EndpointIndex, OutstandingAttempt, PendingRequest};
 
-/// The retries that each request adds to the retry budget, which saves up those of one second. Guards
-/// against retries that multiply the load of endpoints that fail.
-const RETRY_SHARE: f64 = 0.2;
-/// The chance that a client's retry still meets the latency objective, which counts from its first
-/// attempt.
-const RETRY_VALUE: f64 = 0.3;
-/// The part of a keyed request's window after its first run in which it may be sent again.
-const WINDOW_USED: f64 = 0.95;
-/// The part of a keyed request's window that one attempt may take, so that time is left in it for another.
-const ATTEMPT_WINDOW: f64 = 0.5;
-/// One attempt of a keyed request may take this many times its unloaded time, if that is more than
-/// [`ATTEMPT_WINDOW`] allows.
+/// The number of retries that each request adds to the retry budget, which accumulates at most the retries of
+/// one second of requests. Without a budget, retries would multiply the load on endpoints that fail.
+const RETRIES_PER_REQUEST: f64 = 0.2;
+/// The probability that a request which is a retry by the client still meets the latency objective, which
+/// counts from the client's first attempt.
+const RETRY_ON_TIME_CHANCE: f64 = 0.3;
+/// The share of the deduplication window in which a request with an idempotency key may be sent again. The
+/// window starts with the first attempt that may have run.
+const RETRY_WINDOW_SHARE: f64 = 0.95;
+/// The share of the deduplication window that one attempt of a request with an idempotency key may take, so
+/// that time for another attempt remains.
+const ATTEMPT_WINDOW_SHARE: f64 = 0.5;
+/// The timeout of an attempt of a request with an idempotency key, as a multiple of its unloaded time, if
+/// that is longer than [`ATTEMPT_WINDOW_SHARE`] allows.
 const KEYED_TIMEOUT_MULTIPLE: f64 = 4.0;
-/// An exploratory attempt (a trial, or a search for the primary) may take this many times its unloaded
-/// time.
+/// The timeout of an exploratory attempt (a trial, or part of a search for the primary), as a multiple of its
+/// unloaded time.
 const EXPLORATORY_TIMEOUT_MULTIPLE: f64 = 3.0;
-/// How long an answer counts as evidence that its endpoint still is the primary. An attempt may wait for
-/// its connection for half of that.
+/// How long an answer counts as evidence that its endpoint is still the primary. An attempt at the primary
+/// may wait for its connection for half of this time.
 const ANSWER_VALIDITY: Micros = 100_000;
 
 impl Router {
-    /// Takes in a new request: counts it, sets its priority and takes its first step.
+    /// Handles the arrival of a request: counts it, sets its priority and takes its first step.
     pub(crate) fn on_request(&mut self, request: Request) {
         let shed_draw = self.random.fraction();
         self.traffic.arrivals.record(self.now);
-        let retries_per_second = self.traffic.arrivals.per_second_at(self.now) * RETRY_SHARE;
-        self.retry_budget = (self.retry_budget + RETRY_SHARE).min(retries_per_second.max(1.0));
+        let retries_per_second = self.traffic.arrivals.per_second_at(self.now) * RETRIES_PER_REQUEST;
+        self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(retries_per_second.max(1.0));
         self.trial_budget = (self.trial_budget + health::TRIAL_SHARE).min(1.0);
         let Some(class) = self.settings.classes.get(request.class) else {
             let reason = GiveUpReason::UnknownClass;
             return self.actions.push(Action::Fail { request: request.id, reason });
         };
         self.traffic.offered[request.class].record(self.now);
-        let retry_value = class.late_value + (1.0 - class.late_value) * RETRY_VALUE;
+        let retry_value = class.late_value + (1.0 - class.late_value) * RETRY_ON_TIME_CHANCE;
         let mut priority = class.priority_weight * if request.is_retry { retry_value } else { 1.0 };
         if let Some(rate) = self.traffic.tenants.get_mut(request.tenant) {
             rate.record(self.now);
@@ -60,7 +64,8 @@
         self.advance(id);
     }
 
-    /// Takes the next step for a request that has no attempt in flight.
+    /// Takes the next step for a request that has no attempt in flight: sends an attempt, holds the
+    /// request, or gives its final answer.
     pub(super) fn advance(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         let (class, useful_until) = (pending.request.class, pending.useful_until);
@@ -81,7 +86,10 @@
         }
     }
 
-    /// Holds a request for a while. It is reconsidered before its deadline, whatever it waits for.
+    /// Holds a request for at most half of [`SEARCH_INTERVAL`].
+    ///
+    /// At the latest, the hold ends half the unloaded time of the class, and at least two ticks, before an
+    /// answer loses its value. A request that has reached that time is given up.
     fn hold(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         let (class, useful_until) = (pending.request.class, pending.useful_until);
@@ -94,9 +102,12 @@
         self.requests.get_mut(&id).expect("present above").held_until = Some(until);
     }
 
-    /// Departure: an attempt that this machine could not make costs the request nothing. A read goes on to
-    /// the members that it has not tried, as only the way to one may be closed; when all were tried, or for a
-    /// primary, it waits. Guards against errors of this machine that pass for a group that is down.
+    /// Takes the next step for a request whose attempt failed on this machine, for example because no port
+    /// was free. The attempt does not count against the request.
+    ///
+    /// A read is tried at the members that it was not sent to yet, as this machine may be unable to reach
+    /// only one of them. A read that was sent to all of them is held, as is a request for the primary.
+    /// Without this rule, a fault of this machine would look like a group that is down.
     pub(super) fn retry_after_local_error(&mut self, id: RequestId, index: EndpointIndex) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         pending.take_back_attempt();
@@ -109,14 +120,18 @@
         }
     }
 
-    /// Whether another attempt is allowed, and any endpoint may be used; if not, why.
+    /// Checks that the request may have another attempt and that its group has a usable endpoint.
+    ///
+    /// # Errors
+    ///
+    /// The reason why the request must be given up.
     fn check_may_send(&self, pending: &PendingRequest) -> Result<(), GiveUpReason> {
         let members = self.topology.members(pending.request.group);
         let may_run_again = |first_run_at| match self.settings.classes[pending.request.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed { window, .. } => {
-                let usable = (window as f64 * WINDOW_USED) as Micros;
-                self.now - first_run_at < usable.min(window - process_pause_margin(window))
+                let usable_window = (window as f64 * RETRY_WINDOW_SHARE) as Micros;
+                self.now - first_run_at < usable_window.min(window - process_pause_margin(window))
             }
             Idempotency::AtMostOnce => false,
         };
@@ -132,7 +147,7 @@
         Ok(())
     }
 
-    /// Sends a request to an endpoint.
+    /// Sends an attempt of a request to an endpoint.
     fn send(&mut self, id: RequestId, index: EndpointIndex, exploratory: bool) {
         let Some(pending) = self.requests.get(&id) else { return };
         let class = pending.request.class;
@@ -149,24 +164,30 @@
         self.actions.push(Action::Send { request: id, endpoint: endpoint.id, timeout, start_within });
     }
 
-    /// An attempt is awaited as long as its client waits, also where a late answer has no value. Guards
-    /// against counting an endpoint as idle that still works on what was given up, and against clients that
-    /// repeat a request that is about to be answered.
+    /// Returns the timeout of an attempt: the time for which the client still waits, or less for an
+    /// exploratory attempt and for a request with an idempotency key. The timeout of a request that must run
+    /// at most once is never shortened.
+    ///
+    /// The router waits for the client's deadline even if a late answer has no value. With an earlier
+    /// timeout, an endpoint that still works on an abandoned attempt would count as idle, and clients
+    /// would retry a request that is about to be answered.
     fn attempt_timeout(&self, pending: &PendingRequest, exploratory: bool) -> Micros {
         let unloaded = self.unloaded_latency(pending.request.class);
-        let most = match self.settings.classes[pending.request.class].idempotency {
+        let limit = match self.settings.classes[pending.request.class].idempotency {
             Idempotency::AtMostOnce => f64::INFINITY,
             _ if exploratory => unloaded * EXPLORATORY_TIMEOUT_MULTIPLE,
             Idempotency::Keyed { window, .. } => {
-                (window as f64 * ATTEMPT_WINDOW).max(KEYED_TIMEOUT_MULTIPLE * unloaded)
+                (window as f64 * ATTEMPT_WINDOW_SHARE).max(KEYED_TIMEOUT_MULTIPLE * unloaded)
             }
             Idempotency::Idempotent => f64::INFINITY,
         };
-        pending.deadline.saturating_sub(self.now).min(most as Micros).max(1)
+        pending.deadline.saturating_sub(self.now).min(limit as Micros).max(1)
     }
 
-    /// Departure: how long an attempt may wait for its connection where endpoints serve stale data. Guards
-    /// against data that was fresh enough at selection, and against a primary that has stepped down.
+    /// Returns how long an attempt may wait for its connection.
+    ///
+    /// The wait is limited only where endpoints serve stale data. While a read waits, the data of its
+    /// replica can become older than the read allows, and the primary can step down and serve stale data.
     fn start_within(&self, class: usize, index: EndpointIndex) -> Micros {
         let requirement = self.settings.classes[class].requirement;
         if !self.settings.endpoints_serve_stale() {
@@ -185,7 +206,8 @@
         }
     }
 
-    /// Retries a request whose attempt failed, if the retry budget covers the cost.
+    /// Retries a request whose attempt failed, if the retry budget covers the cost of the retry; otherwise
+    /// gives the request up.
     pub(super) fn retry(&mut self, id: RequestId, cost: f64) {
         if self.retry_budget < cost {
             return self.give_up(id, GiveUpReason::RetryBudget);
@@ -194,7 +216,8 @@
         self.advance(id);
     }
 
-    /// Gives the final answer of a request that is not served.
+    /// Gives the final answer to a request that is not served: a rejection, with a randomly spread retry
+    /// delay, if the client may safely retry, and a failure otherwise.
     fn give_up(&mut self, id: RequestId, reason: GiveUpReason) {
         let Some(pending) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[pending.request.class];
@@ -210,20 +233,23 @@
         self.finish(id);
     }
 
-    /// Drops a request that has its final answer and cancels its attempts in flight.
+    /// Drops a request that has its final answer or whose client has disconnected, and cancels its attempt in
+    /// flight.
     pub(crate) fn finish(&mut self, id: RequestId) {
         let in_flight = self.requests.remove(&id).and_then(|pending| pending.in_flight);
         let cancel = |attempt| Action::Cancel { request: id, attempt };
         self.actions.extend(in_flight.filter(|_| self.settings.cancel).map(cancel));
     }
 
-    /// Retries held requests of a group, at once where the primary has just been found.
+    /// Reconsiders the held requests of a group: those that are due, or all of them if the group now has a
+    /// primary other than `primary_before`.
     pub(super) fn resume_held_in_group(&mut self, group: GroupId, primary_before: Option<EndpointIndex>) {
         let primary = self.topology.primary(group);
         self.resume_held(Some(group), primary.is_some() && primary != primary_before);
     }
 
-    /// Retries held requests: those that are due, or all where the primary has just been found.
+    /// Reconsiders the held requests of one group, or of all groups without `group`: those that are due,
+    /// or all of them if the primary was just found.
     pub(super) fn resume_held(&mut self, group: Option<GroupId>, found_primary: bool) {
         let resumes = |pending: &PendingRequest| {
             let is_due = |until| found_primary || until <= self.now;
