--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -1,20 +1,22 @@
-//! Selection for reads that a replica may serve: the fewest pending among those that are fresh enough.
+//! Selects the endpoint for a read that a replica may serve: the one with the fewest pending attempts among
+//! those whose data is fresh enough.
 
 use super::Selection;
 use crate::Router;
 use crate::model::{Class, GroupId, Idempotency, Micros, RequestId, Requirement, Role, process_pause_margin};
 use crate::state::{EndpointIndex, PendingRequest};
 
-/// A read is long if it takes more than this many times as long as a request of the lightest class.
+/// The reads of a class are long if their unloaded time exceeds this multiple of the shortest unloaded time of
+/// any class.
 const LONG_READ_MULTIPLE: f64 = 5.0;
-/// Where at least this many replicas of a group have a connection, those without one yield to equals that
-/// have one. Guards against a connection from each of many routers to each endpoint.
+/// If this router has connections to at least this many replicas of a group, replicas without a connection
+/// lose ties to those with one. Without this rule, each of many routers would connect to each endpoint.
 const CONNECTED_REPLICAS: usize = 2;
-/// The part of the idle timeout, in percent, for which a connection counts as open after it was last used.
-/// Guards against a connection that the endpoint closes while a request is on its way.
+/// The time for which a connection counts as open after its last use, in percent of the idle timeout. At the
+/// full timeout, the endpoint could close the connection while a request is on its way.
 const CONNECTION_LIFE_PERCENT: Micros = 80;
 
-/// What kind of endpoint may serve a read, the preferred first.
+/// How well an endpoint suits a read, the preferred tier first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Tier {
     FreshReplica,
@@ -22,78 +24,86 @@
     LaggingReplica,
 }
 
-/// How endpoints compare for a read, field by field; the least is selected.
+/// The order of endpoints for a read, compared field by field. The endpoint with the lowest rank is selected.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     tier: Tier,
     is_long_read_elsewhere: bool,
     pending: usize,
-    yields: bool,
+    /// A long read away from the group's replica for long reads, or another read at that replica.
+    is_misplaced: bool,
     crosses_zones: bool,
+    /// Sending would open a connection while [`CONNECTED_REPLICAS`] have one.
     needs_connection: bool,
     last_send_number: u64,
     index: EndpointIndex,
 }
 
 impl Router {
-    /// The next step of a read that a replica may serve.
+    /// Returns the next step of a read that a replica may serve: a due trial of an ejected endpoint, or
+    /// else the endpoint with the fewest pending attempts that slow start admits.
     pub(super) fn select_replica(&mut self, id: RequestId) -> Selection {
         let pending = &self.requests[&id];
         let class = pending.request.class;
-        let mut open = self.topology.members(pending.request.group).to_vec();
-        open.retain(|member| self.is_usable(*member) && !pending.tried.contains(member));
-        if let Some(endpoint) = self.due_trial(pending, &open)
+        let mut available = self.topology.members(pending.request.group).to_vec();
+        available.retain(|member| self.is_usable(*member) && !pending.tried.contains(member));
+        if let Some(endpoint) = self.due_trial(pending, &available)
             && self.admit_slow_start(endpoint, class, false)
         {
             self.trial_budget -= 1.0;
             return Selection::Send { endpoint, exploratory: true };
         }
-        if self.probe_before_read(id, &open) {
+        if self.probe_before_read(id, &available) {
             return Selection::Hold;
         }
         loop {
-            match self.least_pending(&self.requests[&id], &open) {
+            match self.least_pending(&self.requests[&id], &available) {
                 Selection::Send { endpoint, .. } if !self.admit_slow_start(endpoint, class, false) => {
-                    open.retain(|member| *member != endpoint);
+                    available.retain(|member| *member != endpoint);
                 }
                 selection => return selection,
             }
         }
     }
 
-    /// An ejected member that this read may try.
-    fn due_trial(&self, pending: &PendingRequest, open: &[EndpointIndex]) -> Option<EndpointIndex> {
+    /// Returns an ejected member whose trial is due, if this read may be used for one: it is idempotent
+    /// and has no attempt yet, and the group has a healthy member for its retry.
+    fn due_trial(&self, pending: &PendingRequest, available: &[EndpointIndex]) -> Option<EndpointIndex> {
         let idempotency = self.settings.classes[pending.request.class].idempotency;
         let is_first = pending.attempts == 0 && idempotency == Idempotency::Idempotent;
         let is_due = |member: &EndpointIndex| self.is_trial_due(*member) && self.may_serve(pending, *member);
         let may_try = is_first && self.trial_budget >= 1.0 && self.any_healthy(pending.request.group);
-        open.iter().copied().find(is_due).filter(|_| may_try)
+        available.iter().copied().find(is_due).filter(|_| may_try)
     }
 
     fn any_healthy(&self, group: GroupId) -> bool {
         self.topology.members(group).iter().any(|member| self.is_healthy(*member))
     }
 
-    /// Departure: where endpoints serve stale data, a read first probes a replica if none is known as fresh.
-    /// Guards against sending all to primaries: each of many routers knows no replica's recent position.
-    fn probe_before_read(&mut self, id: RequestId, open: &[EndpointIndex]) -> bool {
+    /// Probes the replica that suits a read best, if no replica is known to be fresh enough but one may be.
+    /// Returns whether the read has to wait for the probe.
+    ///
+    /// This is needed only where endpoints serve stale data. Each of many routers sends few requests and
+    /// so knows no replica's recent position; without probes, it would send all of these reads to the
+    /// primary.
+    fn probe_before_read(&mut self, id: RequestId, available: &[EndpointIndex]) -> bool {
         let pending = &self.requests[&id];
         let required = self.required_position(pending);
         let may_be_stale = required > 0 && self.settings.endpoints_serve_stale();
-        // Departure: only the primary's answer shows the time on the group's clock. Guards against probes
-        // that can't show how old the data is.
+        // Until an answer of the primary has shown the time on the group's clock, a probe of a replica can't
+        // show how old its data is.
         let is_clock_known = self.topology.clock(pending.request.group).present(self.now).is_some();
         if !may_be_stale || !is_clock_known || !self.settings.probes || pending.probed.is_some() {
             return false;
         }
         let may_be_fresh = |member: &EndpointIndex| {
             let endpoint = &self.topology[*member];
-            let is_well =
+            let can_take_read =
                 !endpoint.ejected && !endpoint.probe_unanswered && self.has_capacity(pending, *member);
             let is_replica = self.topology.role(*member) == Role::Replica;
-            is_replica && is_well && self.estimated_position(*member) >= required
+            is_replica && can_take_read && self.estimated_position(*member) >= required
         };
-        let candidates: Vec<_> = open.iter().copied().filter(may_be_fresh).collect();
+        let candidates: Vec<_> = available.iter().copied().filter(may_be_fresh).collect();
         let first = candidates.iter().copied().min_by_key(|member| {
             let order = self.topology[*member].last_send_number;
             let is_warming_up = self.is_warming_up(*member);
@@ -105,15 +115,16 @@
         probed.inspect(|replica| self.probe(*replica)).is_some()
     }
 
-    /// The position that an endpoint must have reached to serve a read.
+    /// Returns the position that an endpoint must have reached to serve a read; 0 if any position suffices.
     fn required_position(&self, pending: &PendingRequest) -> Micros {
         let class = &self.settings.classes[pending.request.class];
         let present = self.topology.present(pending.request.group, self.now);
         pending.required_position_at(present, class) + self.staleness_margin(class)
     }
 
-    /// Departure: where endpoints serve stale data, a bound is not used to its end. Guards against a proxy
-    /// that is paused between the selection and the write.
+    /// Returns the time by which the staleness bound of a class is tightened where endpoints serve stale
+    /// data. If the process is paused between the selection and the write of the request, the data gets
+    /// older meanwhile.
     fn staleness_margin(&self, class: &Class) -> Micros {
         match class.requirement {
             Requirement::BoundedStaleness(bound) if self.settings.endpoints_serve_stale() => {
@@ -123,45 +134,50 @@
         }
     }
 
-    /// The position that an endpoint is likely to have when it serves a read, or is known to have where only
-    /// that is safe.
+    /// Returns the position that an endpoint is likely to have when it serves a read. Where endpoints
+    /// serve stale data, this is the position that the endpoint is known to have, as an estimate would be
+    /// unsafe.
     fn expected_position(&self, index: EndpointIndex) -> Micros {
         let behavior = self.settings.stale_read_behavior;
         let clock = self.topology.clock_of(index);
         self.topology[index].replication.expected_position(behavior, clock, self.now)
     }
 
-    /// The position that an endpoint is likely to have by now.
+    /// Returns the position that an endpoint is likely to have now.
     fn estimated_position(&self, index: EndpointIndex) -> Micros {
         let clock = self.topology.clock_of(index);
         self.topology[index].replication.estimated_position(clock, self.now)
     }
 
-    /// Whether an endpoint's answer will be fresh enough, or the endpoint rejects the read if it is not.
-    /// Trials keep to this like all sends.
+    /// Returns whether a read may be sent to an endpoint: its data is fresh enough, or the endpoint
+    /// rejects the read otherwise. Applies to trials too.
     fn may_serve(&self, pending: &PendingRequest, index: EndpointIndex) -> bool {
         !self.settings.endpoints_serve_stale()
             || self.topology.role(index) == Role::Primary
             || self.expected_position(index) >= self.required_position(pending)
     }
 
-    /// The endpoint with the fewest pending attempts among those that may serve a read.
-    fn least_pending(&self, pending: &PendingRequest, open: &[EndpointIndex]) -> Selection {
+    /// Selects the endpoint with the fewest pending attempts among the available members that may serve a
+    /// read. Ejected members are used only if the group has no healthy one.
+    ///
+    /// If no member may serve the read, the read is held; if none of those that may has capacity, it is shed.
+    fn least_pending(&self, pending: &PendingRequest, available: &[EndpointIndex]) -> Selection {
         let group = pending.request.group;
         let any_healthy = self.any_healthy(group);
-        let is_led = self.topology.primary(group).is_some_and(|primary| self.is_healthy(primary));
+        let is_primary_healthy = self.topology.primary(group).is_some_and(|primary| self.is_healthy(primary));
         let is_candidate = |member: &EndpointIndex| {
             (!any_healthy || !self.topology[*member].ejected) && self.may_serve(pending, *member)
         };
-        // Departure: an endpoint known to lag is not tried while waiting for the primary is possible. Guards
-        // against rejecting replicas, which drain fastest and look idlest, when all of a group lag.
-        let is_open = |member: &EndpointIndex| {
-            let waits_for_primary = is_led && self.tier(pending, *member) == Tier::LaggingReplica;
+        // Plain least-pending selection prefers replicas that reject reads because they lag: they finish
+        // their attempts fastest and look idle. While the group has a healthy primary, lagging replicas
+        // are excluded.
+        let is_accepting = |member: &EndpointIndex| {
+            let waits_for_primary = is_primary_healthy && self.tier(pending, *member) == Tier::LaggingReplica;
             self.has_capacity(pending, *member) && !waits_for_primary
         };
-        let candidates: Vec<_> = open.iter().copied().filter(is_candidate).collect();
-        let accepted: Vec<_> = candidates.iter().copied().filter(is_open).collect();
-        let ranks = self.ranks(pending, open, &accepted);
+        let candidates: Vec<_> = available.iter().copied().filter(is_candidate).collect();
+        let accepting: Vec<_> = candidates.iter().copied().filter(is_accepting).collect();
+        let ranks = self.ranks(pending, available, &accepting);
         match ranks.into_iter().min() {
             Some(rank) => Selection::Send { endpoint: rank.index, exploratory: false },
             None if candidates.is_empty() => Selection::Hold,
@@ -179,40 +195,51 @@
         }
     }
 
-    /// Ranks the accepted members among those available for a read.
-    fn ranks(&self, read: &PendingRequest, open: &[EndpointIndex], accepted: &[EndpointIndex]) -> Vec<Rank> {
+    /// Returns the ranks of the accepting members. `available` holds all members that the read may be sent
+    /// to.
+    fn ranks(
+        &self,
+        read: &PendingRequest,
+        available: &[EndpointIndex],
+        accepting: &[EndpointIndex],
+    ) -> Vec<Rank> {
         let is_long = self.is_long_read(read.request.class);
         let long_read_replica = self.long_read_replica(read.request.group);
-        // Departure: ties go in turn among endpoints that warm up, whose budget is small enough, and
-        // endpoints with a connection, where there are enough.
+        // Plain least-pending selection breaks ties in turn among all endpoints. Here, endpoints without a
+        // connection take no turns if enough others have one, unless they are warming up: the slow start
+        // budget already limits those.
         let is_connected = |index: &EndpointIndex| self.is_connected_replica(read.request.group, *index);
-        let connected = open.iter().copied().filter(is_connected).count();
+        let connected = available.iter().copied().filter(is_connected).count();
         let rank = |&index: &EndpointIndex| {
-            let is_elsewhere = long_read_replica.is_some_and(|replica| (replica == index) != is_long);
-            let may_be_used = is_connected(&index) || self.is_warming_up(index);
+            let misplaced = long_read_replica.is_some_and(|replica| (replica == index) != is_long);
+            let takes_turns = is_connected(&index) || self.is_warming_up(index);
             Rank {
                 tier: self.tier(read, index),
-                is_long_read_elsewhere: is_long && is_elsewhere,
+                is_long_read_elsewhere: is_long && misplaced,
                 pending: self.pending_count(index),
-                yields: is_elsewhere,
+                is_misplaced: misplaced,
                 crosses_zones: self.crosses_zones(index),
-                needs_connection: connected >= CONNECTED_REPLICAS && !may_be_used,
+                needs_connection: connected >= CONNECTED_REPLICAS && !takes_turns,
                 last_send_number: self.topology[index].last_send_number,
                 index,
             }
         };
-        accepted.iter().map(rank).collect()
+        accepting.iter().map(rank).collect()
     }
 
-    /// Whether an endpoint is a replica to which a connection is probably open.
+    /// Returns whether an endpoint is a replica to which this router probably has an open connection.
     fn is_connected_replica(&self, group: GroupId, index: EndpointIndex) -> bool {
-        let life = self.settings.idle_timeout * CONNECTION_LIFE_PERCENT / 100;
-        let lasts = self.now < self.topology[index].last_sent_at + life;
-        lasts && !self.topology.is_primary_of(group, index)
+        let open_time = self.settings.idle_timeout * CONNECTION_LIFE_PERCENT / 100;
+        let is_open = self.now < self.topology[index].last_sent_at + open_time;
+        is_open && !self.topology.is_primary_of(group, index)
     }
 
-    /// Departure: long reads without freshness go to one replica, the same for all routers, and at
-    /// equal counts the others come first for the rest, since long reads may keep it from applying commits.
+    /// Returns the replica of a group that serves long reads without a freshness requirement, if there are
+    /// any.
+    ///
+    /// A long read may keep a replica from applying commits. Instead of spreading long reads over all
+    /// replicas, all routers therefore send them to the same one, and other reads prefer the other
+    /// replicas when the pending counts are equal.
     fn long_read_replica(&self, group: GroupId) -> Option<EndpointIndex> {
         let has_long_reads = (0..self.settings.classes.len()).any(|class| self.is_long_read(class));
         let is_candidate =
@@ -221,14 +248,14 @@
         candidates.min_by_key(|member| self.topology[*member].id).filter(|_| has_long_reads)
     }
 
-    /// Whether requests of a class are long reads that need no freshness.
+    /// Returns whether the requests of a class are long reads without a freshness requirement.
     fn is_long_read(&self, class: usize) -> bool {
         let lightest = self.traffic.baselines.all().fold(f64::INFINITY, f64::min);
         let needs_no_freshness = self.settings.classes[class].requirement == Requirement::Any;
         needs_no_freshness && self.unloaded_latency(class) > LONG_READ_MULTIPLE * lightest
     }
 
-    /// Whether sending to an endpoint costs a crossing between zones.
+    /// Returns whether a request to an endpoint crosses zones and the settings put a cost on that.
     fn crosses_zones(&self, index: EndpointIndex) -> bool {
         self.topology[index].zone != self.settings.zone && self.settings.cross_zone_cost > 0.0
     }
