--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -1,16 +1,20 @@
-//! Selection for writes and reads of the latest data: the primary, or a search for it.
+//! Selects the endpoint for writes and for reads of the latest data: the primary, if it is known.
+//!
+//! If no primary is known, requests search for it: they are sent to the members of the group in turn, and a
+//! member that is not the primary rejects them without executing them.
 
 use super::Selection;
 use crate::Router;
 use crate::model::{Micros, RequestId, Requirement};
 use crate::state::EndpointIndex;
 
-/// The shortest wait between two rounds of asking the members of a group in turn, and the shortest backoff
-/// of a request that was tried. Guards against a group that is flooded with searches during a failover.
+/// The shortest time between the last attempt of one search for a group's primary and the first of the
+/// next, and the shortest backoff of a request that has had an attempt. Without this wait, all pending
+/// requests of a group would search at the same time during a failover.
 pub(super) const SEARCH_INTERVAL: Micros = 100_000;
 
 impl Router {
-    /// The next step of a request that only the primary can serve.
+    /// Returns the next step of a request that only the primary can serve.
     pub(super) fn select_primary(&mut self, id: RequestId) -> Selection {
         let pending = &self.requests[&id];
         let group = pending.request.group;
@@ -18,7 +22,7 @@
             return Selection::Hold;
         }
         let Some(primary) = self.topology.presumed_primary(group) else { return self.search_primary(id) };
-        // A primary that only the list names is not asked twice by the same request.
+        // A primary that only the list names gets one attempt of a request in a round: the list may be wrong.
         let is_known = self.topology.primary(group) == Some(primary);
         let has_choice = self.topology.members(group).len() > 1;
         let is_avoided = self.topology[primary].ejected && !self.is_trial_due(primary) && has_choice;
@@ -38,18 +42,24 @@
         Selection::Send { endpoint: primary, exploratory: self.topology[primary].ejected }
     }
 
-    /// Asks the members in turn, one round, until one is found to be the primary.
+    /// Returns the next step of a request whose group has no usable primary: it is sent to the next member
+    /// that may be the primary, or is held.
+    ///
+    /// A round of the search, for one request, sends it to each member at most once. A request is held with
+    /// backoff after a round, and without backoff while another search of the group is recent.
     fn search_primary(&mut self, id: RequestId) -> Selection {
         let pending = &self.requests[&id];
         let (group, class) = (pending.request.group, pending.request.class);
         let starts_round = pending.search_attempts == 0;
-        // Departure: half of the attempts go to the first round, the last is for a primary that is known.
-        // Guards against a write that asks all of a group during a failover and has none left afterwards.
+        // The first round ends when half of the allowed attempts are used, each round after that has one
+        // attempt, and the last attempt is reserved for a known primary. Without these limits, a write that
+        // is sent to every member during a failover has no attempt left when the new primary is known.
         let max = self.settings.max_attempts;
         if pending.attempts + 1 >= max || (!starts_round && pending.attempts >= max / 2) {
             return self.back_off(id);
         }
-        // Where endpoints serve stale data, reads leave the search to writes and probes.
+        // Where endpoints serve stale data, a member that is not the primary does not reject a read, so only
+        // writes and probes search.
         let is_write = self.settings.classes[class].requirement == Requirement::Write;
         let is_round_due = self.topology.group(group).is_some_and(|group| self.now >= group.next_search_at);
         if (!is_write && self.settings.endpoints_serve_stale()) || (starts_round && !is_round_due) {
@@ -57,7 +67,8 @@
         }
         let mut candidates = self.search_candidates(id).into_iter();
         let candidate = candidates.find(|member| self.admit_slow_start(*member, class, false));
-        // A round of rejections shows that there is no other primary: one that is ejected is tried again.
+        // If all other members have rejected the request, none of them is the primary: the known primary is
+        // tried although it is ejected.
         let Some(endpoint) = candidate.or_else(|| self.untried_primary(id)) else { return self.back_off(id) };
         self.requests.get_mut(&id).expect("checked by the caller").search_attempts += 1;
         let group = self.topology.group_mut(group).expect("checked by the caller");
@@ -65,7 +76,8 @@
         Selection::Send { endpoint, exploratory: true }
     }
 
-    /// The members that may be the primary, the likeliest first.
+    /// Returns the members that may be the primary and that the request was not sent to in this round, the
+    /// likeliest first. The known primary is not among them.
     fn search_candidates(&self, id: RequestId) -> Vec<EndpointIndex> {
         let pending = &self.requests[&id];
         let known = self.topology.primary(pending.request.group);
@@ -80,7 +92,7 @@
         members
     }
 
-    /// The known primary, if it is usable, has capacity and was not tried by this request.
+    /// Returns the known primary, if it is usable, has capacity and was not tried by this request.
     fn untried_primary(&self, id: RequestId) -> Option<EndpointIndex> {
         let pending = &self.requests[&id];
         let is_untried =
@@ -89,12 +101,16 @@
         primary.filter(|primary| self.has_capacity(pending, *primary))
     }
 
-    /// Holds a request with backoff. Guards against a primary that refuses connections using up all attempts.
+    /// Holds a request with backoff.
+    ///
+    /// The backoff is the time left, halved once for each attempt left, but at least [`SEARCH_INTERVAL`]; none
+    /// for a request without an attempt yet. Without backoff, a primary that refuses connections would use up
+    /// all attempts of the request before it recovers.
     fn back_off(&mut self, id: RequestId) -> Selection {
         let pending = self.requests.get_mut(&id).expect("checked by the caller");
-        let left = pending.useful_until.saturating_sub(self.now);
+        let time_left = pending.useful_until.saturating_sub(self.now);
         let attempts_left = self.settings.max_attempts.saturating_sub(pending.attempts);
-        let wait = (left >> attempts_left.min(63)).max(SEARCH_INTERVAL);
+        let wait = (time_left >> attempts_left.min(63)).max(SEARCH_INTERVAL);
         pending.backoff_until = self.now + if pending.attempts == 0 { 0 } else { wait };
         Selection::Hold
     }
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -6,8 +6,8 @@
 use crate::model::{Class, GroupId, Idempotency, Micros, RequestId, Requirement, Role, process_pause_margin};
 use crate::state::{EndpointIndex, PendingRequest};
 
-/// The reads of a class are long if their unloaded time exceeds this multiple of the shortest unloaded time of
-/// any class.
+/// The reads of a class are long if their unloaded time exceeds this multiple of the shortest unloaded time
+/// of any class.
 const LONG_READ_MULTIPLE: f64 = 5.0;
 /// If this router has connections to at least this many replicas of a group, replicas without a connection
 /// lose ties to those with one. Without this rule, each of many routers would connect to each endpoint.
