--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,22 +1,24 @@
-//! What the end of an attempt shows about its endpoint, and the next step of its request.
+//! Handles the end of an attempt: records what it shows about the endpoint, and takes the next step of its
+//! request.
 
 use crate::Router;
 use crate::model::{AttemptResult, EndpointState, Idempotency, Outcome, Requirement, Role};
 use crate::state::{EndpointIndex, Failure, OutstandingAttempt};
 
 impl Router {
-    /// Takes in what the end of an attempt shows, and takes the next step for its request.
+    /// Handles the end of an attempt. Results of unknown endpoints or attempts are ignored.
     pub(crate) fn on_attempt_ended(&mut self, result: AttemptResult) {
         let Some(index) = self.topology.find(result.endpoint) else { return };
         let endpoint = &mut self.topology[index];
         let Some(attempt) = endpoint.take_outstanding(result.request, result.attempt) else { return };
         let group = endpoint.group;
         let primary_before = self.topology.primary(group);
-        // The unloaded time is taken before this attempt's own time is recorded, which may change it.
+        // Read before this attempt's latency is recorded, which may change the unloaded time.
         let unloaded = self.unloaded_latency(attempt.class);
         self.topology[index].record_outcome(result.outcome, self.now);
         let is_usable = self.is_usable(index);
-        // A keyed write that had run before is answered with the time of its first run.
+        // The answer to a repeated write with an idempotency key holds the commit time of its first run,
+        // which may be earlier than the send of this attempt.
         let is_keyed = matches!(self.settings.classes[attempt.class].idempotency, Idempotency::Keyed { .. });
         let position_after = (!is_keyed).then_some(attempt.sent_at);
         self.topology.record_response(index, &result, position_after, is_usable, self.now);
@@ -27,7 +29,7 @@
         self.resume_held_in_group(group, primary_before);
     }
 
-    /// Records what an outcome shows about the health and the load of its endpoint.
+    /// Records what an outcome shows about the health and the load of the endpoint.
     fn record_outcome(&mut self, index: EndpointIndex, attempt: OutstandingAttempt, result: &AttemptResult) {
         match result.outcome {
             Outcome::Ok => {
@@ -39,7 +41,8 @@
             Outcome::Error => self.record_failure(index, Failure::Error),
             Outcome::ConnectFailed => self.record_disconnect(index, true),
             Outcome::Reset => self.record_disconnect(index, false),
-            // Departure: a lost attempt is no evidence of queueing. Guards against counting losses as load.
+            // A lost attempt counts as a failure, not as a queueing delay: the endpoint has answered a later
+            // attempt without queueing, so its load did not cause the loss.
             Outcome::TimedOut if self.is_lost(index, attempt) => self.record_failure(index, Failure::Lost),
             Outcome::TimedOut | Outcome::RejectedByMember => {
                 self.record_latency(index, attempt, None);
@@ -51,19 +54,21 @@
                 }
             }
             Outcome::NotServable => self.record_not_servable(index, attempt),
-            // A local error shows nothing about the endpoint: a trial is still due.
+            // A local error shows nothing about the endpoint, so its trial is due again immediately.
             Outcome::LocalError => self.topology[index].next_trial_at = self.now,
             Outcome::Cancelled | Outcome::NeverSent => {}
         }
     }
 
-    /// Whether an attempt was lost: one that was sent well after it has been answered without queueing.
+    /// Returns whether an attempt that timed out was lost: the endpoint has answered another attempt without
+    /// queueing that was sent more than half the latency objective later.
     fn is_lost(&self, index: EndpointIndex, attempt: OutstandingAttempt) -> bool {
-        let patience = self.settings.classes[attempt.class].latency_objective / 2;
-        attempt.sent_at + patience < self.topology[index].last_undelayed_send
+        let margin = self.settings.classes[attempt.class].latency_objective / 2;
+        attempt.sent_at + margin < self.topology[index].last_undelayed_send
     }
 
-    /// Records that an endpoint is not the primary, or that it lacks a position that a read required.
+    /// Records why an endpoint could not serve an attempt: it is not the primary, or it has not reached the
+    /// position that a read required.
     fn record_not_servable(&mut self, index: EndpointIndex, attempt: OutstandingAttempt) {
         let required = match self.settings.classes[attempt.class].requirement {
             Requirement::Write => return self.topology.record_write_rejected(index, self.now),
@@ -72,13 +77,13 @@
             }
             _ => self.requests.get(&attempt.request).map_or(0, |pending| pending.required_position),
         };
-        // The requirements of a completed request are no longer known.
+        // 0 also stands for a request that has had its final answer: its requirement is no longer known.
         if required > 0 {
             self.topology.record_missing(index, required, self.now);
         }
     }
 
-    /// Takes the next step for the request, if it still has no final answer.
+    /// Takes the next step for the request of an attempt that has ended, if it has no final answer yet.
     fn continue_request(
         &mut self,
         index: EndpointIndex,
@@ -102,13 +107,14 @@
         if outcome.may_have_run() {
             pending.record_possible_run(attempt.sent_at);
         }
-        // A request that failed with an error at the primary may be retried there.
+        // The primary may get another attempt after an error, as no other endpoint can serve the request.
         if outcome != Outcome::Error || class.role() == Role::Replica {
             pending.tried.push(index);
         }
         let cost = match outcome {
             Outcome::NotServable | Outcome::NeverSent => 0.0,
-            // Guards against lost writes, which are not retried, using up the retries of reads.
+            // Lost writes that must not run again are given up, not retried. If they were charged, they would
+            // use up the retries of reads.
             _ if pending.must_not_run_again(class) => 0.0,
             Outcome::RejectedByMember => 1.0,
             _ => (result.elapsed as f64 / unloaded).min(1.0),
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -103,9 +103,9 @@
 
     /// Holds a request with backoff.
     ///
-    /// The backoff is the time left, halved once for each attempt left, but at least [`SEARCH_INTERVAL`]; none
-    /// for a request without an attempt yet. Without backoff, a primary that refuses connections would use up
-    /// all attempts of the request before it recovers.
+    /// The backoff is the time left, halved once for each attempt left, but at least [`SEARCH_INTERVAL`];
+    /// none for a request without an attempt yet. Without backoff, a primary that refuses connections
+    /// would use up all attempts of the request before it recovers.
     fn back_off(&mut self, id: RequestId) -> Selection {
         let pending = self.requests.get_mut(&id).expect("checked by the caller");
         let time_left = pending.useful_until.saturating_sub(self.now);
