--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,90 +1,105 @@
-//! Concurrency limits and load shedding.
+//! Concurrency limits and load shedding, which prevent overload of the endpoints.
+//!
+//! Each router limits its outstanding attempts at each endpoint. It raises an endpoint's limit while
+//! attempts are answered with little queueing delay, and lowers it when they queue. In addition, each
+//! router sheds a share of the requests to a group when the group's queueing delay rises, those of lowest
+//! priority first.
 
 use crate::Router;
 use crate::model::{Micros, Requirement, Role};
 use crate::state::{EndpointIndex, OutstandingAttempt, PendingRequest};
 
-/// The concurrency limit of an endpoint that nothing is known of: how many attempts of this router may be
-/// outstanding there.
+/// The initial concurrency limit of an endpoint: the number of this router's attempts that may be outstanding
+/// there.
 pub(super) const CONCURRENCY_START: f64 = 6.0;
-/// The lowest concurrency limit. Guards against an endpoint that gets no attempts that could raise its
-/// limit.
+/// The lowest concurrency limit. Below one attempt, the endpoint would get none that could raise its limit.
 const CONCURRENCY_MIN: f64 = 1.0;
-/// The highest concurrency limit. Bounds the growth at an endpoint where nothing queues.
+/// The highest concurrency limit, which bounds the growth at an endpoint where nothing queues.
 const CONCURRENCY_MAX: f64 = 64.0;
-/// How much the limit grows, in attempts, over one round of as many attempts as it allows.
+/// The growth of the limit, in attempts, over as many answered attempts as the limit allows at a time.
 const CONCURRENCY_GAIN: f64 = 0.5;
-/// The part of the limit that is cut with each attempt that queues while the endpoint's queueing delay is
-/// above [`DELAY_TARGET`].
+/// The share by which the limit is reduced for each attempt that queued, while the endpoint's average
+/// queueing delay is above [`DELAY_TARGET`].
 const CONCURRENCY_CUT: f64 = 0.15;
-/// The queueing delay, as a share of the latency objective, above which the limit falls and below which it
-/// grows.
+/// The average queueing delay, as a share of the latency objective, above which the limit falls and below
+/// which it grows.
 const DELAY_TARGET: f64 = 0.2;
-/// The queueing delay of a group, as a share of the latency objective, from which on work is shed.
+/// The queueing delay of a group, as a share of the latency objective, above which requests are shed.
 const SHED_START: f64 = 0.15;
-/// How far the queueing delay has to be above [`SHED_START`] for the share that is shed to reach its most,
-/// as a share of the latency objective.
+/// The excess of the queueing delay over [`SHED_START`], as a share of the latency objective, at which the
+/// shed share reaches its maximum.
 const SHED_SPAN: f64 = 0.6;
-/// How much shedding yields to the concurrency limits: one plus this, times the attempts that a warm
-/// endpoint has in service for this router, divides the share that is shed. A router with several attempts
-/// at an endpoint can limit them; one with fewer than one can only shed.
+/// The weight of an endpoint's concurrency against shedding: the shed share is divided by one plus this
+/// constant times the average number of this router's attempts in service at a warm endpoint. A router
+/// with several attempts at each endpoint can rely on the concurrency limits; one with fewer than one can
+/// only shed.
 const SHED_RELIEF: f64 = 2.0;
-/// The share of the concurrency limit that work of the lowest priority may use, so that room is left for
-/// work of higher priority.
+/// The share of the concurrency limit that requests of the lowest priority may use. The rest is reserved for
+/// requests of higher priority.
 const LIMIT_SHARE_MIN: f64 = 0.5;
-/// The share of the concurrency limit that work of the highest priority may use; above one, as it may
-/// exceed the limit a little.
+/// The share of the concurrency limit that requests of the highest priority may use. It is above one: they
+/// may exceed the limit a little.
 const LIMIT_SHARE_MAX: f64 = 1.4;
 
 impl Router {
-    /// Departure: an endpoint gets no more of this router's attempts than it answers in their objectives,
-    /// and a share is shed by the group's queueing delay, lowest priority first. Guards against overload.
+    /// Returns whether an endpoint may be sent a request now: the endpoint's concurrency limit has
+    /// capacity for the priority of the request, and the request is not among those that its group's
+    /// queueing delay sheds.
+    ///
+    /// Plain least-pending selection has no such limit and overloads the endpoints when the offered work
+    /// exceeds their capacity.
     pub(super) fn has_capacity(&self, pending: &PendingRequest, index: EndpointIndex) -> bool {
         let rank = self.priority_rank(pending, index);
         let limit_share = LIMIT_SHARE_MIN + (LIMIT_SHARE_MAX - LIMIT_SHARE_MIN) * rank;
         let limit = self.topology[index].concurrency_limit * limit_share;
-        let busy = self.traffic.served_work(self.now) / self.warm_endpoints.max(1.0) / 1e6;
+        let in_service = self.traffic.served_work(self.now) / self.warm_endpoints.max(1.0) / 1e6;
         let excess = self.topology.expected_delay(index, self.now) - SHED_START;
-        let shed_share = (excess / SHED_SPAN).clamp(0.0, 1.0) / (1.0 + SHED_RELIEF * busy);
+        let shed_share = (excess / SHED_SPAN).clamp(0.0, 1.0) / (1.0 + SHED_RELIEF * in_service);
         let is_admitted = pending.shed_draw >= shed_share * (LIMIT_SHARE_MAX - rank);
         is_admitted && (self.pending_count(index) as f64) < limit
     }
 
-    /// The value of a request for its work, from 0 to 1. Writes rank by what is left of their own weight, as
-    /// only the primary can serve them; all that replicas can serve ranks lower there.
+    /// Returns the rank of a request for admission, from 0 to 1, by its priority for each unit of its work.
+    ///
+    /// Writes are compared with the full priority weight of their own class, as only the primary can serve
+    /// them; other requests are compared with the most valuable class. At the primary, requests that replicas
+    /// can serve rank lower.
     fn priority_rank(&self, pending: &PendingRequest, index: EndpointIndex) -> f64 {
         let class = &self.settings.classes[pending.request.class];
         let unloaded = self.unloaded_latency(pending.request.class);
-        let best = if class.requirement == Requirement::Write {
+        let best_value = if class.requirement == Requirement::Write {
             class.priority_weight / unloaded
         } else {
             let classes = self.settings.classes.iter().zip(self.traffic.baselines.all());
             classes.map(|(class, unloaded)| class.priority_weight / unloaded).fold(0.0, f64::max)
         };
-        let rank = (pending.priority / unloaded / best.max(1e-12)).clamp(0.0, 1.0).sqrt();
-        let is_needless = self.topology.role(index) == Role::Primary && class.role() == Role::Replica;
-        if is_needless { rank * LIMIT_SHARE_MIN } else { rank }
+        let rank = (pending.priority / unloaded / best_value.max(1e-12)).clamp(0.0, 1.0).sqrt();
+        let is_replica_work = self.topology.role(index) == Role::Primary && class.role() == Role::Replica;
+        if is_replica_work { rank * LIMIT_SHARE_MIN } else { rank }
     }
 
-    /// The number of this router's attempts at an endpoint that are outstanding and may still be answered.
+    /// Returns the number of this router's outstanding attempts at an endpoint, without those that are lost.
     pub(super) fn pending_count(&self, index: EndpointIndex) -> usize {
         self.topology[index].pending_count(&self.settings.classes)
     }
 
-    /// The time that a request of this class takes without load, in microseconds.
+    /// Returns the time that a request of this class takes at an idle endpoint, in microseconds.
     pub(super) fn unloaded_latency(&self, class: usize) -> f64 {
         self.traffic.baselines.unloaded_latency(class)
     }
 
-    /// Records how long an attempt took. One that was not answered has no time and counts as a full delay,
-    /// however little time the client had left.
+    /// Records the latency of an attempt and adapts the concurrency limit of its endpoint.
+    ///
+    /// `elapsed` is `None` for an attempt that was not answered or was rejected. It counts as a delay of the
+    /// whole latency objective, even if the client had less time left.
     pub(super) fn record_latency(
         &mut self,
         index: EndpointIndex,
         attempt: OutstandingAttempt,
         elapsed: Option<Micros>,
     ) {
-        // Departure: attempts outstanding while this process was suspended are no evidence of the endpoint.
+        // The elapsed time of an attempt sent before this process was suspended includes the suspension and
+        // shows nothing about the endpoint.
         if attempt.sent_at < self.resumed_at {
             return;
         }
