--- a/src/policy/probe_timing.rs
+++ b/src/policy/probe_timing.rs
@@ -1,27 +1,32 @@
-//! When health checks (probes) are due: their intervals, and the endpoints that are probed next.
+//! The timing of health checks (probes): their intervals, and which endpoints are due.
+//!
+//! The usual interval follows the traffic, so that a router sends a fixed number of probes for each request.
+//! Endpoints that are down and members of groups without a healthy primary are probed more often.
 
 use crate::Router;
 use crate::model::{EndpointState, GroupId, Micros};
 use crate::state::{EndpointIndex, ProbeTimes};
 use std::collections::BTreeSet;
 
-/// The probes that a router sends for each request that it gets, at the usual rate.
+/// The number of probes for each request of this router, from which the usual interval follows.
 const PROBE_SHARE: f64 = 0.5;
-/// The shortest usual interval between two probes of an endpoint.
+/// The shortest interval between two probes of an endpoint by this router, unless they are urgent.
 const PROBE_INTERVAL_MIN: Micros = 250_000;
-/// Up to this many endpoints, all routers together send an endpoint one first probe in
-/// [`PROBE_INTERVAL_MIN`].
-const PROBED_AT_START: u64 = 200;
-/// How many times as often as usual endpoints that are down, and members of groups without a usable
-/// primary, are probed.
+/// The number of endpoints from which on first probes are spread over a longer time. With fewer endpoints,
+/// all routers together send each endpoint one first probe per [`PROBE_INTERVAL_MIN`].
+const FIRST_PROBE_FLEET_SIZE: u64 = 200;
+/// The factor by which the probe interval is divided for endpoints that are down and for members of groups
+/// without a healthy primary.
 const URGENCY: Micros = 4;
-/// An endpoint's probe interval is outdated if it is more than this many times the current one.
+/// An endpoint's probe interval is outdated if it is longer than this multiple of the usual interval.
 const OUTDATED_MULTIPLE: Micros = 8;
 
 impl Router {
-    /// The endpoints that may be due for a probe, in order.
-    pub(super) fn probe_candidates(&mut self, usual: Micros) -> BTreeSet<EndpointIndex> {
-        let observed_before = self.now.checked_sub(usual.max(PROBE_INTERVAL_MIN));
+    /// Returns the endpoints that may be due for a probe, ordered by index: those that were not observed
+    /// within the usual interval, those that are down, and the members of groups without a healthy
+    /// primary.
+    pub(super) fn probe_candidates(&mut self, usual_interval: Micros) -> BTreeSet<EndpointIndex> {
+        let observed_before = self.now.checked_sub(usual_interval.max(PROBE_INTERVAL_MIN));
         let mut candidates = self.probe_schedule.due(self.now, observed_before);
         candidates.extend(self.probe_schedule.down());
         for group in self.probe_schedule.groups_without_healthy_primary() {
@@ -30,10 +35,12 @@
         candidates
     }
 
-    /// Shortens the waits that were set when the usual interval was far longer. Guards against probes that
-    /// were scheduled while there was next to no traffic: the next one would come an hour after a quiet time.
-    pub(super) fn shorten_outdated_intervals(&mut self, usual: Micros) {
-        let interval = usual.max(PROBE_INTERVAL_MIN);
+    /// Shortens the waits for probes that were scheduled when the usual interval was far longer.
+    ///
+    /// The usual interval grows when there is little traffic. Without this rule, an endpoint whose probe was
+    /// scheduled in a quiet time could be probed only an hour after the traffic is back.
+    pub(super) fn shorten_outdated_intervals(&mut self, usual_interval: Micros) {
+        let interval = usual_interval.max(PROBE_INTERVAL_MIN);
         if self.longest_probe_interval <= OUTDATED_MULTIPLE * interval {
             return;
         }
@@ -48,36 +55,39 @@
         }
     }
 
-    /// The time over which the first probes of so many endpoints are spread: all routers together probe an
-    /// endpoint once in the least interval. Departure: in a larger fleet less often, so that a router makes
-    /// as many first probes as elsewhere for a smaller part of the endpoints. Guards against a connection to
-    /// each of thousands of endpoints from each router, which uses few of them.
+    /// Returns the time over which this router spreads its first probes of a fleet of this many endpoints.
+    ///
+    /// Up to [`FIRST_PROBE_FLEET_SIZE`] endpoints, all routers together send each endpoint one first probe
+    /// per [`PROBE_INTERVAL_MIN`]. In a larger fleet the time grows with the number of endpoints, so that
+    /// the rate of a router's first probes does not. Otherwise, each router would soon open a connection
+    /// to each of thousands of endpoints, although it uses few of them.
     pub(super) fn first_probe_spread(&self, endpoint_count: usize) -> Micros {
         let endpoint_count = endpoint_count as u64;
-        let by_routers = PROBE_INTERVAL_MIN * Micros::from(self.settings.instances);
-        by_routers * endpoint_count.max(PROBED_AT_START) / PROBED_AT_START
+        let min_spread = PROBE_INTERVAL_MIN * Micros::from(self.settings.instances);
+        min_spread * endpoint_count.max(FIRST_PROBE_FLEET_SIZE) / FIRST_PROBE_FLEET_SIZE
     }
 
-    /// The usual interval between two probes of an endpoint.
+    /// Returns the usual interval between two probes of an endpoint, in microseconds.
     pub(crate) fn probe_interval(&self) -> Micros {
         let rate = PROBE_SHARE * self.traffic.arrivals.per_second_at(self.now);
         (self.topology.endpoint_count() as f64 / rate.max(0.001) * 1e6) as Micros
     }
 
-    /// The interval between two probes of an endpoint, if one is due now.
-    pub(crate) fn due_probe_interval(&self, index: EndpointIndex, usual: Micros) -> Option<Micros> {
+    /// Returns the interval after which an endpoint is probed again, if a probe is due now.
+    pub(crate) fn due_probe_interval(&self, index: EndpointIndex, usual_interval: Micros) -> Option<Micros> {
         let endpoint = &self.topology[index];
         if !self.may_answer_probe(index) || endpoint.probe_in_flight || self.now < endpoint.next_probe_at {
             return None;
         }
         let urgency = if self.is_probe_urgent(index) { URGENCY } else { 1 };
-        let interval = (usual / urgency).max(PROBE_INTERVAL_MIN / urgency);
-        // Recent answers have shown the same.
-        let is_needless = urgency == 1 && self.now < endpoint.replication.observed_at() + interval;
-        (!is_needless).then_some(interval)
+        let interval = (usual_interval / urgency).max(PROBE_INTERVAL_MIN / urgency);
+        // A position that was observed within the interval makes the probe unnecessary.
+        let is_observed = urgency == 1 && self.now < endpoint.replication.observed_at() + interval;
+        (!is_observed).then_some(interval)
     }
 
-    /// Sets when an endpoint is probed next: after this interval, an eighth of it more or less at random.
+    /// Schedules the next probe of an endpoint after this interval, with a random jitter of up to an
+    /// eighth of the interval in both directions.
     pub(super) fn set_next_probe(&mut self, index: EndpointIndex, interval: Micros) {
         let jitter = self.random.below(interval / 4);
         let endpoint = &mut self.topology[index];
@@ -91,7 +101,7 @@
         self.topology[index].state == EndpointState::Ready || self.may_serve_though_removed(index)
     }
 
-    /// Updates the schedule with the times before which an endpoint needs no probe.
+    /// Updates the probe schedule with the times of an endpoint, or removes an endpoint that is not probed.
     pub(super) fn schedule_probe(&mut self, index: EndpointIndex) {
         let endpoint = &self.topology[index];
         let (not_before, observed_at) = (endpoint.next_probe_at, endpoint.replication.observed_at());
@@ -100,13 +110,13 @@
         self.probe_schedule.record(index, may_answer.then_some(times));
     }
 
-    /// Whether a group has a healthy primary, also where only the list names that primary. Guards against all
-    /// routers that have just started probing at a high rate.
+    /// Returns whether a group has a healthy primary. A primary that only the list names counts, too:
+    /// otherwise all routers that have just started would probe at the urgent rate.
     fn has_healthy_primary(&self, group: GroupId) -> bool {
         self.topology.presumed_primary(group).is_some_and(|primary| self.is_healthy(primary))
     }
 
-    /// Updates whether a group has a healthy primary.
+    /// Records in the probe schedule whether a group has a healthy primary.
     pub(super) fn update_leadership(&mut self, group: GroupId) {
         let has_healthy_primary = self.has_healthy_primary(group);
         self.probe_schedule.record_primary_health(group, has_healthy_primary);
--- a/src/policy/probing.rs
+++ b/src/policy/probing.rs
@@ -1,32 +1,33 @@
-//! Health checks (probes): asking endpoints for their role and position.
+//! Health checks (probes), which ask endpoints for their role and position.
 
 use crate::Router;
 use crate::model::{Action, EndpointId, LoadReport};
 use crate::state::EndpointIndex;
 
 impl Router {
-    /// Probes the endpoints that are due.
+    /// Probes the endpoints that are due and schedules their next probes.
     pub(super) fn start_probes(&mut self) {
         if !self.settings.probes {
             return;
         }
-        let usual = self.probe_interval();
-        self.shorten_outdated_intervals(usual);
-        for index in self.probe_candidates(usual) {
-            let Some(interval) = self.due_probe_interval(index, usual) else { continue };
+        let usual_interval = self.probe_interval();
+        self.shorten_outdated_intervals(usual_interval);
+        for index in self.probe_candidates(usual_interval) {
+            let Some(interval) = self.due_probe_interval(index, usual_interval) else { continue };
             self.set_next_probe(index, interval);
             self.probe(index);
         }
     }
 
-    /// Probes an endpoint, unless a probe is under way.
+    /// Probes an endpoint, unless a probe of it is in flight.
     pub(super) fn probe(&mut self, index: EndpointIndex) {
         let endpoint = &mut self.topology[index];
         self.actions.extend((!endpoint.probe_in_flight).then_some(Action::Probe(endpoint.id)));
         endpoint.probe_in_flight = true;
     }
 
-    /// Takes in the end of a probe, and lets the reads that waited for it go on.
+    /// Handles the end of a probe: records the report, if there is one, and resumes the reads that were
+    /// held for the probe.
     pub(crate) fn on_probe_ended(&mut self, id: EndpointId, answered: bool, report: LoadReport) {
         let Some(index) = self.topology.find(id) else { return };
         self.end_probe(index);
@@ -43,14 +44,15 @@
         self.resume_held_in_group(group, primary_before);
     }
 
-    /// Departure: a health check that this machine could not send is no evidence of the endpoint.
+    /// Handles a probe that this machine could not send. It is not recorded as unanswered, as it shows
+    /// nothing about the endpoint.
     pub(crate) fn on_probe_not_sent(&mut self, id: EndpointId) {
         let Some(index) = self.topology.find(id) else { return };
         self.end_probe(index);
         self.resume_held(Some(self.topology[index].group), false);
     }
 
-    /// Notes that no probe is under way, and that the reads that waited for it are due.
+    /// Records that no probe of an endpoint is in flight, and makes the reads that were held for it due.
     fn end_probe(&mut self, index: EndpointIndex) {
         self.topology[index].probe_in_flight = false;
         for pending in self.requests.values_mut().filter(|pending| pending.probed == Some(index)) {
