--- a/src/policy/endpoint_updates.rs
+++ b/src/policy/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! What an endpoint list or a change of it means: endpoints are added, changed and removed.
+//! Applies the endpoint list and its changes: adds, updates and removes endpoints.
 
 use super::{FIRST_SEND_NUMBER, admission, health};
 use crate::Router;
@@ -7,7 +7,10 @@
 use crate::state::{Endpoint, EndpointIndex};
 
 impl Router {
-    /// Takes in an endpoint list, whole or changes of it, and lets requests go on that waited for it.
+    /// Applies entries of the endpoint list, and resumes held requests that are due. The requests of a
+    /// group for which the list newly names a primary are resumed regardless of their wait.
+    ///
+    /// If the list is complete, endpoints without an entry are marked as removed.
     pub(crate) fn on_endpoint_update(&mut self, complete: bool, entries: Vec<EndpointEntry>) {
         if complete {
             let removed = self.topology.remove_unlisted(&entries);
@@ -33,8 +36,8 @@
         self.resume_held(None, false);
     }
 
-    /// Updates what is known of all endpoints together. It is called after each event that may have changed
-    /// this endpoint.
+    /// Updates the counts and schedules that cover all endpoints. Must be called after each event that may
+    /// have changed the endpoint.
     pub(super) fn update_indexes(&mut self, index: EndpointIndex) {
         let warm_at = self.is_usable(index).then(|| self.warm_at(index));
         self.usable_counts.record(index, warm_at);
@@ -43,7 +46,7 @@
         self.update_leadership(self.topology[index].group);
     }
 
-    /// Adds an endpoint to a fleet of about `endpoint_count`.
+    /// Adds an endpoint to a fleet of about `endpoint_count` endpoints.
     fn add_endpoint(
         &mut self,
         entry: &EndpointEntry,
@@ -54,8 +57,9 @@
         former_group.into_iter().for_each(|group| self.update_leadership(group));
         let next_probe_at = self.now + self.random.below(self.first_probe_spread(endpoint_count));
         let last_send_number = self.random.below(FIRST_SEND_NUMBER);
-        // A trial comes first where it costs no time: where trials reach all endpoints in a second. Only a
-        // start that the list reports lets a new one be used at once: slow start bounds its load.
+        // An endpoint that is not in the first list is ejected until a trial succeeds, unless the list
+        // reports its start and trials of all endpoints would take longer than a second. In that case it is
+        // used immediately, as slow start limits its load.
         let trials_per_second = self.traffic.arrivals.per_second_at(self.now) * health::TRIAL_SHARE;
         let trials_are_quick = trials_per_second > self.topology.endpoint_count() as f64;
         let ejected = !is_first_list && (entry.started_at == 0 || trials_are_quick);
