--- a/src/policy/clock_changes.rs
+++ b/src/policy/clock_changes.rs
@@ -1,11 +1,12 @@
-//! What follows when a group's clock turns out to differ from what was known of it.
+//! Reactions to new estimates of a group's clock.
 
 use crate::Router;
 use crate::model::Action;
 
 impl Router {
-    /// Logs steps of groups' clocks, and counts anew the endpoints whose start may have been later or earlier
-    /// than it seemed.
+    /// Logs the steps of groups' clocks, and updates the endpoints of groups whose clock estimates changed. The
+    /// list reports the start of an endpoint as a time on its group's clock, so the endpoint may have started
+    /// earlier or later than was assumed.
     pub(super) fn apply_clock_changes(&mut self) {
         let steps = self.topology.take_clock_steps();
         self.actions.extend(steps.iter().map(|step| Action::Log(step.to_string())));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,9 @@
-//! Every decision of liftrelay. The types of settings, events and actions are in `src/model/mod.rs`.
+//! The decisions of the router. The types of settings, events and actions are in `src/model/mod.rs`.
 //!
-//! The default is C-JDBC's least pending requests first: each router counts its own outstanding
-//! attempts at each endpoint and sends a read to the group's replica with the fewest, ties in turn; writes
-//! and reads of the latest data go to the endpoint last seen as primary. Deviations are marked "Departure".
+//! The policy is based on plain least-pending selection, C-JDBC's least pending requests first. Each router
+//! counts its own outstanding attempts at each endpoint and sends a read to the replica of the group with the
+//! fewest; equal replicas take turns. Writes and reads of the latest data go to the endpoint last seen as the
+//! primary. Where a rule replaces this policy, its comment names the fault that the plain policy has.
 
 mod admission;
 mod clock_changes;
@@ -21,38 +22,39 @@
 use crate::model::{Action, Micros};
 use crate::state::EndpointIndex;
 
-/// The interval between two runs of the periodic work (held requests, probes), in batches of events, which
-/// come at the settings' resolution.
+/// The interval between two runs of the periodic work (held requests, probes), as a multiple of the settings'
+/// resolution, which is the shortest time between two batches of events.
 const TICK_BATCHES: u64 = 4;
-/// The shortest interval between two runs of the periodic work, also where the resolution is finer.
+/// The shortest interval between two runs of the periodic work, whatever the resolution.
 const TICK_INTERVAL_MIN: Micros = 10_000;
-/// A tick that comes later than this shows that this process was suspended.
+/// If a tick is late by more than this, the process was suspended.
 const SUSPENSION_DELAY: Micros = 100_000;
-/// The wait before the endpoint list is asked for again after a failed call.
+/// The wait between a failed subscription to the endpoint list and the next one.
 const LIST_RETRY_DELAY: Micros = 1_000_000;
-/// A router numbers its sends from here on. Endpoints that it has not sent to yet draw a number below, so
-/// that they come before the others, in a random order in each router.
+/// The number from which a router counts its sends. An endpoint that it has not sent to yet has a random
+/// number below this one, so that such endpoints win ties against others, in a different order at each
+/// router.
 pub(crate) const FIRST_SEND_NUMBER: u64 = 1 << 16;
-/// The retries, and the trials, that a new router may spend before it has seen any requests.
+/// The initial retry budget and the initial trial budget of a router, before any request has arrived.
 pub(crate) const BUDGET_START: f64 = 1.0;
-/// The token of the timer of the periodic work.
+/// The token of the timer for the periodic work.
 const TICK_TIMER: u32 = 0;
-/// The token of the timer after which the endpoint list is asked for again.
+/// The token of the timer for the next subscription to the endpoint list.
 const LIST_TIMER: u32 = 1;
 
 /// The next step of a request.
 enum Selection {
-    /// It is sent to an endpoint. The attempt has a short timeout if it is exploratory: a trial, or part of a
-    /// search for the primary.
+    /// The request is sent to an endpoint. The attempt has a short timeout if it is exploratory: a trial,
+    /// or part of a search for the primary.
     Send { endpoint: EndpointIndex, exploratory: bool },
-    /// It is sent nowhere now, but held and reconsidered later.
+    /// The request is held and reconsidered later.
     Hold,
-    /// It is shed: it is sent nowhere, and gets its final answer.
+    /// The request is shed: it gets its final answer without another attempt.
     Shed,
 }
 
 impl Router {
-    /// Does what a timer was set for.
+    /// Handles a timer that fired: runs the periodic work, or subscribes to the endpoint list again.
     pub(crate) fn on_timer(&mut self, token: u32) {
         match token {
             TICK_TIMER => self.on_tick(),
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Asks for the endpoint list again after a while.
+    /// Schedules another subscription to the endpoint list after one has failed.
     pub(crate) fn on_endpoint_list_failed(&mut self) {
         self.set_timer(LIST_TIMER, LIST_RETRY_DELAY);
     }
@@ -70,7 +72,8 @@
         self.actions.push(Action::SetTimer { token, after });
     }
 
-    /// Starts the ticks with the first event; later, detects that this process was suspended.
+    /// Starts the ticks at the first event. At later events, detects by a late tick that this process was
+    /// suspended.
     pub(crate) fn check_ticks(&mut self) {
         if self.next_tick_at == 0 {
             let after = 1 + self.random.below(self.tick_interval());
@@ -83,12 +86,13 @@
         }
     }
 
-    /// The interval between two runs of the periodic work.
+    /// Returns the interval between two runs of the periodic work.
     fn tick_interval(&self) -> Micros {
         (self.settings.resolution * TICK_BATCHES).max(TICK_INTERVAL_MIN)
     }
 
-    /// Does the periodic work.
+    /// Runs the periodic work: counts the serving capacity, resumes held requests, sends probes, and drops
+    /// the commits of sessions that all members have.
     fn on_tick(&mut self) {
         self.set_timer(TICK_TIMER, self.tick_interval());
         self.next_tick_at = self.now + self.tick_interval();
