--- a/src/policy/clock_changes.rs
+++ b/src/policy/clock_changes.rs
@@ -4,9 +4,9 @@
 use crate::model::Action;
 
 impl Router {
-    /// Logs the steps of groups' clocks, and updates the endpoints of groups whose clock estimates changed. The
-    /// list reports the start of an endpoint as a time on its group's clock, so the endpoint may have started
-    /// earlier or later than was assumed.
+    /// Logs the steps of groups' clocks, and updates the endpoints of groups whose clock estimates
+    /// changed. The list reports the start of an endpoint as a time on its group's clock, so the endpoint
+    /// may have started earlier or later than was assumed.
     pub(super) fn apply_clock_changes(&mut self) {
         let steps = self.topology.take_clock_steps();
         self.actions.extend(steps.iter().map(|step| Action::Log(step.to_string())));
--- a/src/policy/endpoint_capacity.rs
+++ b/src/policy/endpoint_capacity.rs
@@ -13,8 +13,8 @@
 pub(super) const CAPACITY_COUNT_INTERVAL: Micros = 1_000_000;
 
 impl Router {
-    /// Returns the least share of its full capacity that an endpoint has. The share rises linearly during slow
-    /// start, and above 1 after it.
+    /// Returns the least share of its full capacity that an endpoint has. The share rises linearly during
+    /// slow start, and above 1 after it.
     pub(super) fn capacity_share(&self, index: EndpointIndex) -> f64 {
         let endpoint = &self.topology[index];
         let started_at = self.topology.started_at(index);
