--- a/src/router.rs
+++ b/src/router.rs
@@ -1,4 +1,4 @@
-//! A router: its state, and the dispatch of events to the policy.
+//! The router: its state, and the dispatch of events to the policy.
 
 use crate::estimators::{FailureRate, Traffic};
 use crate::model::{Action, EndpointCounts, Event, Micros, RequestId, Settings};
@@ -7,49 +7,56 @@
 use crate::state::{PendingRequest, ProbeSchedule, ServingCapacity, SessionCommits, Topology, UsableCounts};
 use std::collections::BTreeMap;
 
-/// Decides where each request is sent. There is one per process; routers share nothing.
+/// Decides to which endpoint each request is sent.
 ///
-/// The decisions are methods of this type in the policy module.
+/// Each proxy process has one router, and routers share no state. A router does no I/O: it handles the events
+/// of its host and returns actions that the host carries out. The decisions are methods of this type in the
+/// policy module.
 #[derive(Default)]
 pub struct Router {
     pub(crate) settings: Settings,
     pub(crate) random: RandomSource,
     pub(crate) created_at: Micros,
     pub(crate) now: Micros,
-    /// The actions that the current event has caused so far.
+    /// The actions that the event being handled has caused.
     pub(crate) actions: Vec<Action>,
 
     pub(crate) next_tick_at: Micros,
-    /// When this process last resumed after a suspension.
+    /// When the end of this process's last suspension was detected; 0 if it was never suspended.
     pub(crate) resumed_at: Micros,
 
     pub(crate) topology: Topology,
     pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
     pub(crate) commits: SessionCommits,
     pub(crate) traffic: Traffic,
-    /// The failure rate of the attempts at all endpoints.
+    /// The moving failure rate of the attempts at all endpoints together.
     pub(crate) failure_rate: FailureRate,
 
     pub(crate) probe_schedule: ProbeSchedule,
-    /// An upper bound of the intervals by which probes are scheduled.
+    /// An upper bound of the probe intervals of all endpoints, in microseconds.
     pub(crate) longest_probe_interval: Micros,
     pub(crate) usable_counts: UsableCounts,
-    /// What the usable endpoints can serve.
+    /// The capacity of the usable endpoints and the most work that they were observed to serve.
     pub(crate) serving_capacity: ServingCapacity,
-    /// The number of usable endpoints at the last update of the list.
+    /// The number of usable endpoints at the last update of the endpoint list.
     pub(crate) usable_endpoints: f64,
-    /// The number of those that were not warming up then.
+    /// The number of usable endpoints that were not warming up at the last update of the endpoint list.
     pub(crate) warm_endpoints: f64,
-    /// The work per second that a warm endpoint served for this router when one last answered.
+    /// The work, in microseconds of unloaded time per second, that a warm endpoint served for this router
+    /// when a warm endpoint last answered.
     pub(crate) last_warm_work: f64,
+    /// The number of retries that may be sent. Fractional: a retry costs less than one if the failed attempt
+    /// took less than its unloaded time.
     pub(crate) retry_budget: f64,
+    /// The number of trials of ejected endpoints for which reads may be used. Fractional: each request adds a
+    /// part of a trial.
     pub(crate) trial_budget: f64,
     /// The number of the last send, counted from [`policy::FIRST_SEND_NUMBER`].
     pub(crate) sends: u64,
 }
 
 impl Router {
-    /// A router that knows only its settings.
+    /// Creates a router that has no endpoints yet, on a host whose clock agrees with those of the members.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Router {
             traffic: Traffic::new(&settings, now),
@@ -64,13 +71,13 @@
         }
     }
 
-    /// A router whose host's clock may differ from that of the members: it compares positions with what the
-    /// answers of primaries show of their groups' clocks.
+    /// Creates a router on a host whose clock may differ from those of the members. The router estimates each
+    /// group's clock from the answers of its primary, and compares positions with that estimate.
     pub fn with_unknown_clock(settings: Settings, seed: u64, now: Micros) -> Self {
         Router { topology: Topology::with_unknown_clock(), ..Router::new(settings, seed, now) }
     }
 
-    /// Handles one event and appends the resulting actions.
+    /// Handles one event that happened at `now`, and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.check_ticks();
@@ -89,7 +96,7 @@
         actions.append(&mut self.actions);
     }
 
-    /// How many endpoints the list names, and how many of them are avoided now.
+    /// Returns how many endpoints the list names, and how many of those the router currently avoids.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.topology.counts()
     }
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what the router keeps up to date instead of looking at all endpoints.
+//! Tests of the counts and schedules that the router updates incrementally instead of scanning all endpoints.
 
 use super::Router;
 use crate::model::{
@@ -11,7 +11,8 @@
 const ENDPOINTS_PER_ROUTER: u32 = 4;
 const START: Micros = 1_700_000_000_000 * MS;
 
-/// The more routers there are, the less often each of them probes.
+/// Settings of one router of `instances`; the first probes are spread over a time that grows with that
+/// number.
 fn settings(instances: u32) -> Settings {
     let class = Class {
         requirement: Requirement::Any,
@@ -48,7 +49,7 @@
     Event::EndpointUpdate { complete, endpoints }
 }
 
-/// A router and its host, which answers each attempt and each probe as drawn.
+/// A router and its host, which ends each attempt and each probe with a random result.
 struct Host {
     router: Router,
     now: Micros,
@@ -70,7 +71,8 @@
         self.router.handle(self.now, event, &mut self.actions);
     }
 
-    /// An entry of the endpoint with this id, changed at random, seldom to another group.
+    /// Returns an entry for the endpoint with this id, with a random state and start, and with another
+    /// group in one of eight cases.
     fn changed_entry(&mut self, id: u64) -> EndpointEntry {
         let group_of = if self.random.below(8) == 0 { id + 5 } else { id };
         let state = match self.random.below(4) {
@@ -82,14 +84,14 @@
         EndpointEntry { endpoint: EndpointId(id), ..entry(group_of, state, started_at) }
     }
 
-    /// What an endpoint reports: the first of five is the primary.
+    /// Returns the load report of an endpoint. The first of each group of five is the primary.
     fn report(&self, id: EndpointId) -> LoadReport {
         let role = if id.0.is_multiple_of(5) { Role::Primary } else { Role::Replica };
         LoadReport { role: Some(role), position: Some(self.now) }
     }
 
-    /// The event that ends what an action began, if it is one that ends.
-    fn end_of(&mut self, action: Action) -> Option<Event> {
+    /// Returns the event that ends the attempt or the probe of an action; `None` for other actions.
+    fn completion_of(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Send { request, endpoint, .. } => {
                 let outcomes = [Outcome::Ok, Outcome::ConnectFailed, Outcome::TimedOut];
@@ -112,7 +114,7 @@
         }
     }
 
-    /// The usable endpoints, and those of them that are warm, by looking at all.
+    /// Returns the number of usable endpoints and of those that are warm, by a scan of all endpoints.
     fn scan(&self) -> (f64, f64) {
         let router = &self.router;
         let usable: Vec<_> = router.topology.indices().filter(|index| router.is_usable(*index)).collect();
@@ -120,16 +122,18 @@
         (usable.len() as f64, warm as f64)
     }
 
-    /// The endpoints that are due for a probe, by looking at all.
+    /// Returns the probes that are due, by a scan of all endpoints.
     fn due_probes(&self) -> Vec<Action> {
         let router = &self.router;
-        let usual = router.probe_interval();
-        let due =
-            router.topology.indices().filter(|index| router.due_probe_interval(*index, usual).is_some());
+        let usual_interval = router.probe_interval();
+        let due = router
+            .topology
+            .indices()
+            .filter(|index| router.due_probe_interval(*index, usual_interval).is_some());
         due.map(|index| Action::Probe(router.topology[index].id)).collect()
     }
 
-    /// Lets the periodic work run; returns the endpoints that it probes.
+    /// Runs the periodic work, and returns the probes that it sends.
     fn tick(&mut self) -> Vec<Action> {
         let before = self.actions.len();
         self.handle(Event::TimerFired(0));
@@ -138,8 +142,11 @@
     }
 }
 
+/// The router counts usable and warm endpoints and finds due probes without scanning all endpoints. An
+/// event that does not update the counts or the schedule would leave them wrong until the next change of
+/// the endpoint.
 #[test]
-fn usable_endpoints_and_due_probes_are_those_of_a_scan() {
+fn counts_and_due_probes_match_a_full_scan() {
     let mut host = Host::new(40);
     for request in 1..4000 {
         host.now += host.random.below(20 * MS);
@@ -153,13 +160,13 @@
         assert_eq!(host.tick(), due, "after request {request}");
         for action in std::mem::take(&mut host.actions) {
             host.now += host.random.below(5 * MS);
-            if let Some(event) = host.end_of(action) {
+            if let Some(event) = host.completion_of(action) {
                 host.handle(event);
             }
         }
         let is_long_pause = host.random.below(400) == 0;
         host.now += if is_long_pause { 11_000 * MS } else { 0 };
-        // New endpoints take the place of others in the course of time.
+        // The ids grow with the requests, so that new endpoints replace older ones.
         let changed = u64::from(request) / 100 + host.random.below(60);
         let change = host.changed_entry(changed);
         let is_complete = host.random.below(50) == 0;
@@ -169,7 +176,7 @@
     }
 }
 
-/// How often a router with so many endpoints looks at one of them in the course of these steps.
+/// Returns how many lookups of an endpoint a router with this number of endpoints makes in these steps.
 fn count_lookups(members: u64, steps: impl Fn(&mut Host)) -> usize {
     let mut host = Host::new(members);
     let before = host.router.topology.lookup_count();
@@ -177,9 +184,10 @@
     host.router.topology.lookup_count() - before
 }
 
-/// Guards against work that grows with the endpoints that there are, not with those that change or are used.
+/// The work for an event must depend on the endpoints that it changes or uses. If it grew with the number
+/// of all endpoints, a large fleet would slow down each request.
 #[test]
-fn an_update_a_tick_and_a_request_look_at_few_endpoints_of_any_number() {
+fn lookups_for_an_update_a_tick_and_a_request_do_not_grow_with_the_fleet() {
     let steps = |host: &mut Host| {
         for id in 0..20 {
             host.now += 20 * MS;
@@ -189,13 +197,13 @@
             host.tick();
         }
     };
-    let (usual, large) = (count_lookups(200, steps), count_lookups(3200, steps));
-    assert!(large <= usual, "{large} lookups with 3,200 endpoints, {usual} with 200");
+    let (small, large) = (count_lookups(200, steps), count_lookups(3200, steps));
+    assert!(large <= small, "{large} lookups with 3,200 endpoints, {small} with 200");
 }
 
-/// Guards against comparing each endpoint with each entry of a complete list.
+/// Comparing each endpoint with each entry of a complete list would make the work quadratic.
 #[test]
-fn a_complete_list_looks_at_each_endpoint_a_few_times() {
+fn lookups_for_a_complete_list_grow_linearly() {
     let complete = |count: u64| {
         count_lookups(count, |host| {
             host.handle(update(true, (0..count).map(|id| entry(id, EndpointState::Ready, 0)).collect()));
@@ -206,13 +214,14 @@
             ));
         })
     };
-    let (usual, large) = (complete(200), complete(3200));
-    assert!(large <= 17 * usual, "{large} lookups with 3,200 endpoints, {usual} with 200");
+    let (small, large) = (complete(200), complete(3200));
+    assert!(large <= 17 * small, "{large} lookups with 3,200 endpoints, {small} with 200");
 }
 
-/// Guards against connections for probes to thousands of endpoints, most of which the router never uses.
+/// If the first probes grew with the fleet, each router would open connections to thousands of endpoints,
+/// most of which it never uses.
 #[test]
-fn a_router_makes_no_more_first_probes_where_there_are_more_endpoints() {
+fn first_probes_of_a_router_do_not_grow_with_the_fleet() {
     let probes_in_a_minute = |members| {
         let mut host = Host::new(members);
         (0..60_000 / 20).fold(0, |probes, _| {
@@ -220,7 +229,7 @@
             probes + host.tick().len()
         })
     };
-    let (usual, large) = (probes_in_a_minute(200), probes_in_a_minute(3200));
-    assert_eq!(usual, 200, "each endpoint is probed");
-    assert!(0 < large && large <= usual, "{large} first probes with 3,200 endpoints");
+    let (small, large) = (probes_in_a_minute(200), probes_in_a_minute(3200));
+    assert_eq!(small, 200, "each endpoint is probed");
+    assert!(0 < large && large <= small, "{large} first probes with 3,200 endpoints");
 }
