--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -42,11 +42,11 @@
         Selection::Send { endpoint: primary, exploratory: self.topology[primary].ejected }
     }
 
-    /// Returns the next step of a request whose group has no usable primary: it is sent to the next member
-    /// that may be the primary, or is held.
+    /// Returns the next step of a request whose group has no usable primary: the request is sent to the next
+    /// member that may be the primary, or is held.
     ///
-    /// A round of the search, for one request, sends it to each member at most once. A request is held with
-    /// backoff after a round, and without backoff while another search of the group is recent.
+    /// One round of the search sends the request to each member at most once. The request is held with
+    /// backoff after a round, and without backoff while a search by another request is recent.
     fn search_primary(&mut self, id: RequestId) -> Selection {
         let pending = &self.requests[&id];
         let (group, class) = (pending.request.group, pending.request.class);
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Returns the ranks of the accepting members. `available` holds all members that the read may be sent
-    /// to.
+    /// Returns the ranks of the accepting members. `available` holds all usable members that the read was not
+    /// sent to.
     fn ranks(
         &self,
         read: &PendingRequest,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -57,11 +57,14 @@
     /// endpoint's overload threshold.
     ///
     /// If the saved budget covers only a part of the request's cost, the request is admitted with that part
-    /// as the probability, and the part is spent whether or not the request is admitted. Without the draw, a
-    /// class that each of many routers seldom gets would starve: no router saves enough to send one request.
+    /// as the probability, and the part is spent whether or not the request is admitted. Only the endpoint
+    /// that was selected for the request spends budget on it.
     ///
     /// With `on_credit`, which is set for a new request to the primary, the covered part is at least
     /// [`Router::slow_start_credit`] less the debt of earlier requests.
+    ///
+    /// Without the draw and the credit, a class that each of many routers seldom gets would starve, as no
+    /// router saves enough budget for one request.
     pub(super) fn admit_slow_start(&mut self, index: EndpointIndex, class: usize, on_credit: bool) -> bool {
         if !self.is_warming_up(index) {
             return true;
