--- a/src/extended/execution.rs
+++ b/src/extended/execution.rs
@@ -1,5 +1,5 @@
-//! The execution of one batch on one member connection: the messages to write, the replies to expect, and
-//! which of these are sent to the client.
+//! The execution of one batch on one member connection: the messages to write, the expected replies, and
+//! which of the replies are forwarded to the client.
 
 use super::batch::{ExtendedBatch, ExtendedMessage, PreparedStatement, timeout_ms};
 use super::statement_cache::{CacheLookup, PreparedStatementCache};
@@ -9,15 +9,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The target of a Describe or a Close, as encoded in its first byte.
+/// The targets of a Describe or a Close, as encoded in the first byte of its body.
 const STATEMENT: &[u8] = b"S";
 const PORTAL: &[u8] = b"P";
 /// The terminator of a name in a message.
 const NUL: &[u8] = &[0];
 
-/// The next reply of the member, or of the proxy in its place.
+/// A reply that the batch expects. `forwarded`: whether the client receives the reply.
 enum ExpectedReply {
-    /// The proxy answers for the member, with a message that consists of this type byte and its length.
+    /// A reply that the proxy itself sends to the client: a message of this type without a body.
     Synthesized(u8),
     ParseComplete {
         statement: Arc<PreparedStatement>,
@@ -27,26 +27,26 @@
         forwarded: bool,
     },
     ParameterDescription,
-    /// RowDescription or NoData.
+    /// A RowDescription or a NoData.
     RowDescription,
-    /// The rows of an Execute, up to the message that ends them.
+    /// The DataRow messages of an Execute and the message that ends them.
     ExecuteResult,
     CloseComplete {
         forwarded: bool,
     },
 }
 
-/// How a reply matches the expected one.
-struct Fit {
-    /// The reply completes the expected one.
+/// How a message of the member matches the expected reply.
+struct ReplyMatch {
+    /// Whether the message completes the expected reply.
     completes: bool,
-    /// The reply is sent to the client.
+    /// Whether the message is forwarded to the client.
     forwarded: bool,
 }
 
 impl ExpectedReply {
-    /// How a reply of this type matches; `None` if the protocol does not allow it here.
-    fn fit(&self, tag: u8) -> Option<Fit> {
+    /// Matches a message of this type; `None` if the protocol does not allow it as this reply.
+    fn match_message(&self, tag: u8) -> Option<ReplyMatch> {
         use backend::*;
         let (allowed, forwarded) = match self {
             ExpectedReply::Synthesized(_) => (false, false),
@@ -60,42 +60,45 @@
             ExpectedReply::CloseComplete { forwarded } => (tag == CLOSE_COMPLETE, *forwarded),
         };
         let completes = tag != DATA_ROW;
-        allowed.then_some(Fit { completes, forwarded })
+        allowed.then_some(ReplyMatch { completes, forwarded })
     }
 }
 
-/// The effect of a reply on the batch.
+/// The state of the batch after a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// More replies are expected.
     AwaitingReplies,
     /// ReadyForQuery: the batch has ended.
     Complete,
-    /// The member violates the protocol.
+    /// The protocol does not allow the reply in its position.
     ProtocolViolation,
 }
 
-/// The messages of a batch for one connection, and the replies to it so far.
+/// The messages of a batch for one connection, and the replies that have been received.
 #[derive(Default)]
 pub struct BatchExecution {
-    /// The messages before the first Execute; all messages of a batch that executes nothing.
+    /// The messages before the first Execute; all messages of a batch without an Execute.
     pub pre_execute: Vec<u8>,
     /// The messages from the first Execute on.
     pub from_execute: Vec<u8>,
-    /// An Execute has been added: messages go to `from_execute`.
-    executes: bool,
+    /// Whether messages are appended to `from_execute` instead of `pre_execute`.
+    adds_from_execute: bool,
+    /// The replies that have not been received, in order.
     expected: VecDeque<ExpectedReply>,
-    /// The time that its statements are prepared with, in milliseconds.
+    /// The timeout in the texts of the batch's statements, in milliseconds.
     timeout_ms: u64,
-    /// The client's replies.
+    /// The replies for the client.
     pub response: Vec<u8>,
-    /// The SQLSTATE of the error that ended the batch.
+    /// The SQLSTATE of the member's ErrorResponse, after which the member skips the rest of the batch; empty
+    /// if the ErrorResponse has none.
     pub error: Option<Vec<u8>>,
 }
 
 impl BatchExecution {
-    /// Prepares the part of a batch before its first Execute, for the connection that has these statements,
-    /// with this time left for the batch. Statements of that part count as prepared there from now on.
+    /// Creates the messages before the batch's first Execute, for the connection that `statements` belongs
+    /// to. The cache treats the statements of these messages as prepared when this function returns.
+    /// `time_left` is the time left for the batch.
     pub fn new(
         batch: &ExtendedBatch,
         statements: &mut PreparedStatementCache,
@@ -103,37 +106,38 @@
     ) -> BatchExecution {
         let mut execution = BatchExecution { timeout_ms: timeout_ms(time_left), ..Default::default() };
         for message in batch.messages_before_execute() {
-            execution.add(message, statements);
+            execution.add_message(message, statements);
         }
         execution
     }
 
-    /// Prepares the rest of the batch, with this time left. Where the time that the portals were bound with
-    /// is more than that, they are bound again, unseen by the client.
+    /// Adds the messages from the first Execute on. If `time_left` is less than the timeout with which the
+    /// statements were prepared, the portals of statements with a timeout are first closed and bound again.
+    /// The replies to that are not forwarded to the client.
     pub fn add_from_execute(
         &mut self,
         batch: &ExtendedBatch,
         statements: &mut PreparedStatementCache,
         time_left: Duration,
     ) {
-        self.executes = true;
+        self.adds_from_execute = true;
         if time_left < Duration::from_millis(self.timeout_ms) {
             self.timeout_ms = timeout_ms(time_left);
             for message in batch.messages_before_execute() {
-                self.bind_again(message, statements);
+                self.rebind(message, statements);
             }
         }
         for message in batch.messages_from_execute() {
-            self.add(message, statements);
+            self.add_message(message, statements);
         }
     }
 
-    fn bind_again(&mut self, message: &ExtendedMessage, statements: &mut PreparedStatementCache) {
+    fn rebind(&mut self, message: &ExtendedMessage, statements: &mut PreparedStatementCache) {
         let ExtendedMessage::Bind { portal, statement, arguments, .. } = message else { return };
         if statement.timeout_digits.is_none() {
             return;
         }
-        self.put(frontend::CLOSE, &[PORTAL, portal, NUL]);
+        self.append(frontend::CLOSE, &[PORTAL, portal, NUL]);
         self.expected.push_back(ExpectedReply::CloseComplete { forwarded: false });
         self.add_bind(portal, statement, arguments, statements, false);
     }
@@ -147,11 +151,11 @@
         forwarded: bool,
     ) {
         let name = self.add_statement(statement, statements, false);
-        self.put(frontend::BIND, &[portal, NUL, name.as_bytes(), NUL, arguments]);
+        self.append(frontend::BIND, &[portal, NUL, name.as_bytes(), NUL, arguments]);
         self.expected.push_back(ExpectedReply::BindComplete { forwarded });
     }
 
-    fn add(&mut self, message: &ExtendedMessage, statements: &mut PreparedStatementCache) {
+    fn add_message(&mut self, message: &ExtendedMessage, statements: &mut PreparedStatementCache) {
         match message {
             ExtendedMessage::Parse(statement) => {
                 self.add_statement(statement, statements, true);
@@ -161,20 +165,20 @@
             }
             ExtendedMessage::DescribeStatement(statement) => {
                 let name = self.add_statement(statement, statements, false);
-                self.put(frontend::DESCRIBE, &[STATEMENT, name.as_bytes(), NUL]);
+                self.append(frontend::DESCRIBE, &[STATEMENT, name.as_bytes(), NUL]);
                 self.expected.push_back(ExpectedReply::ParameterDescription);
                 self.expected.push_back(ExpectedReply::RowDescription);
             }
             ExtendedMessage::DescribePortal(portal) => {
-                self.put(frontend::DESCRIBE, &[PORTAL, portal, NUL]);
+                self.append(frontend::DESCRIBE, &[PORTAL, portal, NUL]);
                 self.expected.push_back(ExpectedReply::RowDescription);
             }
             ExtendedMessage::Execute { portal, row_limit } => {
-                self.put(frontend::EXECUTE, &[portal, NUL, row_limit]);
+                self.append(frontend::EXECUTE, &[portal, NUL, row_limit]);
                 self.expected.push_back(ExpectedReply::ExecuteResult);
             }
             ExtendedMessage::ClosePortal(portal) => {
-                self.put(frontend::CLOSE, &[PORTAL, portal, NUL]);
+                self.append(frontend::CLOSE, &[PORTAL, portal, NUL]);
                 self.expected.push_back(ExpectedReply::CloseComplete { forwarded: true });
             }
             ExtendedMessage::CloseStatement => {
@@ -183,8 +187,9 @@
         }
     }
 
-    /// Ensures that the member has a statement with the time that is left, and returns its name there.
-    /// `requested`: the client itself prepares it and expects a ParseComplete.
+    /// Ensures that the statement, with the batch's timeout in its text, is prepared at the member, and
+    /// returns its name there. `requested`: whether the client sent a Parse for it and expects a
+    /// ParseComplete.
     pub(super) fn add_statement(
         &mut self,
         statement: &Arc<PreparedStatement>,
@@ -201,10 +206,10 @@
             }
             CacheLookup::Miss { name, evicted } => {
                 for evicted_name in evicted {
-                    self.put(frontend::CLOSE, &[STATEMENT, evicted_name.as_bytes(), NUL]);
+                    self.append(frontend::CLOSE, &[STATEMENT, evicted_name.as_bytes(), NUL]);
                     self.expected.push_back(ExpectedReply::CloseComplete { forwarded: false });
                 }
-                self.put(
+                self.append(
                     frontend::PARSE,
                     &[name.as_bytes(), NUL, &statement.sql, NUL, &statement.parameter_types],
                 );
@@ -214,12 +219,12 @@
         }
     }
 
-    fn put(&mut self, tag: u8, parts: &[&[u8]]) {
-        let messages = if self.executes { &mut self.from_execute } else { &mut self.pre_execute };
+    fn append(&mut self, tag: u8, parts: &[&[u8]]) {
+        let messages = if self.adds_from_execute { &mut self.from_execute } else { &mut self.pre_execute };
         pg::put_message(messages, tag, parts);
     }
 
-    /// Adds the proxy's own replies that are next in order to the response.
+    /// Appends synthesized replies to the response, up to the next reply that the member has to send.
     fn add_synthesized_replies(&mut self) {
         while let Some(ExpectedReply::Synthesized(tag)) = self.expected.front() {
             pg::put_message(&mut self.response, *tag, &[]);
@@ -227,8 +232,9 @@
         }
     }
 
-    /// Whether all messages of `pre_execute` have been answered, or one of them by an error. To be called
-    /// before the rest of the batch is added.
+    /// Whether the replies to all messages of `pre_execute` have been received, or an error to one of them.
+    /// Appends synthesized replies that are due to the response. Must not be called after
+    /// [`add_from_execute`](Self::add_from_execute), which adds expected replies.
     pub fn pre_execute_answered(&mut self) -> bool {
         if self.error.is_none() {
             self.add_synthesized_replies();
@@ -260,7 +266,8 @@
         let code = pg::error_field(pg::message_body(message), b'C').unwrap_or_default();
         self.error = Some(code.to_vec());
         self.response.extend_from_slice(message);
-        // The member skips all messages after the error: statements in them are not prepared.
+        // The member skips the messages between the failed one and the Sync, so a Parse whose ParseComplete
+        // has not been received has prepared nothing.
         for expected in self.expected.drain(..) {
             if let ExpectedReply::ParseComplete { statement, .. } = expected {
                 statements.remove(&statement);
@@ -269,13 +276,13 @@
     }
 
     fn on_expected_reply(&mut self, tag: u8, message: &[u8]) -> Progress {
-        let Some(fit) = self.expected.front().and_then(|expected| expected.fit(tag)) else {
+        let Some(reply_match) = self.expected.front().and_then(|expected| expected.match_message(tag)) else {
             return Progress::ProtocolViolation;
         };
-        if fit.forwarded {
+        if reply_match.forwarded {
             self.response.extend_from_slice(message);
         }
-        if fit.completes {
+        if reply_match.completes {
             self.expected.pop_front();
         }
         self.add_synthesized_replies();
