--- a/src/extended/statement_cache.rs
+++ b/src/extended/statement_cache.rs
@@ -4,56 +4,60 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The most statements that stay prepared on one member connection.
+/// The maximum number of statements that stay prepared on one member connection.
 const MAX_STATEMENTS: usize = 128;
-/// The most bytes of statement text that stay prepared on one member connection.
+/// The maximum total length of the texts of the statements that stay prepared on one member connection.
 const MAX_STATEMENT_BYTES: usize = 128 * 1024;
 
-/// The statements that one member connection has prepared, under the proxy's own names, which are never
-/// reused on that connection. The least recently used statements are evicted first.
+/// The statements that are prepared on one member connection. Their names are chosen by the proxy and never
+/// reused on the connection. The least recently used statements are evicted first.
 #[derive(Default)]
 pub struct PreparedStatementCache {
     entries: HashMap<Arc<PreparedStatement>, CacheEntry>,
-    /// Counts lookups; numbers names and orders uses.
+    /// The number of lookups. The number of a lookup is part of the name of a statement that it adds, and
+    /// orders the statements by their last use.
     lookups: u64,
-    /// Bytes of statement text in `entries`.
+    /// The total length of the statement texts in `entries`.
     bytes: usize,
 }
 
 struct CacheEntry {
+    /// The number of the lookup that added the statement, which is part of its name at the member.
     name_number: u64,
+    /// The number of the last lookup of the statement.
     last_used: u64,
 }
 
-/// The result of a lookup, and the messages that prepare the statement at the member, if any are needed.
+/// The result of a lookup.
 pub(super) enum CacheLookup {
-    /// The statement is prepared under this name.
+    /// The statement is prepared at the member, or an earlier Parse on the connection prepares it.
     Hit {
         /// The statement's name at the member.
         name: String,
     },
-    /// The statement is to be prepared under this name, after closing those evicted for it.
+    /// The statement is not prepared at the member: the caller must close the evicted statements, then
+    /// prepare this one.
     Miss {
-        /// The statement's name at the member.
+        /// The name under which the statement is to be prepared.
         name: String,
-        /// The names of the statements to close.
+        /// The names of the evicted statements at the member, least recently used first.
         evicted: Vec<String>,
     },
 }
 
 impl PreparedStatementCache {
-    /// Looks up a statement. A missing one counts as prepared from now on.
+    /// Looks up a statement, and adds it if it is missing: later lookups return [`CacheLookup::Hit`].
     pub(super) fn look_up(&mut self, statement: &Arc<PreparedStatement>) -> CacheLookup {
         self.lookups += 1;
-        let now = self.lookups;
+        let lookup = self.lookups;
         if let Some(entry) = self.entries.get_mut(statement) {
-            entry.last_used = now;
+            entry.last_used = lookup;
             return CacheLookup::Hit { name: name_at_member(entry.name_number) };
         }
-        let evicted = self.make_room_for(statement);
-        self.entries.insert(statement.clone(), CacheEntry { name_number: now, last_used: now });
+        let evicted = self.evict_for(statement);
+        self.entries.insert(statement.clone(), CacheEntry { name_number: lookup, last_used: lookup });
         self.bytes += statement.sql.len();
-        CacheLookup::Miss { name: name_at_member(now), evicted }
+        CacheLookup::Miss { name: name_at_member(lookup), evicted }
     }
 
     /// Removes a statement that the member failed to prepare.
@@ -63,16 +67,17 @@
         }
     }
 
-    /// How many statements are prepared.
+    /// The number of prepared statements.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Evicts statements until this one fits; returns the names of the evicted, least recently used first.
-    fn make_room_for(&mut self, statement: &PreparedStatement) -> Vec<String> {
+    /// Evicts statements until this one fits within the limits, or none is left. Returns the names of the
+    /// evicted statements, least recently used first.
+    fn evict_for(&mut self, statement: &PreparedStatement) -> Vec<String> {
         let mut evicted = Vec::new();
-        while !self.has_room_for(statement)
+        while !self.fits(statement)
             && let Some(name) = self.evict_least_recently_used()
         {
             evicted.push(name);
@@ -80,7 +85,7 @@
         evicted
     }
 
-    fn has_room_for(&self, statement: &PreparedStatement) -> bool {
+    fn fits(&self, statement: &PreparedStatement) -> bool {
         self.entries.len() < MAX_STATEMENTS && self.bytes + statement.sql.len() <= MAX_STATEMENT_BYTES
     }
 
