--- a/src/extended/mod.rs
+++ b/src/extended/mod.rs
@@ -1,8 +1,9 @@
-//! The extended query protocol as one member connection executes it: the messages of a client up to a Sync
-//! form an [`ExtendedBatch`], a [`BatchExecution`] turns it into the messages for a connection that has
-//! its own prepared statements, and selects the client's replies from the member's.
+//! The extended query protocol on one member connection. The messages of a client up to a Sync or a Flush
+//! form an [`ExtendedBatch`]. A [`BatchExecution`] converts the batch to messages for the connection, which
+//! has its own prepared statements, and selects which of the member's replies are forwarded to the client.
 //!
-//! No I/O here: a member connection writes the messages of a [`BatchExecution`] and passes it the replies.
+//! This module does no I/O: the member connection writes the messages of a [`BatchExecution`] and passes it
+//! the member's replies.
 
 mod batch;
 mod execution;
