--- a/src/extended/tests.rs
+++ b/src/extended/tests.rs
@@ -25,7 +25,7 @@
     ExtendedMessage::Execute { portal: Vec::new(), row_limit: vec![0; 4] }
 }
 
-/// A reply without a body.
+/// A message without a body.
 fn reply(tag: u8) -> Vec<u8> {
     let mut message = Vec::new();
     pg::put_message(&mut message, tag, &[]);
@@ -61,7 +61,7 @@
     assert_eq!(first.on_reply(&mut statements, b'Z', &reply(b'Z')), Progress::Complete);
     assert_eq!(tags(&first.response), "2C");
     let second = BatchExecution::new(&batch, &mut statements, SECOND);
-    assert_eq!(tags(&second.pre_execute), "B", "the statement is prepared by now");
+    assert_eq!(tags(&second.pre_execute), "B", "the statement is already prepared");
 }
 
 #[test]
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn statement_is_prepared_with_the_time_left_and_bound_again_when_that_is_less_at_the_execute() {
+fn statement_is_prepared_with_the_time_left_and_bound_again_if_less_time_is_left_at_the_execute() {
     let mut statements = PreparedStatementCache::default();
     let insert = statement(b"INSERT /* d=900 */");
     let batch = ExtendedBatch { messages: vec![bind(&insert), execute()], confirm_before_execute: true };
@@ -132,7 +132,7 @@
     assert_eq!(tags(&on_time.from_execute), "E");
 
     let mut late = BatchExecution::new(&batch, &mut statements, millis(870));
-    assert_eq!(tags(&late.pre_execute), "B", "about the same time: prepared by now");
+    assert_eq!(tags(&late.pre_execute), "B", "the rounded timeout is the same: already prepared");
     late.add_from_execute(&batch, &mut statements, millis(863));
     assert_eq!(tags(&late.from_execute), "CPBE");
     assert!(late.from_execute.windows(16).any(|bytes| bytes == b"INSERT /* d=832 "));
@@ -140,14 +140,14 @@
         assert_eq!(late.on_reply(&mut statements, tag, &reply(tag)), Progress::AwaitingReplies);
     }
     assert_eq!(late.on_reply(&mut statements, b'Z', &reply(b'Z')), Progress::Complete);
-    assert_eq!(tags(&late.response), "2C", "the second Bind is unseen by the client");
+    assert_eq!(tags(&late.response), "2C", "the BindComplete of the second Bind is not forwarded");
 }
 
 #[test]
-fn times_of_statements_are_rounded_down_by_a_sixteenth_at_most() {
+fn timeouts_of_statements_are_rounded_down_by_a_sixteenth_at_most() {
     for millis in (1..5000).chain([u64::from(u32::MAX), u64::MAX / 1000]) {
-        let told = batch::timeout_ms(Duration::from_millis(millis));
-        assert!(told <= millis && told >= millis - millis / 16, "{told} of {millis}");
+        let rounded = batch::timeout_ms(Duration::from_millis(millis));
+        assert!(rounded <= millis && rounded >= millis - millis / 16, "{rounded} of {millis}");
     }
     let distinct: HashSet<_> =
         (1..5000).map(|millis| batch::timeout_ms(Duration::from_millis(millis))).collect();
