--- a/src/pg/build.rs
+++ b/src/pg/build.rs
@@ -2,11 +2,11 @@
 
 use super::message_tags::{backend, error_fields, frontend, transaction_status};
 
-/// Protocol version 3.0, as a startup message names it.
+/// Protocol version 3.0, as encoded in a startup message.
 const PROTOCOL_VERSION: u32 = 196_608;
 /// The body of AuthenticationOk.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
-/// The server parameters that are reported to clients.
+/// The server parameters that are reported to clients when they connect.
 const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "15.0 (liftrelay)"),
     ("server_encoding", "UTF8"),
@@ -16,7 +16,7 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// Appends a message whose body consists of these parts.
+/// Appends a message of type `tag` whose body is the concatenation of `parts`.
 pub fn put_message(out: &mut Vec<u8>, tag: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|part| part.len()).sum::<usize>();
     out.push(tag);
@@ -24,7 +24,8 @@
     parts.iter().for_each(|part| out.extend_from_slice(part));
 }
 
-/// Appends an ErrorResponse; `retry_after_ms` goes into its detail field.
+/// Appends an ErrorResponse. The detail field is the retry delay in milliseconds, `retry_after_ms`, if there
+/// is one. Zero bytes are removed from `text`, because a zero ends a field.
 pub fn put_error_response(
     out: &mut Vec<u8>,
     severity: &str,
@@ -50,12 +51,13 @@
     fields.push(0);
 }
 
-/// Appends a ReadyForQuery outside of any transaction.
+/// Appends a ReadyForQuery with the status of a connection outside of any transaction.
 pub fn put_ready_for_query(out: &mut Vec<u8>) {
     put_message(out, backend::READY_FOR_QUERY, &[&[transaction_status::IDLE]]);
 }
 
-/// Appends what a server replies to a startup message, up to ReadyForQuery.
+/// Appends the replies to a startup message, from AuthenticationOk to ReadyForQuery. `process` and `secret`
+/// are the key for cancel requests.
 pub fn put_startup_response(out: &mut Vec<u8>, process: u32, secret: u32) {
     put_message(out, backend::AUTHENTICATION, &[&AUTHENTICATION_OK]);
     for (name, value) in SERVER_PARAMETERS {
@@ -65,7 +67,7 @@
     put_ready_for_query(out);
 }
 
-/// The startup message that opens a connection to a member.
+/// Returns the startup message that opens a connection to a member.
 pub fn startup_message(user: &str, database: &str) -> Vec<u8> {
     let parameters = format!("user\0{user}\0database\0{database}\0\0");
     let length = 8 + parameters.len();
@@ -75,7 +77,7 @@
     message
 }
 
-/// A simple query whose text consists of these parts.
+/// Returns a Query message whose text is the concatenation of `parts`.
 pub fn query_message(parts: &[&[u8]]) -> Vec<u8> {
     let mut body = parts.to_vec();
     body.push(&[0]);
