--- a/src/pg/frame_reader.rs
+++ b/src/pg/frame_reader.rs
@@ -1,4 +1,4 @@
-//! Splits the bytes of a connection into messages, and checks their lengths.
+//! Splits the bytes that are received on a connection into messages, and checks the lengths of these.
 
 use super::HEADER_BYTES;
 use super::error::ProtocolError;
@@ -7,15 +7,16 @@
 use std::io::Read;
 use std::ops::RangeInclusive;
 
-/// The longest message that is read: a value of 64 KiB as hexadecimal digits, with room around it.
+/// The maximum length of a message. A value of 64 KiB takes half of it, as each byte is encoded as two
+/// hexadecimal digits.
 pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// The longest message of a server other than a row: errors, notices, descriptions.
+/// The maximum length of an error, a notice, a description and other messages of a server that are not rows.
 const MAX_CONTROL_MESSAGE_BYTES: usize = 16 * 1024;
-/// The most bytes in one read from the socket.
+/// The maximum number of bytes in one read from the stream.
 const READ_BYTES: usize = 16 * 1024;
-/// An empty buffer with more capacity than this is released.
+/// The capacity above which an empty buffer is freed.
 const MAX_IDLE_CAPACITY: usize = 4 * READ_BYTES;
-/// The length of a length field, which counts itself.
+/// The length of a message's length field. The value of the field includes this length.
 const LENGTH_FIELD_BYTES: usize = 4;
 
 /// The lengths that a startup packet may have.
@@ -23,12 +24,12 @@
 /// The code of a request to cancel a command of another connection.
 const CANCEL_REQUEST_CODE: u32 = 80_877_102;
 const CANCEL_REQUEST_BYTES: usize = 16;
-/// The code of a request for TLS.
+/// The code of a request for TLS encryption.
 const SSL_REQUEST_CODE: u32 = 80_877_103;
 /// The code of a request for GSS encryption.
 const GSS_ENCRYPTION_REQUEST_CODE: u32 = 80_877_104;
 const ENCRYPTION_REQUEST_BYTES: usize = 8;
-/// The protocol versions that are served: 3.0 and later minor versions.
+/// The protocol versions that are served: 3.0 to 3.91.
 const PROTOCOL_VERSIONS: RangeInclusive<u32> = 196_608..=196_699;
 
 /// The first packet of a client's connection.
@@ -36,33 +37,34 @@
 pub enum StartupPacket {
     /// The startup message of version 3.
     Startup,
-    /// A request for TLS or GSS encryption, which is answered `N`.
+    /// A request for TLS or GSS encryption. The proxy supports neither and replies `N`.
     EncryptionRequest,
     /// A request to cancel a command of another connection.
     CancelRequest {
-        /// The connection's process id.
+        /// The process id in the BackendKeyData of that connection.
         process: u32,
-        /// Its secret.
+        /// The secret in the BackendKeyData of that connection.
         secret: u32,
     },
 }
 
-/// The bytes of a connection, and the messages in them.
+/// The receive buffer of a connection, from which complete messages are consumed.
 #[derive(Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
-    /// The start of the bytes that are not consumed yet.
+    /// The index in `buffer` of the first byte that has not been consumed.
     start: usize,
 }
 
 impl FrameReader {
-    /// Reads once; `false` at the end of the stream. Blocks if the stream does.
+    /// Reads once from the stream; returns `false` at its end. Blocks if the stream is blocking. A read that
+    /// fails with a momentary error is repeated.
     pub fn fill(&mut self, mut stream: impl Read) -> std::io::Result<bool> {
         if self.start > 0 {
-            self.discard_taken();
+            self.discard_consumed();
         }
         if self.buffer.is_empty() && self.buffer.capacity() > MAX_IDLE_CAPACITY {
-            // Guards against keeping the memory of a long message for as long as the connection lasts.
+            // Without this, the memory of a long message would stay allocated until the connection is closed.
             self.buffer = Vec::new();
         }
         let filled = self.buffer.len();
@@ -78,18 +80,18 @@
         result.map(|length| length > 0)
     }
 
-    /// Appends bytes that were read elsewhere.
+    /// Appends bytes that the caller has read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.discard_taken();
+        self.discard_consumed();
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The bytes that have arrived and are not consumed yet.
+    /// The bytes that have been received and not consumed.
     pub fn buffered(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
 
-    fn discard_taken(&mut self) {
+    fn discard_consumed(&mut self) {
         self.buffer.drain(..self.start);
         self.start = 0;
     }
@@ -106,8 +108,8 @@
         Ok(Some(packet))
     }
 
-    /// The type of a client's next message, if it has arrived completely. An invalid length counts as
-    /// complete: nothing more is waited for.
+    /// The type of a client's next message, if the message has arrived completely. A message of invalid
+    /// length counts as complete, because [`next_message`](Self::next_message) rejects it without the rest.
     pub fn complete_message_tag(&self) -> Option<u8> {
         let tag = *self.buffered().first()?;
         let length = length_at(self.buffered(), 1)?;
@@ -115,15 +117,18 @@
         is_complete.then_some(tag)
     }
 
-    /// Consumes the next complete message of a client: its type, and all its bytes with type and length.
+    /// Consumes the next complete message of a client. Returns its type and all its bytes, including the
+    /// type and the length field; `None` if no complete message has arrived.
     pub fn next_message(&mut self) -> Result<Option<(u8, &[u8])>, ProtocolError> {
         self.next_frame(|_| Some(LENGTH_FIELD_BYTES..=MAX_MESSAGE_BYTES))
     }
 
-    /// Consumes the next complete message of a server.
+    /// Consumes the next complete message of a server. Returns the same as
+    /// [`next_message`](Self::next_message).
     ///
-    /// Anything that no server can send is rejected once its header has arrived: a message of 3 GB,
-    /// or noise, is not waited for.
+    /// A message that no server can send is rejected as soon as its header has arrived. Otherwise the
+    /// connection would wait for the rest of a message whose length field says, for example, 3 GB, or of
+    /// random bytes.
     pub fn next_reply(&mut self) -> Result<Option<(u8, &[u8])>, ProtocolError> {
         if self.first_value_exceeds_row() {
             return Err(ProtocolError::ValueTooLong);
@@ -131,21 +136,25 @@
         self.next_frame(reply_lengths)
     }
 
-    /// Whether a row has begun whose first value is longer than the row, by its length field.
+    /// Whether the next message is a DataRow with a first value that is longer, by its length field, than the
+    /// row.
     fn first_value_exceeds_row(&self) -> bool {
+        // Type, length field, number of values, length field of the first value.
         const HEADER_AND_FIRST_VALUE_LENGTH: usize = 11;
+        // The same without the type, which the row's length field does not count.
         const ROW_BYTES_BEFORE_FIRST_VALUE: i32 = 10;
         let Some(&[backend::DATA_ROW, _, _, _, _, _, _, a, b, c, d]) =
             self.buffered().get(..HEADER_AND_FIRST_VALUE_LENGTH)
         else {
             return false;
         };
-        let room = length_at(self.buffered(), 1)
+        let max_value_length = length_at(self.buffered(), 1)
             .map_or(0, |row_length| (row_length as i32).wrapping_sub(ROW_BYTES_BEFORE_FIRST_VALUE));
-        i32::from_be_bytes([a, b, c, d]) > room
+        i32::from_be_bytes([a, b, c, d]) > max_value_length
     }
 
-    /// Consumes the next complete message; its type allows these lengths, or is unknown.
+    /// Consumes the next complete message. `allowed_lengths` returns the lengths that a message of a type may
+    /// have, or `None` for an unknown type.
     fn next_frame(
         &mut self,
         allowed_lengths: impl Fn(u8) -> Option<RangeInclusive<usize>>,
@@ -175,7 +184,7 @@
     }
 }
 
-/// The lengths that a server's message of this type may have; `None` if no server sends it.
+/// The lengths that a server's message of this type may have; `None` if no server sends messages of the type.
 fn reply_lengths(tag: u8) -> Option<RangeInclusive<usize>> {
     const EMPTY: usize = LENGTH_FIELD_BYTES;
     const READY: usize = HEADER_BYTES;
