--- a/src/pg/message_tags.rs
+++ b/src/pg/message_tags.rs
@@ -1,19 +1,19 @@
-//! The type bytes of messages and of error fields, named as the protocol's documentation names them.
+//! The type bytes of messages and other codes of one byte, with the names of PostgreSQL's documentation.
 
 /// Messages from a client.
 #[allow(dead_code, reason = "complete for what clients may send, whether or not it is served")]
 pub mod frontend {
     /// Bind: creates a portal.
     pub const BIND: u8 = b'B';
-    /// Close: drops a statement or a portal.
+    /// Close: closes a statement or a portal.
     pub const CLOSE: u8 = b'C';
-    /// Describe: asks for the description of a statement or a portal.
+    /// Describe: requests the description of a statement or a portal.
     pub const DESCRIBE: u8 = b'D';
-    /// Execute: runs a portal.
+    /// Execute: executes a portal.
     pub const EXECUTE: u8 = b'E';
-    /// Flush: asks for the replies so far.
+    /// Flush: requests the replies to all messages before it.
     pub const FLUSH: u8 = b'H';
-    /// FunctionCall.
+    /// FunctionCall: calls a function by its object id.
     pub const FUNCTION_CALL: u8 = b'F';
     /// Parse: prepares a statement.
     pub const PARSE: u8 = b'P';
@@ -45,7 +45,7 @@
     pub const ERROR_RESPONSE: u8 = b'E';
     /// NegotiateProtocolVersion.
     pub const NEGOTIATE_PROTOCOL_VERSION: u8 = b'v';
-    /// NoData: the described statement returns no rows.
+    /// NoData: the described statement or portal returns no rows.
     pub const NO_DATA: u8 = b'n';
     /// NoticeResponse.
     pub const NOTICE_RESPONSE: u8 = b'N';
@@ -81,9 +81,9 @@
     pub const SEVERITY_UNTRANSLATED: u8 = b'V';
     /// The SQLSTATE.
     pub const SQLSTATE: u8 = b'C';
-    /// The text.
+    /// The text of the error or notice.
     pub const MESSAGE: u8 = b'M';
-    /// The detail: here, the retry delay in milliseconds.
+    /// The detail. The proxy sends the retry delay in milliseconds in it.
     pub const DETAIL: u8 = b'D';
 }
 
