--- a/src/pg/mod.rs
+++ b/src/pg/mod.rs
@@ -1,7 +1,8 @@
-//! The parts of PostgreSQL's wire protocol, version 3, that clients and members need: an incremental,
-//! length-checked reader of messages, parsers of their bodies, and builders for the messages sent from here.
+//! The parts of PostgreSQL's wire protocol, version 3, that the connections to clients and members use: an
+//! incremental, length-checked reader of messages, parsers of their bodies, and builders of the messages that
+//! the proxy sends.
 //!
-//! Nothing here does I/O but [`FrameReader::fill`], and nothing here panics on any input.
+//! Only [`FrameReader::fill`] does I/O. No function panics, whatever bytes were received.
 
 mod build;
 mod error;
@@ -19,7 +20,7 @@
 pub use frame_reader::{FrameReader, MAX_MESSAGE_BYTES, StartupPacket};
 pub use parse::{error_field, error_sqlstate, is_well_formed, message_body, single_column, split_c_string};
 
-/// The length of a message's type and length field.
+/// The length of a message's header: its type and its length field.
 const HEADER_BYTES: usize = 5;
 
 #[cfg(test)]
