--- a/src/pg/parse.rs
+++ b/src/pg/parse.rs
@@ -3,26 +3,28 @@
 use super::HEADER_BYTES;
 use super::message_tags::{backend, error_fields, transaction_status};
 
-/// The length of a column in a RowDescription after its name.
+/// The length of a column's description in a RowDescription after the column's name.
 const COLUMN_DESCRIPTION_BYTES: usize = 18;
-/// The length of a parameter's type in a ParameterDescription.
+/// The length of a parameter's type number in a ParameterDescription.
 const TYPE_BYTES: usize = 4;
-/// The length that encodes a NULL in a DataRow.
+/// The value of the length field of a NULL in a DataRow.
 const NULL_LENGTH: i32 = -1;
 const SQLSTATE_BYTES: usize = 5;
 
-/// The body of a message that [`FrameReader`](super::FrameReader) returned.
+/// Returns the body of a message that [`FrameReader`](super::FrameReader) returned.
 pub fn message_body(message: &[u8]) -> &[u8] {
     message.get(HEADER_BYTES..).unwrap_or_default()
 }
 
-/// Splits off a zero-terminated string; returns it and the bytes after the terminator.
+/// Splits off a zero-terminated string. Returns the string and the bytes after its terminator; `None` if
+/// there is no terminator.
 pub fn split_c_string(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = bytes.iter().position(|byte| *byte == 0)?;
     Some((&bytes[..end], &bytes[end + 1..]))
 }
 
-/// The field of this type in the body of an ErrorResponse.
+/// Returns the first field of this type in the body of an ErrorResponse; `None` if there is none, or if it
+/// or a field before it has no terminator.
 pub fn error_field(mut body: &[u8], field: u8) -> Option<&[u8]> {
     while let Some((&kind, rest)) = body.split_first()
         && kind != 0
@@ -36,7 +38,8 @@
     None
 }
 
-/// The SQLSTATE of an ErrorResponse or NoticeResponse whose fields are complete.
+/// Returns the SQLSTATE in the body of an ErrorResponse or a NoticeResponse; `None` if the body is malformed
+/// or contains no valid SQLSTATE.
 pub fn error_sqlstate(body: &[u8]) -> Option<&[u8]> {
     let (terminator, mut fields) = body.split_last()?;
     while let Some((_, rest)) = fields.split_first().filter(|(kind, _)| **kind != 0) {
@@ -50,7 +53,8 @@
     (code.len() == SQLSTATE_BYTES && code.iter().all(u8::is_ascii_alphanumeric)).then_some(code)
 }
 
-/// The value of a DataRow of one column.
+/// Returns the value of a DataRow of one column; `None` if the row has another number of columns, or the
+/// value is NULL or has a wrong length.
 pub fn single_column(body: &[u8]) -> Option<&[u8]> {
     let (head, value) = body.split_at_checked(6)?;
     let length = u32::from_be_bytes([head[2], head[3], head[4], head[5]]) as usize;
@@ -71,8 +75,8 @@
         backend::ERROR_RESPONSE | backend::NOTICE_RESPONSE => error_sqlstate(body).is_some(),
         backend::PARAMETER_STATUS => is_pair_of_c_strings(body),
         backend::PARAMETER_DESCRIPTION => is_parameter_description(body),
-        backend::ROW_DESCRIPTION => holds_columns(body, skip_column_description),
-        backend::DATA_ROW => holds_columns(body, skip_value),
+        backend::ROW_DESCRIPTION => is_column_list(body, skip_column_description),
+        backend::DATA_ROW => is_column_list(body, skip_value),
         _ => false,
     }
 }
@@ -96,14 +100,14 @@
     body.split_at_checked(2).is_some_and(|(count, types)| types.len() == TYPE_BYTES * u16_value(count))
 }
 
-/// Skips a column of a RowDescription.
+/// Returns the bytes after the first column of a RowDescription; `None` if the column is malformed.
 fn skip_column_description(bytes: &[u8]) -> Option<&[u8]> {
     let (name, rest) = split_c_string(bytes)?;
     is_printable(name).then_some(())?;
     rest.get(COLUMN_DESCRIPTION_BYTES..)
 }
 
-/// Skips a value of a DataRow.
+/// Returns the bytes after the first value of a DataRow; `None` if the value is malformed.
 fn skip_value(bytes: &[u8]) -> Option<&[u8]> {
     let (length, rest) = bytes.split_at_checked(4)?;
     match i32::from_be_bytes([length[0], length[1], length[2], length[3]]) {
@@ -112,11 +116,12 @@
     }
 }
 
-/// Whether a body is a count and as many columns, each of which `skip` skips.
-fn holds_columns(body: &[u8], skip: impl Fn(&[u8]) -> Option<&[u8]>) -> bool {
+/// Whether a body consists of a count of 16 bits and that number of columns. `skip_column` returns the bytes
+/// after the first column, or `None` if the column is malformed.
+fn is_column_list(body: &[u8], skip_column: impl Fn(&[u8]) -> Option<&[u8]>) -> bool {
     let Some((count, mut columns)) = body.split_at_checked(2) else { return false };
     for _ in 0..u16_value(count) {
-        let Some(next_column) = skip(columns) else { return false };
+        let Some(next_column) = skip_column(columns) else { return false };
         columns = next_column;
     }
     columns.is_empty()
