--- a/src/pg/sqlstate.rs
+++ b/src/pg/sqlstate.rs
@@ -2,15 +2,15 @@
 
 /// The message or the statement violates the protocol.
 pub const PROTOCOL_VIOLATION: &str = "08P01";
-/// The proxy is out of service.
+/// An operator has taken the proxy out of service.
 pub const CANNOT_CONNECT_NOW: &str = "57P03";
-/// Rejected before it ran; a retry is harmless.
+/// The request or the connection was rejected: nothing has been executed, and the client may retry.
 pub const TOO_MANY_CONNECTIONS: &str = "53300";
-/// Failed, and it may have taken effect.
+/// The request failed, and may have been executed.
 pub const TRANSACTION_RESOLUTION_UNKNOWN: &str = "08007";
 /// Failed without having taken effect.
 pub const QUERY_CANCELED: &str = "57014";
-/// Not supported on this listener.
+/// The listener does not support the statement or the message.
 pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
 /// A prepared statement of that name exists.
 pub const DUPLICATE_PREPARED_STATEMENT: &str = "42P05";
@@ -18,5 +18,5 @@
 pub const INVALID_SQL_STATEMENT_NAME: &str = "26000";
 /// No portal has that name.
 pub const INVALID_CURSOR_NAME: &str = "34000";
-/// The limits of the listener are exceeded.
+/// A limit of the listener on prepared statements is exceeded.
 pub const PROGRAM_LIMIT_EXCEEDED: &str = "54000";
