--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,5 +1,5 @@
-//! Reads the routing fields of a statement, from its comment and its key, as slices of the text.
-//! Everything else is forwarded unchanged.
+//! Parses what the proxy needs of a statement's text: the fields of its comment, its key and its first
+//! keyword. The rest of the text is forwarded unchanged.
 
 mod validate;
 
@@ -17,43 +17,44 @@
     pub const RETRY: &[u8] = b"r";
 }
 
-/// The longest keyword that is recognized.
+/// The maximum length of the result of [`first_keyword`].
 const MAX_KEYWORD_BYTES: usize = 32;
-/// The longest key that may be a hexadecimal number of 64 bits.
+/// The maximum number of digits of a key that is read as a hexadecimal number of 64 bits.
 const MAX_HEXADECIMAL_DIGITS: usize = 16;
 const LINE_COMMENT: &[u8] = b"--";
 const COMMENT_START: &[u8] = b"/*";
 const COMMENT_END: &[u8] = b"*/";
 
-/// The time that the client waits for a response.
+/// How long the client waits for the response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timeout {
-    /// The milliseconds.
+    /// The timeout in milliseconds.
     pub millis: u64,
-    /// The position of their digits in the statement.
+    /// The byte range of the timeout's digits in the statement.
     pub digits: Range<usize>,
 }
 
-/// The fields of a statement, as written in its text.
+/// The fields of a statement, as written in its text. Fields that are missing or malformed are unset.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementFields<'a> {
     /// `c`: the name of the request class.
     pub class: Option<&'a [u8]>,
-    /// `d`: how long the client waits.
+    /// `d`: how long the client waits for the response.
     pub timeout: Option<Timeout>,
-    /// `cluster`: the group.
+    /// `cluster`: the number of the group that stores the data.
     pub group: Option<u32>,
-    /// `after`: the position that a read must see, as Unix time in milliseconds.
+    /// `after`: the commit position that a read must see, as Unix time in milliseconds.
     pub min_position_ms: Option<u64>,
-    /// `r=1`: this is a retry by the client.
+    /// `r`: whether the client marked the statement as a retry, by `r=1`.
     pub is_retry: bool,
-    /// `id`: the request's id.
+    /// `id`: the id that the client gave the request.
     pub id: Option<&'a [u8]>,
-    /// The first quoted literal.
+    /// The text of the first literal in single quotes, which identifies the session.
     pub key: Option<&'a [u8]>,
 }
 
-/// A decimal number without sign that fits.
+/// Parses a decimal number without a sign. Returns `None` if the text is empty, contains anything but
+/// digits, or exceeds 64 bits.
 pub fn parse_number(text: &[u8]) -> Option<u64> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return None;
@@ -61,7 +62,8 @@
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
-/// Reads the statement once, left to right: literals first, so that nothing within them counts as a comment.
+/// Parses the fields of a statement. Literals are recognized too, so that text within a literal does not
+/// count as a comment.
 pub fn parse_fields(text: &[u8]) -> StatementFields<'_> {
     let mut fields = StatementFields::default();
     let mut at = 0;
@@ -79,7 +81,7 @@
                 let start = at + COMMENT_START.len();
                 let end = (start..text.len()).find(|end| text[*end..].starts_with(COMMENT_END));
                 let end = end.unwrap_or(text.len());
-                fields.read_comment(text, start..end);
+                fields.parse_comment(text, start..end);
                 at = end + COMMENT_END.len();
             }
             _ => at += 1,
@@ -89,7 +91,7 @@
 }
 
 impl<'a> StatementFields<'a> {
-    fn read_comment(&mut self, text: &'a [u8], comment: Range<usize>) {
+    fn parse_comment(&mut self, text: &'a [u8], comment: Range<usize>) {
         let mut next_pair_start = comment.start;
         for pair in text[comment].split(|byte| *byte == b',') {
             let pair_start = next_pair_start;
@@ -100,16 +102,16 @@
             let value = untrimmed.trim_ascii();
             let blanks = untrimmed.len() - untrimmed.trim_ascii_start().len();
             let value_start = pair_start + equals + 1 + blanks;
-            self.set(name, value, value_start..value_start + value.len());
+            self.set_field(name, value, value_start..value_start + value.len());
         }
     }
 
-    fn set(&mut self, name: &[u8], value: &'a [u8], place: Range<usize>) {
+    fn set_field(&mut self, name: &[u8], value: &'a [u8], value_range: Range<usize>) {
         match name {
             field_names::ID => self.id = Some(value),
             field_names::CLASS => self.class = Some(value),
             field_names::TIMEOUT => {
-                self.timeout = parse_number(value).map(|millis| Timeout { millis, digits: place });
+                self.timeout = parse_number(value).map(|millis| Timeout { millis, digits: value_range });
             }
             field_names::GROUP => {
                 self.group = parse_number(value).and_then(|group| u32::try_from(group).ok());
@@ -121,7 +123,8 @@
     }
 }
 
-/// The end of the comment that starts at `at`; `None` if none starts there.
+/// The index after the comment that starts at `at`; `None` if none starts there. A comment without an end
+/// extends to the end of the text.
 fn comment_end(text: &[u8], at: usize) -> Option<usize> {
     let rest = &text[at..];
     if rest.starts_with(LINE_COMMENT) {
@@ -136,7 +139,8 @@
     Some(length.map_or(text.len(), |length| at + COMMENT_START.len() + length + COMMENT_END.len()))
 }
 
-/// The first word in lower case, after comments, blanks and opening parentheses.
+/// The first word of a statement in lower case. Comments, whitespace and opening parentheses before it are
+/// skipped. Empty if the statement does not begin with a letter or a digit.
 pub fn first_keyword(text: &[u8]) -> String {
     let mut at = 0;
     while at < text.len() {
@@ -150,7 +154,7 @@
     word.map(|byte| char::from(byte.to_ascii_lowercase())).collect()
 }
 
-/// Whether something other than blanks and comments follows a semicolon.
+/// Whether anything but whitespace and comments follows a semicolon outside of literals.
 pub fn has_several_statements(text: &[u8]) -> bool {
     let mut at = 0;
     let mut ended = false;
@@ -174,7 +178,8 @@
     false
 }
 
-/// The session that a key identifies: its hexadecimal value, or a hash of it; never 0, which means none.
+/// The id of the session that a key identifies: the key's value as a hexadecimal number, or a hash of the
+/// key if it is not a number of at most 64 bits. Never 0, which stands for no session.
 pub fn session_id(key: &[u8]) -> u64 {
     let text = std::str::from_utf8(key).ok().filter(|text| text.len() <= MAX_HEXADECIMAL_DIGITS);
     let number = text.and_then(|text| u64::from_str_radix(text, 16).ok());
