--- a/src/pg/statement/validate.rs
+++ b/src/pg/statement/validate.rs
@@ -1,33 +1,33 @@
-//! Checks that members can parse a statement.
+//! Checks that members can parse a statement of the platform's protocol.
 
 use super::{COMMENT_END, COMMENT_START, LINE_COMMENT, field_names, parse_number};
 use std::fmt;
 use std::ops::Range;
 
-/// Why a statement is rejected. The text is sent to the client.
+/// The reason for which a statement is rejected. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
-    /// It contains control characters other than blanks.
+    /// The statement contains control characters other than whitespace.
     ControlCharacters,
     /// A literal has no closing quote.
     UnterminatedLiteral,
     /// A comment has no end.
     UnterminatedComment,
-    /// It has more than one comment.
+    /// The statement contains more than one comment.
     SeveralComments,
-    /// It has a semicolon.
+    /// The statement contains a semicolon.
     Semicolon,
-    /// Something other than blanks follows the comment.
+    /// Anything but whitespace follows the comment.
     TextAfterComment,
-    /// It has a comment that extends to the end of the line.
+    /// The statement contains a `--` comment, which extends to the end of the line.
     LineComment,
-    /// It has no comment.
+    /// The statement contains no comment.
     NoComment,
-    /// The comment contains something other than a pair of a name and a value.
+    /// A part of the comment is not a pair of a name and a value, joined by `=`.
     NameWithoutValue,
-    /// The comment contains a name twice.
+    /// The comment contains the name of a known field twice.
     DuplicateName,
-    /// A value in the comment must be a number and is not.
+    /// The value of a numeric field in the comment is not a number.
     NotANumber,
 }
 
@@ -58,8 +58,9 @@
 
 impl std::error::Error for StatementError {}
 
-/// Checks that a text is one statement whose one comment, at its end, can be parsed: other statements are
-/// not forwarded, as members would close the connection on them, with any other requests on it.
+/// Checks that a text is a single statement with a single comment, which is at its end and can be parsed.
+/// Other texts are rejected, because a member that receives one closes the connection, and other requests on
+/// the connection fail with it.
 pub fn validate(text: &[u8]) -> Result<(), StatementError> {
     if text.iter().any(|byte| byte.is_ascii_control() && !byte.is_ascii_whitespace()) {
         return Err(StatementError::ControlCharacters);
@@ -68,7 +69,7 @@
     validate_comment(&text[comment])
 }
 
-/// The range of the inside of the statement's one comment.
+/// The byte range between the delimiters of the statement's only comment.
 fn find_comment(text: &[u8]) -> Result<Range<usize>, StatementError> {
     let mut comment = None;
     let mut at = 0;
@@ -85,7 +86,7 @@
                 if comment.replace(start..end).is_some() {
                     return Err(StatementError::SeveralComments);
                 }
-                // The last byte of the comment's end is skipped below.
+                // The increment below skips the last byte of the comment's end.
                 at = end + COMMENT_END.len() - 1;
             }
             b';' => return Err(StatementError::Semicolon),
