--- a/src/pg/statement/tests.rs
+++ b/src/pg/statement/tests.rs
@@ -4,7 +4,7 @@
     /* id=9b1f03aa5c7e2d41,c=basket,d=480,cluster=2,after=1767225600123 */";
 
 #[test]
-fn the_fields_of_the_protocols_example_are_parsed() {
+fn fields_of_a_complete_read_are_parsed() {
     let fields = parse_fields(READ);
     assert_eq!(fields.class, Some(&b"basket"[..]));
     let timeout = fields.timeout.unwrap();
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn a_literal_cannot_pass_for_a_comment() {
+fn text_within_a_literal_is_not_parsed_as_a_comment() {
     let fields = parse_fields(b"INSERT INTO entries VALUES ('k', '/* c=x,d=9 */') /* c=order,d=1 */");
     assert_eq!(fields.class, Some(&b"order"[..]));
     assert_eq!(fields.key, Some(&b"k"[..]));
 }
 
 #[test]
-fn the_first_keyword_and_further_statements_are_found_behind_comments_and_literals() {
+fn first_keyword_and_further_statements_are_found_after_comments_and_literals() {
     assert_eq!(first_keyword(b" -- x\n/* y */ BEGIN;"), "begin");
     assert_eq!(first_keyword(b"/*"), "");
     assert!(has_several_statements(b"SELECT 1; SELECT 2") && has_several_statements(b"SELECT ';' ; x"));
@@ -37,11 +37,11 @@
 }
 
 #[test]
-fn statements_that_members_can_not_read_are_rejected() {
-    let whole = b"SELECT 1 /* id=1,d=2 */";
-    assert_eq!(validate(whole), Ok(()));
-    for cut in 0..whole.len() {
-        assert!(validate(&whole[..cut]).is_err(), "cut at {cut}");
+fn statements_that_members_cannot_parse_are_rejected() {
+    let complete = b"SELECT 1 /* id=1,d=2 */";
+    assert_eq!(validate(complete), Ok(()));
+    for length in 0..complete.len() {
+        assert!(validate(&complete[..length]).is_err(), "truncated to {length} bytes");
     }
     for text in [
         "SELECT 1; SELECT 2 /* id=1 */",
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn fields_that_are_missing_or_cut_stay_unset() {
+fn fields_that_are_missing_or_malformed_stay_unset() {
     for text in [&b""[..], b"/*", b"'", b"/* c", b"/* d=x,cluster=-1 */", b"/* d=99999999999999999999 */"] {
         let fields = parse_fields(text);
         assert_eq!((fields.class, fields.timeout, fields.group), (None, None, None), "{text:?}");
