--- a/src/pg/tests.rs
+++ b/src/pg/tests.rs
@@ -6,19 +6,19 @@
 
 #[test]
 fn a_message_is_returned_only_when_complete() {
-    let whole = query_message(&[b"SELECT 1"]);
-    for cut in 0..whole.len() {
-        assert_eq!(reader(&whole[..cut]).next_message(), Ok(None), "cut at {cut}");
+    let message = query_message(&[b"SELECT 1"]);
+    for length in 0..message.len() {
+        assert_eq!(reader(&message[..length]).next_message(), Ok(None), "truncated to {length} bytes");
     }
-    let two = [whole.clone(), whole.clone()].concat();
+    let two = [message.clone(), message.clone()].concat();
     let mut both = reader(&two);
-    assert_eq!(both.next_message(), Ok(Some((b'Q', &whole[..]))));
-    assert_eq!(both.next_message(), Ok(Some((b'Q', &whole[..]))));
+    assert_eq!(both.next_message(), Ok(Some((b'Q', &message[..]))));
+    assert_eq!(both.next_message(), Ok(Some((b'Q', &message[..]))));
     assert_eq!(both.next_message(), Ok(None));
 }
 
 #[test]
-fn impossible_lengths_are_protocol_errors_before_the_rest_has_arrived() {
+fn invalid_lengths_are_protocol_errors_before_the_rest_has_arrived() {
     assert!(reader(b"Q\0\0\0\x03").next_message().is_err());
     assert!(reader(b"Q\xff\0\0\0").next_message().is_err());
     assert!(reader(&[0, 0, 0, 7]).next_startup_packet().is_err());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn startup_packets_are_told_apart() {
+fn startup_packets_are_distinguished_by_code() {
     let startup = startup_message("web", "orders");
     assert_eq!(reader(&startup).next_startup_packet(), Ok(Some(StartupPacket::Startup)));
     let encryption = [0, 0, 0, 8, 4, 210, 22, 47];
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn replies_that_no_server_sends_are_refused_by_their_header() {
+fn replies_that_no_server_sends_are_rejected_on_their_header() {
     let next = |bytes: &[u8]| reader(bytes).next_reply().map(|reply| reply.map(|(tag, _)| tag));
     assert_eq!(next(b"Z\0\0\0\x05I"), Ok(Some(b'Z')));
     assert_eq!(next(b"?"), Err(ProtocolError::UnknownReplyType));
