--- a/tests/proxy/extended.rs
+++ b/tests/proxy/extended.rs
@@ -1,5 +1,5 @@
-//! The extended listener: above all, that no write executes twice and each request gets exactly one final
-//! reply.
+//! Tests of the extended listener. Most of them check that no write executes twice and that each request gets
+//! exactly one final reply.
 
 use crate::support::*;
 use insta::assert_snapshot;
@@ -7,13 +7,14 @@
 const WRITE: &str = "P w INSERT INTO entries VALUES ($1, 'x') /* d=400 */";
 const READ: &str = "P r SELECT payload FROM entries WHERE ref = $1 /* c=any,d=900 */";
 
-/// Sends a batch, and then a Sync that proves that there was exactly one reply.
+/// Sends a batch and returns the reply. Then sends a Sync: its reply shows that the batch got exactly one
+/// reply.
 fn run_batch(client: &mut Client, script: &str) -> String {
     client.send(&extended_messages(script));
-    let answer = client.read_reply();
+    let reply = client.read_reply();
     client.send(&extended_messages("S"));
-    assert_eq!(client.read_reply(), "Z", "exactly one answer, after {answer}");
-    answer
+    assert_eq!(client.read_reply(), "Z", "exactly one reply, after {reply}");
+    reply
 }
 
 fn start_pair() -> (MockMember, MockMember, Proxy) {
@@ -65,13 +66,16 @@
         let mut client = proxy.connect_extended();
         primary.plan(&[behavior]);
         let batch = format!("{} | B - w | E - | S", WRITE.replace("d=400", "d=4000"));
-        let answer = run_batch(&mut client, &batch);
-        assert_eq!(answer, "1 2 D(value) C Z", "{behavior:?}");
+        let reply = run_batch(&mut client, &batch);
+        assert_eq!(reply, "1 2 D(value) C Z", "{behavior:?}");
         assert_eq!((primary.executed_count(), replica.executed_count()), (1, 0), "{behavior:?}");
     }
 }
 
-/// Guards against malformed replies and bytes behind a reply, as on the platform's listener.
+/// The proxy must not reuse a member connection after a malformed reply or bytes that follow a reply: it
+/// would take the remaining bytes for the reply to the next request. Nor may it retry a write whose reply it
+/// could not parse, because the member may have executed the write. The platform's listener has the same
+/// tests.
 #[test]
 fn malformed_replies_and_trailing_bytes_close_the_connection_and_nothing_executes_twice() {
     let (primary, replica, proxy) = start_pair();
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn statement_is_prepared_on_each_member_that_lacks_it_unseen_by_the_client() {
+fn statement_is_prepared_transparently_on_each_member_that_lacks_it() {
     let (primary, one, two) = (MockMember::start(true), MockMember::start(false), MockMember::start(false));
     let proxy = Proxy::start(&[&primary, &one, &two]);
     let mut client = proxy.connect_extended();
@@ -108,11 +112,15 @@
     for _ in 0..4 {
         assert_eq!(run_batch(&mut client, "B - r | E - | S"), "2 D(value) C Z");
     }
-    // More than once only where a probe held the first connection; a Bind without its Parse panics the
-    // stand-in.
-    let parsed = |s: &MockMember| s.received().iter().any(|l| l.starts_with("P "));
-    assert!(parsed(&one) && parsed(&two), "on both, though the client prepared it once");
-    assert_eq!((one.executed_count(), two.executed_count()), (2, 2), "ties are broken in turn");
+    // A member gets the Parse again if a probe occupies its first connection and the proxy opens another
+    // one. The mock member panics on a Bind of a statement that its connection has not prepared.
+    let parsed = |member: &MockMember| member.received().iter().any(|line| line.starts_with("P "));
+    assert!(parsed(&one) && parsed(&two), "prepared on both replicas, though the client sent one Parse");
+    assert_eq!(
+        (one.executed_count(), two.executed_count()),
+        (2, 2),
+        "replicas with equal load are selected in turn"
+    );
 }
 
 #[test]
@@ -123,7 +131,7 @@
     primary.plan(&[MemberBehavior::ServeError("26000")]);
     assert_snapshot!(run_batch(&mut client, "B - w | E - | S"), @"2 D(value) C Z");
     assert_eq!(primary.executed_count(), 1);
-    assert!(primary.received().iter().filter(|l| l.starts_with("P ")).count() >= 2);
+    assert!(primary.received().iter().filter(|line| line.starts_with("P ")).count() >= 2);
 }
 
 #[test]
@@ -174,26 +182,30 @@
     }
     let script = format!("{READ}|B - r|E -|S");
     assert_eq!(run_batch(&mut client, &script), "1 2 D(value) C Z");
-    assert_eq!(run_batch(&mut client, "B - b|E -|S"), "E(26000) Z", "the other one isn't prepared either");
+    assert_eq!(
+        run_batch(&mut client, "B - b|E -|S"),
+        "E(26000) Z",
+        "the statement for the other group is not prepared either"
+    );
 }
 
 #[test]
-fn flush_answers_the_messages_received_so_far() {
+fn flush_is_answered_with_the_replies_to_the_messages_before_it() {
     let (primary, _replica, proxy) = start_pair();
     let mut client = proxy.connect_extended();
     client.send(&extended_messages(&format!("{WRITE} | DS w | H")));
-    assert_snapshot!(client.read_reply_until(|t| t == b'n'), @"1 t n");
+    assert_snapshot!(client.read_reply_until(|tag| tag == b'n'), @"1 t n");
     client.send(&extended_messages("B p w | DP p | H"));
-    assert_snapshot!(client.read_reply_until(|t| t == b'n'), @"2 n");
+    assert_snapshot!(client.read_reply_until(|tag| tag == b'n'), @"2 n");
     client.send(&extended_messages("E p | H"));
-    assert_snapshot!(client.read_reply_until(|t| t == b'C'), @"D(value) C");
+    assert_snapshot!(client.read_reply_until(|tag| tag == b'C'), @"D(value) C");
     client.send(&extended_messages("B p w | E p | H | S"));
     assert_snapshot!(client.read_reply(), @"E(0A000) Z");
     assert_eq!(primary.executed_count(), 1);
 }
 
 #[test]
-fn client_disconnect_mid_pipeline_cancels_its_attempt() {
+fn client_disconnect_during_a_pipeline_cancels_its_attempt() {
     let (primary, _replica, proxy) = start_pair();
     let mut client = proxy.connect_extended();
     primary.plan(&[MemberBehavior::HangOn(b'E')]);
