--- a/tests/proxy/pipelining/failures.rs
+++ b/tests/proxy/pipelining/failures.rs
@@ -1,21 +1,24 @@
-//! Commands in progress that fail, expire, or are cancelled, and those behind them.
+//! Tests of commands in progress that fail, expire or are cancelled, and of the commands behind them.
 
 use super::*;
 use std::io::Read;
 use std::time::{Duration, Instant};
 
 #[test]
-fn hung_head_of_line_fails_at_its_own_deadline_without_delaying_those_behind_it() {
+fn hung_head_of_line_fails_at_its_own_deadline_without_delaying_the_commands_behind_it() {
     for listener in LISTENERS {
         let (_primary, replicas, proxy) = start_group(1);
         replicas[0].plan(&[listener.hang(), MemberBehavior::Serve, MemberBehavior::Serve]);
         let mut client = listener.connect(&proxy);
         let start = Instant::now();
-        client.send(&listener.read_query_within(1, "any", KEY, 2000));
+        client.send(&listener.read_query_with_timeout(1, "any", KEY, 2000));
         replicas[0].wait_for(MemberEvent::Hanging);
         client.send(&[listener.read_query(2, "any", KEY), listener.read_query(3, "any", KEY)].concat());
-        wait_for_counter(&proxy, "any.completed=3"); // One was served as the test began.
-        assert!(start.elapsed() < Duration::from_millis(1900), "{listener:?}: they waited for the hung one");
+        wait_for_counter(&proxy, "any.completed=3"); // `start_group` has sent one read as well.
+        assert!(
+            start.elapsed() < Duration::from_millis(1900),
+            "{listener:?}: the others waited for the hung command"
+        );
         assert_nothing_received(&client);
         assert!(client.read_reply().starts_with("E("), "{listener:?}");
         assert!(start.elapsed() < Duration::from_millis(2200), "{listener:?}: {:?}", start.elapsed());
@@ -63,9 +66,9 @@
             .concat(),
         );
         primary.wait_for(MemberEvent::ReplyHeld);
-        let held = Instant::now();
-        while held.elapsed() < Duration::from_millis(350) {
-            wait_until_commands_are_read(&proxy, listener, 0x10 + held.elapsed().as_micros() as u32);
+        let held_since = Instant::now();
+        while held_since.elapsed() < Duration::from_millis(350) {
+            wait_until_commands_are_read(&proxy, listener, 0x10 + held_since.elapsed().as_micros() as u32);
         }
         primary.release_replies(1);
         assert_eq!(client.read_reply(), listener.served("slow"));
@@ -85,7 +88,9 @@
         let mut client = listener.connect(&proxy);
         client.send(&[listener.read_query(1, "any", KEY), listener.read_query(2, "any", KEY)].concat());
         replicas.iter().for_each(|replica| replica.wait_for(MemberEvent::Hanging));
-        client.send(&[listener.write_query(3, 4000, OTHER), listener.write_query(4, 4000, OTHER)].concat());
+        client.send(
+            &[listener.write_query(3, 4000, OTHER_KEY), listener.write_query(4, 4000, OTHER_KEY)].concat(),
+        );
         primary.wait_for(MemberEvent::ReplyHeld);
         drop(client);
         replicas.iter().for_each(|replica| replica.wait_for(MemberEvent::ConnectionClosed));
@@ -97,7 +102,7 @@
         assert_eq!(
             executed_ids(&[&primary]),
             [3, 5],
-            "{listener:?}: what waited for the write has not started"
+            "{listener:?}: the write that waited for the first write is not started"
         );
     }
 }
@@ -117,7 +122,7 @@
         assert_nothing_received(&client);
         replicas[1 - first].release_replies(1);
         assert_eq!(client.read_reply(), listener.served("held"));
-        // Whatever the cancelled attempt still sends reaches no client.
+        // The reply of the cancelled attempt must not be taken for the reply to a later command.
         for id in 3..7 {
             client.send(&listener.read_query(id, "any", KEY));
             assert_eq!(client.read_reply(), listener.served("value"), "{listener:?}");
@@ -126,7 +131,7 @@
 }
 
 #[test]
-fn sigterm_leaves_every_command_in_progress_with_one_reply() {
+fn every_command_in_progress_gets_one_reply_on_sigterm() {
     for listener in LISTENERS {
         let (primary, replicas, mut proxy) = start_group(2);
         let hang = listener.hang();
@@ -138,19 +143,23 @@
         replicas.iter().for_each(|replica| replica.wait_for(MemberEvent::Hanging));
         client.send(
             &[
-                listener.write_query(3, 15_000, OTHER),
-                listener.write_query(4, 15_000, OTHER),
-                listener.read_query(5, "any", OTHER),
+                listener.write_query(3, 15_000, OTHER_KEY),
+                listener.write_query(4, 15_000, OTHER_KEY),
+                listener.read_query(5, "any", OTHER_KEY),
             ]
             .concat(),
         );
         primary.wait_for(MemberEvent::Hanging);
         proxy.signal("-TERM");
-        let mut answers: Vec<_> = (0..5).map(|_| client.read_reply()).collect();
-        assert!(answers.iter().all(|answer| answer.contains("E(") && answer.ends_with(" Z")), "{answers:?}");
-        assert!(answers.remove(2).ends_with("E(08007) Z"), "{listener:?}: the write may have executed");
+        let mut replies: Vec<_> = (0..5).map(|_| client.read_reply()).collect();
+        assert!(replies.iter().all(|reply| reply.contains("E(") && reply.ends_with(" Z")), "{replies:?}");
+        assert!(replies.remove(2).ends_with("E(08007) Z"), "{listener:?}: the write may have executed");
         assert_eq!(executed_ids(&[&primary]), [3], "{listener:?}: the second write was not started");
-        assert_eq!(client.stream.read(&mut [0]).unwrap(), 0, "the connection ends, with no further answer");
+        assert_eq!(
+            client.stream.read(&mut [0]).unwrap(),
+            0,
+            "the connection is closed without a further reply"
+        );
         assert!(proxy.child.wait().unwrap().success());
     }
 }
@@ -164,7 +173,7 @@
     client.send(&extended_messages(&format!("P r {read} | B - r | E - | S | B - r | E - | S")));
     assert_eq!([client.read_reply(), client.read_reply()], ["1 2 E(42601) Z", "2 D(value) C Z"]);
     replicas[0].plan(&[MemberBehavior::HangOn(b'P')]);
-    let late = read.replace("d=5000", "d=1").replace("payload", "other");
-    client.send(&extended_messages(&format!("P q {late} | B - q | E - | S | B - q | E - | S")));
+    let expiring_read = read.replace("d=5000", "d=1").replace("payload", "other");
+    client.send(&extended_messages(&format!("P q {expiring_read} | B - q | E - | S | B - q | E - | S")));
     assert_eq!([client.read_reply(), client.read_reply()], ["E(53300) Z", "E(26000) Z"]);
 }
--- a/tests/proxy/pipelining/limits.rs
+++ b/tests/proxy/pipelining/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of what one connection may have in progress.
+//! Tests of the limits on the commands and replies that one connection may have in progress.
 
 use super::*;
 
@@ -12,7 +12,7 @@
         client.send(&commands.concat());
         wait_for_counter(&proxy, "pending=8");
         let mut other = listener.connect(&proxy);
-        other.send(&listener.write_query(0x20, 900, OTHER));
+        other.send(&listener.write_query(0x20, 900, OTHER_KEY));
         assert_eq!(other.read_reply(), listener.served("value"));
         wait_for_counter(&proxy, "pending=8");
         let all: Vec<_> = replicas.iter().chain([&primary]).collect();
@@ -48,13 +48,17 @@
             while replica.executed_count() < id as usize {
                 wait_for_counter(&proxy, "pending=");
             }
-            // All but the held one have been answered.
+            // The replies to all commands but the first one have arrived at the proxy.
             wait_for_counter(&proxy, "pending=1");
         }
         client.send(&listener.read_query(5, "any", KEY));
         wait_until_commands_are_read(&proxy, listener, 6);
         wait_for_counter(&proxy, "pending=1");
-        assert_eq!(executed_ids(&[&primary, replica]), [1, 2, 3, 4, 6], "{listener:?}: 180 KB wait");
+        assert_eq!(
+            executed_ids(&[&primary, replica]),
+            [1, 2, 3, 4, 6],
+            "{listener:?}: 180 KB of replies wait for the first one"
+        );
         replica.release_replies(1);
         assert_eq!(client.read_reply(), listener.served("held"));
         (2..=4).for_each(|_| assert_eq!(client.read_reply(), listener.served(large)));
--- a/tests/proxy/pipelining/ordering.rs
+++ b/tests/proxy/pipelining/ordering.rs
@@ -1,4 +1,4 @@
-//! The order of commands of one connection, and of their replies.
+//! Tests of the order in which commands of one connection start, and of the order of their replies.
 
 use super::*;
 
@@ -58,8 +58,8 @@
 #[test]
 fn read_waits_for_an_earlier_write_and_sees_its_commit() {
     for listener in LISTENERS {
-        // The replica may serve reads of this session, which has written nothing lately, though it is far
-        // behind.
+        // The replica's data is 60 s behind, but the replica may serve the session's reads as long as the
+        // session has no recent write.
         let (primary, replicas, proxy) = start_group_with_lag(1, 60_000);
         let mut client = listener.connect(&proxy);
         client.send(&listener.read_query(1, "own", KEY));
@@ -72,7 +72,7 @@
         assert_eq!(
             executed_ids(&[&primary, &replicas[0]]),
             [2, 1, 4],
-            "{listener:?}: the read has not started"
+            "{listener:?}: the read waits for the write"
         );
         primary.release_replies(1);
         assert_eq!(
@@ -95,7 +95,7 @@
         let mut client = listener.connect(&proxy);
         let writes = [
             listener.write_query(1, 4000, KEY),
-            listener.write_query(2, 4000, OTHER),
+            listener.write_query(2, 4000, OTHER_KEY),
             listener.write_query(3, 4000, KEY),
         ];
         client.send(&writes.concat());
@@ -103,8 +103,8 @@
         wait_until_commands_are_read(&proxy, listener, 4);
         assert_eq!(executed_ids(&[&primary]), [1], "{listener:?}");
         primary.release_replies(1);
-        let answers = [client.read_reply(), client.read_reply(), client.read_reply()];
-        assert_eq!(answers, ["one", "two", "three"].map(|value| listener.served(value)));
+        let replies = [client.read_reply(), client.read_reply(), client.read_reply()];
+        assert_eq!(replies, ["one", "two", "three"].map(|value| listener.served(value)));
         assert_eq!(executed_ids(&[&primary]), [1, 2, 3], "{listener:?}");
     }
 }
@@ -117,13 +117,13 @@
         let mut client = listener.connect(&proxy);
         client.send(&listener.read_query(1, "any", KEY));
         replicas[0].wait_for(MemberEvent::ReplyHeld);
-        client.send(&[listener.write_query(2, 4000, OTHER), listener.write_query(3, 4000, KEY)].concat());
-        wait_for_counter(&proxy, "write.completed=2"); // One was served as the test began.
+        client.send(&[listener.write_query(2, 4000, OTHER_KEY), listener.write_query(3, 4000, KEY)].concat());
+        wait_for_counter(&proxy, "write.completed=2"); // `start_group` has sent one write as well.
         wait_until_commands_are_read(&proxy, listener, 4);
         assert_eq!(executed_ids(&[&primary]), [2], "{listener:?}");
         replicas[0].release_replies(1);
-        let answers = [client.read_reply(), client.read_reply(), client.read_reply()];
-        assert_eq!(answers, ["before", "value", "value"].map(|value| listener.served(value)));
+        let replies = [client.read_reply(), client.read_reply(), client.read_reply()];
+        assert_eq!(replies, ["before", "value", "value"].map(|value| listener.served(value)));
         assert_eq!(executed_ids(&[&primary]), [2, 3], "{listener:?}");
     }
 }
@@ -137,11 +137,15 @@
     client.send(&extended_messages(&format!(
         "P r {read} | B - r | E - | S | B - r | E - | S | P - {read} | B - - | E - | S"
     )));
-    // The first holds back the second, which depends on it, and with it all later ones.
+    // The second batch waits for the first, which prepares its statement, and the third waits behind the
+    // second.
     wait_for_counter(&proxy, "pending=1");
     wait_until_commands_are_read(&proxy, Listener::Extended, 9);
-    assert_eq!(replicas[0].executed_count(), 2, "the first one and the other client's");
+    assert_eq!(replicas[0].executed_count(), 2, "the first batch and the read of the other client");
     replicas[0].release_replies(1);
-    let answers = [client.read_reply(), client.read_reply(), client.read_reply()];
-    assert!(answers.iter().zip(["1 2 D", "2 D", "1 2 D"]).all(|(a, b)| a.starts_with(b)), "{answers:?}");
+    let replies = [client.read_reply(), client.read_reply(), client.read_reply()];
+    assert!(
+        replies.iter().zip(["1 2 D", "2 D", "1 2 D"]).all(|(reply, start)| reply.starts_with(start)),
+        "{replies:?}"
+    );
 }
