--- a/src/pg/sqlstate.rs
+++ b/src/pg/sqlstate.rs
@@ -8,7 +8,7 @@
 pub const TOO_MANY_CONNECTIONS: &str = "53300";
 /// The request failed, and may have been executed.
 pub const TRANSACTION_RESOLUTION_UNKNOWN: &str = "08007";
-/// Failed without having taken effect.
+/// The request failed, and has not been executed.
 pub const QUERY_CANCELED: &str = "57014";
 /// The listener does not support the statement or the message.
 pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
