--- a/src/extended/statement_cache.rs
+++ b/src/extended/statement_cache.rs
@@ -60,7 +60,7 @@
         CacheLookup::Miss { name: name_at_member(lookup), evicted }
     }
 
-    /// Removes a statement that the member failed to prepare.
+    /// Removes a statement that the member has not prepared, because it rejected or skipped the Parse.
     pub(super) fn remove(&mut self, statement: &Arc<PreparedStatement>) {
         if self.entries.remove(statement).is_some() {
             self.bytes -= statement.sql.len();
