--- a/src/net/client/accept_gate.rs
+++ b/src/net/client/accept_gate.rs
@@ -1,4 +1,4 @@
-//! The listeners, and whether they accept connections at present.
+//! The listeners for clients, and the state in which they accept connections or pause.
 
 use super::shared::ReactorShared;
 use rustix::event::epoll::{self, EventData, EventFlags};
@@ -9,27 +9,28 @@
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
 
-/// The epoll token of the first listener; those of the others follow it.
+/// The epoll token of the first listener; each further listener has the next higher token.
 const FIRST_LISTENER_TOKEN: u64 = 1;
-/// The delay before the next attempt to accept when there is no free descriptor.
+/// The delay before accepting is retried when no descriptor is free, and before a listener is watched again
+/// when that has failed.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A socket that clients connect to.
 pub struct ClientListener {
-    /// The socket.
+    /// The listening socket.
     pub listener: TcpListener,
-    /// Its connections speak the extended query protocol.
+    /// Whether its connections use the extended query protocol.
     pub extended: bool,
 }
 
 /// Whether connections are accepted.
 #[derive(Clone, Copy)]
 enum AcceptState {
-    /// The listeners are watched.
+    /// Connections are accepted.
     Accepting,
-    /// The limit on open connections is reached.
+    /// The limit on open connections was reached; accepting resumes when a connection has closed.
     PausedAtConnectionLimit,
-    /// The process had no free descriptor; the next attempt is at this time.
+    /// The process had no free descriptor; accepting resumes at this time.
     PausedUntil(Instant),
 }
 
@@ -37,24 +38,24 @@
 pub(super) enum AcceptResult {
     /// A new connection.
     Accepted {
-        /// Its socket.
+        /// The socket of the connection, which is non-blocking.
         stream: TcpStream,
-        /// It speaks the extended query protocol.
+        /// Whether the connection uses the extended query protocol.
         extended: bool,
     },
     /// No connection is waiting.
     NoneWaiting,
-    /// The attempt failed for a reason that does not concern the next one.
+    /// The attempt failed, but the next one may succeed.
     Retry,
-    /// There is no descriptor, or another resource is missing.
+    /// No descriptor is free, or the system lacks memory.
     Exhausted(std::io::Error),
 }
 
-/// The listeners, watched while connections may be accepted.
+/// The listeners for clients. They are watched while connections may be accepted.
 pub(super) struct AcceptGate {
     listeners: Vec<ClientListener>,
     state: AcceptState,
-    /// When a listener that could not be watched again is tried once more.
+    /// When the listeners are watched again after that has failed for one of them.
     watch_retry_at: Option<Instant>,
 }
 
@@ -68,7 +69,7 @@
         Ok(AcceptGate { listeners, state: AcceptState::Accepting, watch_retry_at: None })
     }
 
-    /// The listener of an epoll token.
+    /// The index of the listener with this epoll token.
     pub(super) fn listener_index(token: u64) -> usize {
         (token - FIRST_LISTENER_TOKEN) as usize
     }
@@ -77,7 +78,8 @@
         !matches!(self.state, AcceptState::Accepting)
     }
 
-    /// When [`AcceptGate::resume_if_due`] has something to do.
+    /// The next time at which [`AcceptGate::resume_if_due`] must be called. Accepting that is paused at the
+    /// connection limit resumes without a time.
     pub(super) fn next_due(&self) -> Option<Instant> {
         match self.state {
             AcceptState::PausedUntil(until) => Some(until),
@@ -93,20 +95,20 @@
         }
     }
 
-    /// Accepts nothing until a connection has closed. Guards against a burst of connections that uses all
-    /// descriptors: they wait in the backlog.
+    /// Pauses accepting until a connection has closed; new connections wait in the listener's backlog.
+    /// Without the limit, a burst of connections could use all descriptors of the process.
     pub(super) fn pause_at_connection_limit(&mut self, shared: &ReactorShared) {
         self.pause(AcceptState::PausedAtConnectionLimit, &shared.epoll);
     }
 
-    /// Accepts nothing for a short while. Guards against a full descriptor table: the connection waits in
-    /// the backlog.
+    /// Pauses accepting for [`DESCRIPTOR_RETRY_DELAY`] because no descriptor is free; new connections wait in
+    /// the listener's backlog.
     pub(super) fn pause_for_descriptors(&mut self, shared: &ReactorShared) {
         self.pause(AcceptState::PausedUntil(Instant::now() + DESCRIPTOR_RETRY_DELAY), &shared.epoll);
     }
 
-    /// Asks for no events while accepting is paused; where that fails, it is called again with the next
-    /// event.
+    /// Requests no events of the listeners while accepting is paused. If that fails, the reactor calls this
+    /// method again at the next event of a listener.
     pub(super) fn ignore_events(&self, epoll: &OwnedFd) {
         let _ = self.watch(epoll, EventFlags::empty());
     }
@@ -116,8 +118,9 @@
         self.ignore_events(epoll);
     }
 
-    /// Accepts connections again if there is capacity and the pause is over. Guards against a listener that
-    /// is never watched again, as an error of this machine came between.
+    /// Resumes accepting if the pause is over and there is capacity. If a listener can't be watched because
+    /// of an error of this machine, the call is retried after [`DESCRIPTOR_RETRY_DELAY`]; otherwise no
+    /// connection of that listener would ever be accepted again.
     pub(super) fn resume_if_due(&mut self, shared: &ReactorShared) {
         let is_due = self.next_due().is_none_or(|due| due <= Instant::now());
         let has_capacity = !self.is_paused() || !shared.is_full();
@@ -134,19 +137,20 @@
         let Some(ClientListener { listener, extended }) = self.listeners.get(listener_index) else {
             return AcceptResult::NoneWaiting;
         };
-        // Non-blocking from the start: no further call could fail and drop a connection that is not read yet.
+        // The socket is non-blocking from the start. A separate call for that could fail, and the connection
+        // would be dropped before anything was read from it.
         match accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
             Ok(socket) => AcceptResult::Accepted { stream: socket.into(), extended: *extended },
             Err(Errno::AGAIN) => AcceptResult::NoneWaiting,
             Err(errno @ (Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM)) => {
                 AcceptResult::Exhausted(errno.into())
             }
-            // The connection that waited has failed: the next one may not.
+            // For example, the connection failed while it waited: the next one may be accepted.
             Err(_) => AcceptResult::Retry,
         }
     }
 
-    /// Watches all listeners for these events; `false` if one of them could not be.
+    /// Requests these events of all listeners; `false` if that failed for one of them.
     fn watch(&self, epoll: &OwnedFd, flags: EventFlags) -> bool {
         let mut all_watched = true;
         for (index, ClientListener { listener, .. }) in self.listeners.iter().enumerate() {
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,9 +1,9 @@
-//! Client connections: one reactor thread accepts and reads for all of them, and the event loop writes
-//! through a handle for each. Neither makes decisions.
+//! Client connections. One reactor thread accepts connections and reads from all of them; the event loop
+//! writes through one handle per connection. Neither decides how requests are handled.
 //!
-//! A thread or two for each client would be the simple way with blocking sockets. Measured with 170 of them,
-//! two thirds of a proxy's share of a core went into threads that were woken only to be stopped and continued
-//! with the process; so the sockets are non-blocking here, and `epoll` reports which of them are ready.
+//! The sockets are non-blocking, and `epoll` reports which of them are ready. Blocking sockets would need one
+//! or two threads per client. With 170 clients, such threads took two thirds of the proxy's CPU time, because
+//! they were woken only to be stopped and continued with the process.
 
 mod accept_gate;
 mod commands;
@@ -25,33 +25,34 @@
 
 use crate::client::{ClientBatch, ClientEvent, ClientId, SimpleQuery};
 
-/// An event that the reactor reports.
+/// An event that the reactor reports to the event loop.
 pub enum ReactorEvent {
     /// A new connection, and the handle to write to it.
     Accepted(ClientId, ClientHandle),
-    /// From a connection that speaks the simple query protocol.
+    /// An event of a connection that uses the simple query protocol.
     Simple(ClientId, ClientEvent<SimpleQuery>),
-    /// From a connection that speaks the extended query protocol.
+    /// An event of a connection that uses the extended query protocol.
     Extended(ClientId, ClientEvent<ClientBatch>),
-    /// All events that had arrived when the barrier was requested have been reported.
+    /// All client events that had arrived when the barrier was requested have been reported.
     Barrier(EventBarrier),
-    /// Reading from clients has stopped, and all that was read before has been reported.
+    /// Reading from clients has stopped, and everything read before has been reported.
     ReadingStopped,
 }
 
-/// The sink of the reactor's events; may block until there is capacity.
+/// Receives the reactor's events; a call may block until the receiver has capacity.
 pub type EventSink = Box<dyn Fn(ReactorEvent) + Send>;
 
-/// Limits over all clients.
+/// Limits on the totals over all client connections.
 #[derive(Clone, Copy)]
 pub struct ReactorLimits {
-    /// Connections, including those that the event loop may still have to reject, and those that linger.
+    /// The most open connections, including those that the event loop has not admitted or rejected yet and
+    /// those that are closed but still linger.
     pub max_connections: usize,
-    /// Bytes of answers that wait for sockets.
+    /// The most bytes of answers that wait to be written to sockets.
     pub max_unwritten_bytes: usize,
-    /// Bytes of commands that are not answered yet.
+    /// The most bytes of commands that are not answered yet.
     pub max_unanswered_command_bytes: usize,
-    /// Bytes of messages that have not arrived completely yet.
+    /// The most bytes of messages that have not arrived completely.
     pub max_incomplete_message_bytes: usize,
 }
 
