--- a/src/net/client/commands.rs
+++ b/src/net/client/commands.rs
@@ -9,19 +9,19 @@
 use crate::pg::{self, ProtocolError, StartupPacket};
 use std::ops::ControlFlow;
 
-/// Messages and bytes that may precede a Sync.
+/// The most messages and bytes of one batch, without the Sync or Flush that ends it.
 const MAX_BATCH_MESSAGES: usize = 1024;
 const MAX_BATCH_BYTES: usize = 256 * 1024;
-/// The length of a message's type and length field.
+/// The length of a message's header: its type byte and its length field.
 const HEADER_BYTES: usize = 5;
-/// The length of a Query message without its text: the header and the closing zero.
+/// The length of a Query message without its text: the header and the zero byte that terminates the text.
 const QUERY_OVERHEAD_BYTES: usize = HEADER_BYTES + 1;
 
-/// Whether to continue with the next message or to pause.
+/// The result of parsing one message: parsing continues with the next message, or pauses for this reason.
 type ParseStep = Result<ControlFlow<ParseProgress>, ProtocolError>;
 
 impl ClientConnection {
-    /// Handles a startup packet.
+    /// Parses the next startup packet, and reports it.
     pub(super) fn parse_startup(&mut self, events: &EventSink) -> ParseStep {
         let Some(packet) = self.frames.next_startup_packet()? else {
             return Ok(ControlFlow::Break(ParseProgress::NeedsBytes));
@@ -38,7 +38,7 @@
         Ok(if is_cancel { ControlFlow::Break(ParseProgress::Finished) } else { ControlFlow::Continue(()) })
     }
 
-    /// Handles a message of the simple query protocol.
+    /// Parses the next message of the simple query protocol, and reports it.
     pub(super) fn parse_simple_query(&mut self, settings: &Settings, events: &EventSink) -> ParseStep {
         if self.must_wait_for_capacity() {
             return Ok(ControlFlow::Break(ParseProgress::AtCapacity));
@@ -68,7 +68,8 @@
         Ok(step)
     }
 
-    /// Handles a message of the extended query protocol.
+    /// Parses the next message of the extended query protocol. A batch is reported when its last message has
+    /// been parsed.
     pub(super) fn parse_extended_message(&mut self, events: &EventSink) -> ParseStep {
         if self.must_wait_for_capacity() {
             return Ok(ControlFlow::Break(ParseProgress::AtCapacity));
@@ -100,9 +101,10 @@
         }
     }
 
-    /// The next message would complete a command, but the limits on unanswered commands do not allow another
-    /// one. Guards against a client that stops within a command behind others: it is read from until the
-    /// command is complete, and so has a deadline for that.
+    /// Whether the next message would complete a command while the limits on unanswered commands allow no
+    /// further command. Messages that don't complete a command are parsed regardless of these limits, because
+    /// a connection that waits for capacity has no deadline: a client that stops in the middle of a command
+    /// while others are unanswered must still run into the deadline for completing the command.
     fn must_wait_for_capacity(&self) -> bool {
         let is_part_of_batch = |tag| match self.parse_state {
             ParseState::Extended(_) => begins_or_continues_batch(tag),
@@ -112,7 +114,7 @@
         completes_command && !self.shared.has_capacity()
     }
 
-    /// Counts the completed batch, and reports it.
+    /// Counts a complete batch as a command, and reports it.
     fn report_batch(&mut self, end: BatchEnd, events: &EventSink) {
         let ParseState::Extended(batch) = &mut self.parse_state else { return };
         let PartialBatch { messages, bytes } = std::mem::take(batch);
@@ -123,7 +125,7 @@
 }
 
 impl PartialBatch {
-    /// Adds a message.
+    /// Adds a message; fails if the batch would exceed its limits.
     pub(super) fn push(&mut self, message: &[u8]) -> Result<(), ProtocolError> {
         self.bytes += message.len();
         if self.bytes > MAX_BATCH_BYTES || self.messages.len() >= MAX_BATCH_MESSAGES {
@@ -133,7 +135,8 @@
         Ok(())
     }
 
-    /// Handles the message that ends the batch: a Sync, a Flush, or a simple query by itself.
+    /// Ends the batch with a Sync or a Flush, which must have no body, or with a Query message, which must be
+    /// a batch by itself and is added to it.
     pub(super) fn end_with(&mut self, end: BatchEnd, message: &[u8]) -> Result<(), ProtocolError> {
         if end != BatchEnd::Query {
             return if message.len() == HEADER_BYTES { Ok(()) } else { Err(ProtocolError::UnexpectedBody) };
@@ -147,7 +150,7 @@
     }
 }
 
-/// The text of a Query message.
+/// The text of a Query message, without the zero byte that terminates it.
 fn query_text(message: &[u8]) -> Result<&[u8], ProtocolError> {
     let body = pg::message_body(message);
     let (text, _) = pg::split_c_string(body).ok_or(ProtocolError::UnterminatedQuery)?;
@@ -157,12 +160,13 @@
     Ok(text)
 }
 
-/// A message of a batch other than the one that ends it.
+/// Whether messages of this type belong to a batch without ending it.
 fn begins_or_continues_batch(tag: u8) -> bool {
     matches!(tag, frontend::PARSE | frontend::BIND | frontend::EXECUTE | frontend::DESCRIBE | frontend::CLOSE)
 }
 
-/// A message that clients may send, but that the simple query protocol here does not support.
+/// Whether messages of this type are valid in PostgreSQL's protocol but not supported on the listener for
+/// simple queries.
 fn is_known_but_unsupported(tag: u8) -> bool {
     matches!(
         tag,
