--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,4 +1,4 @@
-//! The reactor's side of one client connection: reading, parsing, and accounting for its limits.
+//! The reactor's side of one client connection: reading, parsing, and counting towards the limits.
 
 use super::shared::{CLOSED, ConnectionShared};
 use super::{EventSink, ReactorEvent};
@@ -14,24 +14,25 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// The time limit for each message that a client has begun.
+/// How long a client may take to complete a command that it has begun. A connection that the reactor closes
+/// is removed after the same time, unless the client is still reading its answer.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// The most bytes that are read from a connection that is being closed.
+/// The most bytes that are read and discarded from a closing connection before it is removed.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// From this size on, part of a message counts towards the limit on all of them.
+/// An incomplete command counts towards the limit over all connections only from this size on.
 const MIN_COUNTED_INCOMPLETE_BYTES: usize = 4096;
 
-/// The parser's state for a client's bytes.
+/// What the parser expects next from a client.
 pub(super) enum ParseState {
-    /// The startup message has not arrived.
+    /// A startup packet.
     Startup,
-    /// Simple queries.
+    /// A message of the simple query protocol.
     Simple,
-    /// Extended queries: messages up to a Sync.
+    /// A message of the extended query protocol, which continues or ends this batch.
     Extended(PartialBatch),
 }
 
-/// The messages received so far of a batch that is not complete.
+/// The messages that have been received of an incomplete batch.
 #[derive(Default)]
 pub(super) struct PartialBatch {
     pub(super) messages: Vec<Vec<u8>>,
@@ -39,7 +40,7 @@
 }
 
 impl ParseState {
-    /// Bytes received of a command, in complete messages.
+    /// The bytes of the complete messages that have been received of an incomplete command.
     fn buffered_bytes(&self) -> usize {
         match self {
             ParseState::Extended(batch) => batch.bytes,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Whether nothing of a command has been received.
+    /// Whether no complete message of an incomplete command has been received.
     fn is_between_commands(&self) -> bool {
         match self {
             ParseState::Extended(batch) => batch.messages.is_empty(),
@@ -63,11 +64,11 @@
     NeedsBytes,
     /// The limit on unanswered commands is reached.
     AtCapacity,
-    /// Reading from the connection has ended.
+    /// Nothing more is read from the connection.
     Finished,
 }
 
-/// An event that connections of both protocols have.
+/// An event that occurs on connections of either protocol.
 pub(super) enum ConnectionEvent {
     Startup(StartupPacket),
     Malformed(ProtocolError),
@@ -84,30 +85,30 @@
     }
 }
 
-/// A client's connection, as the reactor sees it.
+/// The reactor's state of a client connection.
 pub(super) struct ClientConnection {
     pub(super) shared: Arc<ConnectionShared>,
-    /// It was accepted on the listener for extended queries.
+    /// Whether the connection was accepted on the listener for extended queries.
     pub(super) extended: bool,
     pub(super) frames: FrameReader,
     pub(super) parse_state: ParseState,
-    /// When its last bytes arrived.
+    /// When bytes were last read from the connection.
     pub(super) last_read_at: Micros,
-    /// It counts in `ConnectionShared::unfinished_commands` for bytes of an incomplete command.
+    /// Whether an incomplete command is counted in `ConnectionShared::unfinished_commands`.
     command_begun: bool,
-    /// It has sent a complete command.
+    /// Whether a complete command has been received on the connection.
     any_command_received: bool,
-    /// It has sent one since its deadline was last checked.
+    /// Whether a complete command has been received since the deadline was last updated.
     command_received_since_deadline: bool,
-    /// When its incomplete message must be complete; once it is closing, when it is removed.
+    /// When the incomplete command must be complete; for a closing connection, when it is removed.
     pub(super) deadline: Option<Instant>,
-    /// Its part of the total of incomplete messages.
+    /// The bytes that this connection contributes to `ClientReactor::incomplete_message_bytes`.
     incomplete_message_bytes: usize,
-    /// Incoming bytes are discarded.
+    /// Whether the reactor is closing the connection and discards incoming bytes.
     pub(super) closing: bool,
-    /// Bytes received since it has been closing.
+    /// The bytes that have been discarded since the connection was closed.
     discarded_bytes: usize,
-    /// The unwritten bytes when its deadline last passed.
+    /// The number of unwritten bytes when the deadline of the closing connection last expired.
     pub(super) unwritten_bytes_at_deadline: usize,
 }
 
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Reports an event.
+    /// Reports an event in the form of the connection's protocol.
     pub(super) fn report(&self, event: ConnectionEvent, events: &EventSink) {
         let id = self.shared.id;
         events(match self.extended {
@@ -144,7 +145,8 @@
         self.closing || self.shared.unfinished_commands.load(Ordering::SeqCst) & CLOSED != 0
     }
 
-    /// Counts a command from its first bytes on; `false` if the event loop has closed the connection.
+    /// Counts the next command as unfinished before its first bytes are read; `false` if the event loop has
+    /// closed the connection.
     pub(super) fn begin_command(&mut self) -> bool {
         if self.command_begun {
             return true;
@@ -156,14 +158,14 @@
         true
     }
 
-    /// Counts a complete command before it is reported.
+    /// Counts a complete command, of this many bytes, as unanswered before it is reported.
     pub(super) fn count_command(&mut self, size: usize) {
         self.any_command_received = true;
         self.command_received_since_deadline = true;
         self.shared.command_received(size);
     }
 
-    /// Ends the count of an incomplete command if no bytes of one are left.
+    /// Stops counting an incomplete command if no bytes of one have been received.
     pub(super) fn end_command_if_complete(&mut self) {
         if self.frames.buffered().is_empty() && self.parse_state.is_between_commands() {
             self.frames = FrameReader::default();
@@ -174,7 +176,8 @@
 
     /// Reads from the socket, up to the size of the read buffer; `false` if the client has disconnected.
     pub(super) fn read(&mut self, read_buffer: &mut [u8], clock: &Clock) -> bool {
-        // Before the read: a delay between the two must not count as time that the client has left.
+        // The time is taken before the read: a process pause between the two then reduces the remaining time
+        // of the request, as the client's own timeout goes on during the pause.
         let read_at = clock.now();
         match (&self.shared.stream).read(read_buffer) {
             Ok(0) => false,
@@ -183,17 +186,18 @@
                 self.frames.push(&read_buffer[..length]);
                 true
             }
-            Err(error) => is_transient(&error),
+            Err(error) => is_retryable(&error),
         }
     }
 
-    /// A complete message has been read and waits for capacity: nothing more is read until it is parsed.
+    /// Whether a complete message has been read but not parsed, as it waits for capacity. Nothing more is
+    /// read until it is parsed.
     pub(super) fn has_unparsed_message(&self) -> bool {
         let is_started = !matches!(self.parse_state, ParseState::Startup);
         is_started && self.frames.complete_message_tag().is_some()
     }
 
-    /// Parses everything that has arrived completely.
+    /// Parses and reports all complete messages, up to the limit on unanswered commands.
     pub(super) fn parse(&mut self, settings: &Settings, events: &EventSink) -> ParseProgress {
         loop {
             let step = match self.parse_state {
@@ -212,8 +216,8 @@
         }
     }
 
-    /// Reports that the client has disconnected. A client that cancels may close at once: its cancel request
-    /// must be handled all the same.
+    /// Reports that the client has disconnected. A client may close its connection right after it has sent a
+    /// cancel request, so a request that is still unread is reported first.
     pub(super) fn report_disconnect(&mut self, read_buffer: &mut [u8], events: &EventSink) {
         if let Ok(length) = (&self.shared.stream).read(read_buffer) {
             self.report_cancel_request(&read_buffer[..length], events);
@@ -221,7 +225,8 @@
         self.report(ConnectionEvent::Disconnected, events);
     }
 
-    /// Reads and discards bytes received since the connection was closed; `false` if waiting can end.
+    /// Reads and discards bytes that have arrived since the connection was closed; `false` if the client has
+    /// closed the connection as well, or has sent too much.
     pub(super) fn discard_input(&mut self, read_buffer: &mut [u8], events: &EventSink) -> bool {
         match (&self.shared.stream).read(read_buffer) {
             Ok(length) => {
@@ -229,12 +234,12 @@
                 self.report_cancel_request(&read_buffer[..length], events);
                 length > 0 && self.discarded_bytes < MAX_LINGER_BYTES
             }
-            Err(error) => is_transient(&error),
+            Err(error) => is_retryable(&error),
         }
     }
 
-    /// Guards against a cancel request that is missed because there is no capacity for its connection, or
-    /// because that is closed already: the first bytes of a rejected connection may still be one.
+    /// Reports a cancel request if these are the first bytes of a connection and contain one. Without this, a
+    /// cancel request is lost if its connection is rejected for lack of capacity, or is already closed.
     fn report_cancel_request(&mut self, bytes: &[u8], events: &EventSink) {
         if !matches!(self.parse_state, ParseState::Startup) || self.discarded_bytes > bytes.len() {
             return;
@@ -246,9 +251,9 @@
         self.frames = FrameReader::default();
     }
 
-    /// Updates the bytes of incomplete messages, here and in the total over all connections. `false` if the
-    /// total is too high and this connection contributes to it. Guards against many clients that each send a
-    /// part of a long message.
+    /// Updates the bytes of the incomplete command, here and in the total over all connections; `false` if
+    /// the total exceeds its limit and this connection contributes to it. Without the limit, many clients
+    /// that each send part of a long message could exhaust the memory.
     pub(super) fn update_incomplete_message_bytes(&mut self, total: &mut usize, max_total: usize) -> bool {
         let buffered = self.frames.buffered().len() + self.parse_state.buffered_bytes();
         let counted = if buffered >= MIN_COUNTED_INCOMPLETE_BYTES { buffered } else { 0 };
@@ -257,15 +262,15 @@
         *total <= max_total || counted == 0
     }
 
-    /// Discards the bytes of an incomplete message, and their part of the total.
+    /// Discards the bytes of an incomplete message, and subtracts them from the total.
     pub(super) fn drop_incomplete_message(&mut self, total: &mut usize) {
         *total -= self.incomplete_message_bytes;
         self.incomplete_message_bytes = 0;
         self.frames = FrameReader::default();
     }
 
-    /// The deadline after the latest read: an incomplete message must be completed in time, unless the
-    /// client itself waits for answers.
+    /// Returns the deadline that applies after a read: an incomplete command must be completed in time. No
+    /// deadline applies at the limit on unanswered commands, where the client waits for the proxy.
     pub(super) fn next_deadline(&mut self, progress: ParseProgress) -> Option<Instant> {
         let command_received = std::mem::take(&mut self.command_received_since_deadline);
         if progress == ParseProgress::AtCapacity {
@@ -278,7 +283,8 @@
         }
     }
 
-    /// Writes as much as the socket accepts and updates the requested events.
+    /// Writes as much as the socket accepts, resumes reading if another answer may wait for the socket, and
+    /// updates the requested events.
     pub(super) fn flush(&mut self, flags: EventFlags) -> Flushed {
         let mut state = self.shared.state();
         let open = self.shared.flush(&mut state);
@@ -295,13 +301,13 @@
 
 /// The state of a connection after a flush.
 pub(super) struct Flushed {
-    /// The socket still accepts bytes.
+    /// Whether the socket can still be written to, now or later.
     pub(super) open: bool,
-    /// Reading is paused until another command may be sent.
+    /// Whether reading is paused until the client may send another command.
     pub(super) reading_paused: bool,
 }
 
-/// Whether the socket is still usable after this error.
-fn is_transient(error: &Error) -> bool {
+/// Whether a read can be retried after this error: no bytes were available, or the error is transient.
+fn is_retryable(error: &Error) -> bool {
     error.kind() == ErrorKind::WouldBlock || is_transient_error(error)
 }
