--- a/src/net/client/deadlines.rs
+++ b/src/net/client/deadlines.rs
@@ -1,20 +1,20 @@
-//! The deadlines of client connections, in order.
+//! The deadlines of client connections, ordered by time.
 
 use crate::client::ClientId;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// The deadlines of all connections; each has one at most.
+/// The deadlines of all connections; a connection has at most one.
 #[derive(Default)]
 pub(super) struct Deadlines(BTreeSet<(Instant, ClientId)>);
 
 impl Deadlines {
-    /// The next deadline.
+    /// The earliest deadline.
     pub(super) fn next(&self) -> Option<Instant> {
         self.0.first().map(|&(deadline, _)| deadline)
     }
 
-    /// Replaces the deadline of a connection.
+    /// Replaces the deadline of a connection; `None` stands for no deadline.
     pub(super) fn replace(&mut self, id: ClientId, old: Option<Instant>, new: Option<Instant>) {
         if old == new {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Removes and returns the connection whose deadline has passed first.
+    /// Removes the earliest deadline if it has passed, and returns its connection.
     pub(super) fn pop_expired(&mut self) -> Option<ClientId> {
         let &(deadline, id) = self.0.first()?;
         if deadline > Instant::now() {
--- a/src/net/client/event_barrier.rs
+++ b/src/net/client/event_barrier.rs
@@ -1,16 +1,17 @@
-//! Barriers in the order of events: a worker that was delayed waits until what has arrived from clients
-//! meanwhile, such as a cancel request, is handled.
+//! Barriers in the sequence of client events. A worker thread that was delayed, for example by a process
+//! pause, waits on a barrier until the event loop has handled all events that have arrived from clients in
+//! the meantime. Otherwise it could send a request whose cancel request has already arrived.
 
 use super::{EventSink, ReactorEvent};
 use crossbeam_channel::Sender;
 use std::convert::Infallible;
 
-/// Rounds of events after which a barrier is reported though more are ready. A cancel request takes two:
-/// its connection is accepted, and read.
+/// The number of calls of `epoll_wait` after which a barrier is reported even if more events are ready. A
+/// cancel request takes two: its connection is accepted after the first, and read after the second.
 const MAX_ROUNDS: usize = 4;
 
-/// Reported behind the events of clients that came before it. The one that waits for it goes on once it is
-/// dropped.
+/// A barrier, which is reported after the client events that had arrived before it. Dropping the barrier
+/// releases the thread that waits for it.
 pub struct EventBarrier(#[expect(dead_code, reason = "it is dropped")] Sender<Infallible>);
 
 impl EventBarrier {
@@ -31,7 +32,7 @@
         self.barriers.is_empty()
     }
 
-    /// Adds barriers, which wait for everything that is ready from now on.
+    /// Adds barriers, which are reported after the events that are ready now.
     pub(super) fn add(&mut self, barriers: Vec<EventBarrier>) {
         if !barriers.is_empty() {
             self.rounds = 0;
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Reports all barriers after a round of events in which nothing was ready, or after enough rounds.
+    /// Ends a round, which is one call of `epoll_wait` and the handling of its events. Reports all barriers if
+    /// nothing was ready in this round, or after [`MAX_ROUNDS`].
     pub(super) fn finish_round(&mut self, nothing_was_ready: bool, events: &EventSink) {
         if self.barriers.is_empty() {
             return;
