--- a/src/net/client/event_barrier.rs
+++ b/src/net/client/event_barrier.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Ends a round, which is one call of `epoll_wait` and the handling of its events. Reports all barriers if
-    /// nothing was ready in this round, or after [`MAX_ROUNDS`].
+    /// Ends a round, which is one call of `epoll_wait` and the handling of its events. Reports all barriers
+    /// if nothing was ready in this round, or after [`MAX_ROUNDS`].
     pub(super) fn finish_round(&mut self, nothing_was_ready: bool, events: &EventSink) {
         if self.barriers.is_empty() {
             return;
--- a/src/net/client/handle.rs
+++ b/src/net/client/handle.rs
@@ -7,15 +7,17 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The event loop's handle of a client connection. Dropping it closes the connection after all writes.
+/// The event loop's handle of a client connection. Dropping the handle closes the connection after all
+/// answers have been written.
 pub struct ClientHandle {
     pub(super) shared: Arc<ConnectionShared>,
-    /// The connection was accepted on the listener for extended queries.
+    /// Whether the connection was accepted on the listener for extended queries.
     pub extended: bool,
 }
 
 impl ClientHandle {
-    /// Writes bytes to the socket; `false` if the client does not read.
+    /// Writes an answer to the socket, or queues it; `false` if the limits on waiting answers are exceeded or
+    /// the socket can't be written to any more.
     pub fn write(&self, bytes: Vec<u8>) -> bool {
         let shared = &self.shared;
         let reactor = &shared.reactor;
@@ -34,24 +36,24 @@
         open
     }
 
-    /// Tells other threads whether the client has left.
+    /// Returns an object with which other threads can check whether the client has disconnected.
     pub fn presence(&self) -> ClientPresence {
         ClientPresence::new(Arc::downgrade(&self.shared))
     }
 
-    /// Allows the client another command.
+    /// Counts the client's oldest command as answered, so that another command may be read.
     pub fn command_answered(&self) {
         self.shared.command_answered();
     }
 
-    /// Closes the connection if it is between requests, and nothing of another one has been read; `false` if
-    /// it is not.
+    /// Marks the connection as closed if no command is unanswered and no part of a command has been read;
+    /// otherwise returns `false`. The connection closes when the handle is dropped.
     pub fn close_if_idle(&self) -> bool {
         let unfinished = &self.shared.unfinished_commands;
         unfinished.compare_exchange(0, CLOSED, Ordering::SeqCst, Ordering::SeqCst).is_ok()
     }
 
-    /// Closes the connection at once, discarding unwritten bytes.
+    /// Closes the connection immediately and discards unwritten bytes.
     pub fn abort(&self) {
         let _ = self.shared.stream.shutdown(Shutdown::Both);
     }
@@ -78,19 +80,22 @@
 pub struct ReactorHandle(pub(super) Arc<ReactorShared>);
 
 impl ReactorHandle {
-    /// Stops accepting connections; waiting ones are left to the other process that listens there.
+    /// Stops accepting connections. Connections that wait are left to the other process that accepts from the
+    /// same listening socket.
     pub fn stop_accepting(&self) {
         self.0.stop_accepting_requested.store(true, Ordering::SeqCst);
         self.0.wake();
     }
 
-    /// Stops reading and accepting. The event loop is notified after all that was read before.
+    /// Stops reading and accepting. The event loop receives `ReactorEvent::ReadingStopped` after all events
+    /// that were read before.
     pub fn stop_reading(&self) {
         self.0.stop_reading_requested.store(true, Ordering::SeqCst);
         self.0.wake();
     }
 
-    /// Lets connections linger only briefly; the thread ends when the last has closed.
+    /// Closes all connections, which linger for a shorter time than usual. The thread ends when the last
+    /// connection has closed.
     pub fn shut_down(&self) {
         self.0.shutdown_requested.store(true, Ordering::SeqCst);
         self.0.wake();
