--- a/src/net/client/presence.rs
+++ b/src/net/client/presence.rs
@@ -1,11 +1,12 @@
-//! Whether a client still waits for the answer to its request.
+//! Checks whether a client is still connected, so that nothing is sent for a client that has disconnected.
 
 use super::shared::ConnectionShared;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::sync::Weak;
 use std::time::Duration;
 
-/// Tells whether a client has closed its connection. It keeps nothing open.
+/// A weak reference to a client connection that checks whether the client has closed it. The reference does
+/// not keep the connection open.
 pub struct ClientPresence(Weak<ConnectionShared>);
 
 impl ClientPresence {
@@ -13,18 +14,18 @@
         ClientPresence(connection)
     }
 
-    /// Waits until everything that has arrived from clients so far is handled, a cancel request among it, for
-    /// this long at most.
+    /// Waits until the event loop has handled all events that have arrived from clients, such as cancel
+    /// requests, but no longer than `timeout`.
     pub fn await_arrived_events(&self, timeout: Duration) {
         let Some(connection) = self.0.upgrade() else { return };
         let barrier = connection.reactor.request_barrier();
         drop(connection);
-        // Nothing is ever sent: the barrier is dropped when it has been handled.
+        // Nothing is ever sent: the channel is disconnected when the event loop drops the barrier.
         let _ = barrier.recv_timeout(timeout);
     }
 
-    /// Whether the client has closed its connection, also behind bytes that are not read yet, and though the
-    /// reactor may not have seen it.
+    /// Whether the client has closed its connection. Queries the socket, so a close is found even if the
+    /// reactor has not handled it yet or unread bytes precede it.
     pub fn has_left(&self) -> bool {
         let Some(connection) = self.0.upgrade() else { return true };
         let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
--- a/src/net/client/write_buffer.rs
+++ b/src/net/client/write_buffer.rs
@@ -1,4 +1,4 @@
-//! The answers that wait for one client's socket.
+//! The answers that wait to be written to one client's socket.
 
 use crate::sockets::is_transient_error;
 use std::collections::VecDeque;
@@ -6,26 +6,27 @@
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The most bytes of answers waiting for one client's socket; a client that does not read is disconnected.
+/// The most answers that may wait for one client's socket. A client that exceeds the limit, because it does
+/// not read its answers, is disconnected.
 pub(super) const MAX_WAITING_ANSWERS: usize = 16;
 
 /// The result of adding an answer to a [`WriteBuffer`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Added {
-    /// It is the only one: it can be written at once.
+    /// The answer is the only one in the buffer, so that it can be written immediately.
     First,
-    /// It is queued after others.
+    /// The answer is queued behind others.
     Queued,
-    /// It exceeds the limits.
+    /// The answer was not added because it would exceed the limits.
     Rejected,
 }
 
-/// Answers that wait for a client's socket. Their bytes also count in a total over all clients, each answer
-/// until it is written completely.
+/// The queue of answers that wait for a client's socket. Their bytes also count in a total over all clients;
+/// all bytes of an answer count until it has been written completely.
 #[derive(Default)]
 pub(super) struct WriteBuffer {
     answers: VecDeque<Vec<u8>>,
-    /// Bytes of the first answer that have been written.
+    /// The number of bytes of the first answer that have been written.
     written_of_first: usize,
 }
 
@@ -34,22 +35,22 @@
         self.answers.is_empty()
     }
 
-    /// How many answers are not written completely yet.
+    /// The number of answers that have not been written completely.
     pub(super) fn answer_count(&self) -> usize {
         self.answers.len()
     }
 
-    /// Bytes that are not written yet.
+    /// The number of bytes that have not been written.
     pub(super) fn unwritten_bytes(&self) -> usize {
         self.counted_bytes() - self.written_of_first
     }
 
-    /// Bytes that count towards the total over all clients.
+    /// The number of bytes that count towards the total over all clients.
     pub(super) fn counted_bytes(&self) -> usize {
         self.answers.iter().map(Vec::len).sum()
     }
 
-    /// Adds an answer. One that need not wait for others is always accepted.
+    /// Adds an answer. The first answer in an empty buffer is accepted whatever the limits.
     pub(super) fn push(
         &mut self,
         answer: Vec<u8>,
@@ -68,13 +69,13 @@
         if must_wait { Added::Queued } else { Added::First }
     }
 
-    /// Writes as much as the socket accepts; `false` once it accepts no more.
+    /// Writes as much as the socket accepts; `false` if the socket can't be written to any more.
     pub(super) fn flush(&mut self, mut socket: &TcpStream, total_bytes: &AtomicUsize) -> bool {
         while let Some(first) = self.answers.front() {
             match socket.write(&first[self.written_of_first..]) {
                 Ok(written) => self.written_of_first += written,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // What is left is written when the socket is reported as writable.
+                // The rest is written when `epoll` reports the socket as writable.
                 Err(error) => return error.kind() == ErrorKind::WouldBlock || is_transient_error(&error),
             }
             if self.written_of_first == first.len() {
