--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -21,33 +21,34 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// The target of the reactor's log lines. Its last part is the message id in syslog, which collectors filter
-/// by: it stays as it is wherever the code moves.
+/// The target of the reactor's log lines. Its last part is the message id in syslog. Collectors filter by
+/// that id, so the target must not change even if the module is moved.
 const LOG_TARGET: &str = "liftrelay::net::client";
-/// The time limit for a client's first complete command.
+/// How long a client may take from connecting to the end of its first command.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A connection that is closed is read from until its client closes it as well, for this long at most; at the
-/// exit of the process, for less.
+/// How long a connection that the event loop has closed is read from while its client has not closed it.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The same when the process is about to exit.
 const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The most bytes in one read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// The most connections accepted in one round.
+/// The most connections that are accepted for one event of a listener.
 const MAX_ACCEPTS_PER_EVENT: usize = 16;
-/// The most events in one poll.
+/// The most events that one call of `epoll_wait` returns.
 const EVENT_CAPACITY: usize = 64;
-/// Added to each wait. Guards against waking just before a deadline.
+/// Added to each wait, because a wait that ends just before a deadline finds nothing to do.
 const WAIT_MARGIN: Duration = Duration::from_millis(1);
 
-/// The delay before the events of a connection are requested again.
+/// The delay before the events of a connection are requested again after that has failed.
 const INTEREST_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The epoll token of the waker. Those of the listeners follow it.
+/// The epoll token of the waker. The tokens of the listeners follow it.
 const WAKER_TOKEN: u64 = 0;
-/// The first client id; a client's epoll token is its id.
-const FIRST_CLIENT: ClientId = 16;
+/// All client ids are greater than this, and all listener tokens are less. The epoll token of a client
+/// connection is its client id.
+const CLIENT_ID_BASE: ClientId = 16;
 
-/// The thread that accepts and reads.
+/// The thread that accepts client connections and reads from them.
 pub struct ClientReactor {
     pub(super) shared: Arc<ReactorShared>,
     wake_receiver: UnixStream,
@@ -56,12 +57,13 @@
     pub(super) deadlines: Deadlines,
     last_id: ClientId,
     pub(super) read_buffer: Vec<u8>,
-    /// The total of all incomplete messages.
+    /// The bytes of incomplete commands, over all connections; small ones are not counted.
     pub(super) incomplete_message_bytes: usize,
-    /// Connections that the event loop has closed and that may linger, the oldest first.
+    /// Connections that the event loop has closed and that may still linger, in the order of their close.
     lingering: VecDeque<ClientId>,
-    /// Connections whose events could not be requested, and when that is tried again.
+    /// Connections whose events could not be requested.
     interest_failed: Vec<ClientId>,
+    /// When the events of `interest_failed` may be requested again.
     interest_retry_at: Option<Instant>,
     barriers: PendingBarriers,
     /// Whether the event loop has been notified that reading has stopped.
@@ -69,12 +71,13 @@
     pub(super) clock: Clock,
     pub(super) settings: Arc<Settings>,
     pub(super) events: EventSink,
-    /// Held until the thread ends.
+    /// Dropped when the thread ends, which disconnects the event loop's receiver.
     alive: Option<Sender<()>>,
 }
 
 impl ClientReactor {
-    /// Prepares the thread. `alive` is dropped when the last connection has closed after a shutdown.
+    /// Creates the reactor, which [`ClientReactor::run`] runs, and its handle. `alive` is dropped when the last
+    /// connection has closed after a shutdown.
     pub fn new(
         listeners: Vec<ClientListener>,
         limits: ReactorLimits,
@@ -97,7 +100,7 @@
             accept_gate,
             connections: HashMap::new(),
             deadlines: Deadlines::default(),
-            last_id: FIRST_CLIENT,
+            last_id: CLIENT_ID_BASE,
             read_buffer: vec![0; READ_BUFFER_BYTES],
             incomplete_message_bytes: 0,
             lingering: VecDeque::new(),
@@ -113,7 +116,7 @@
         Ok((reactor, handle))
     }
 
-    /// Runs until it is shut down and the last connection has closed.
+    /// Runs until a shutdown has been requested and the last connection has closed.
     pub fn run(mut self) {
         let mut ready = Vec::with_capacity(EVENT_CAPACITY);
         loop {
@@ -141,7 +144,8 @@
         }
     }
 
-    /// Requests the events of connections for which that has failed, once in a while.
+    /// Requests events again for the connections for which that has failed, at most once per
+    /// [`INTEREST_RETRY_DELAY`].
     fn retry_interest(&mut self) {
         self.interest_failed.extend(self.shared.take_interest_failed());
         let is_due = self.interest_retry_at.is_none_or(|at| at <= Instant::now());
@@ -161,7 +165,7 @@
     fn handle_event(&mut self, event: Event) {
         match event.data.u64() {
             WAKER_TOKEN => self.drain_waker(),
-            token if token < FIRST_CLIENT => self.accept_waiting(AcceptGate::listener_index(token)),
+            token if token < CLIENT_ID_BASE => self.accept_waiting(AcceptGate::listener_index(token)),
             id => self.handle_readiness(id, event.flags),
         }
     }
@@ -170,8 +174,8 @@
         while matches!((&self.wake_receiver).read(&mut [0; 64]), Ok(length) if length > 0) {}
     }
 
-    /// How long to wait for events: until the next deadline, or until connections are accepted again; not at
-    /// all while a barrier waits for what is ready.
+    /// How long to wait for events: until the next deadline or retry is due, or without a limit if none is.
+    /// While a barrier is pending, the wait is zero, so that only events that are already ready are returned.
     fn wait_timeout(&self) -> Option<Timespec> {
         if !self.barriers.is_empty() {
             return Some(Timespec { tv_sec: 0, tv_nsec: 0 });
@@ -183,8 +187,8 @@
         Some(Timespec { tv_sec: wait.as_secs() as i64, tv_nsec: wait.subsec_nanos().into() })
     }
 
-    /// Processes the connections that the event loop has closed: from then on only the client's own close is
-    /// awaited. At the exit of the process, this applies to all connections.
+    /// Starts the linger time of the connections that the event loop has closed, in which their input is
+    /// discarded until their clients close them as well. On shutdown, does this for all connections.
     fn start_lingering(&mut self, shutting_down: bool) {
         let closed = self.shared.take_closed();
         while self.lingering.front().is_some_and(|id| !self.connections.contains_key(id)) {
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Stops reading, and notifies the event loop: no further commands will be reported.
+    /// Stops reading, and notifies the event loop that no further commands will be reported.
     fn stop_reading(&mut self) {
         self.reading_stopped = true;
         for connection in self.connections.values().filter(|connection| !connection.closing) {
@@ -223,7 +227,7 @@
         (self.events)(ReactorEvent::ReadingStopped);
     }
 
-    /// Accepts waiting connections of a listener.
+    /// Accepts connections that wait at a listener, up to [`MAX_ACCEPTS_PER_EVENT`].
     fn accept_waiting(&mut self, listener_index: usize) {
         if self.accept_gate.is_paused() {
             return self.accept_gate.ignore_events(&self.shared.epoll);
@@ -246,7 +250,8 @@
         }
     }
 
-    /// Frees capacity for another connection, or pauses accepting; `false` if there is none.
+    /// Ensures that there is capacity for another connection, by closing a lingering one if necessary. If
+    /// that fails, pauses accepting and returns `false`.
     fn ensure_capacity(&mut self) -> bool {
         if !self.shared.is_full() {
             return true;
@@ -259,8 +264,8 @@
         false
     }
 
-    /// Closes the connection that has lingered longest, to free its descriptor; `false` if there is
-    /// none. Those that have not received their complete answer come last.
+    /// Closes the connection that has lingered longest, to free its descriptor; `false` if none lingers.
+    /// Connections whose answers have been written completely are closed before the others.
     fn close_oldest_lingering(&mut self) -> bool {
         self.lingering.retain(|id| self.connections.contains_key(id));
         let is_written =
@@ -276,7 +281,8 @@
         let _ = stream.set_nodelay(true);
         self.last_id += 1;
         let id = self.last_id;
-        // Guards against a burst of clients that have already disconnected: they would keep others out.
+        // Clients that have already disconnected are not reported: in a burst of them, they would use the
+        // capacity of clients that are still connected.
         if matches!(stream.peek(&mut [0]), Ok(0)) {
             return;
         }
--- a/src/net/client/readiness.rs
+++ b/src/net/client/readiness.rs
@@ -1,4 +1,4 @@
-//! The reactor's handling of connections that are ready, past their deadline, or to be closed.
+//! The reactor's handling of connections that are ready, whose deadline has passed, or that are to be closed.
 
 use super::connection::{ConnectionEvent, MESSAGE_TIMEOUT, ParseProgress};
 use super::reactor::{ClientReactor, LINGER_TIMEOUT};
@@ -8,15 +8,16 @@
 use std::time::{Duration, Instant};
 
 impl ClientReactor {
-    /// Writes, reads and parses what a connection is ready for.
+    /// Handles the events of a connection: writes waiting answers, then reads and parses input.
     pub(super) fn handle_readiness(&mut self, id: ClientId, flags: EventFlags) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let flushed = connection.flush(flags);
-        // Guards against missing a client that closes after bytes that are not read yet: it has disconnected.
+        // A client whose close is reported has disconnected, even if unread bytes precede the close. Without
+        // this, the disconnect would go unnoticed while those bytes wait for capacity.
         let hung_up = flags.intersects(EventFlags::ERR | EventFlags::HUP | EventFlags::RDHUP);
         let mut open = flushed.open && !hung_up;
         if connection.is_closing() {
-            // Bytes received after the close are discarded: only the client's own close is awaited.
+            // Input after the close is discarded until the client closes the connection as well.
             if open && flags.contains(EventFlags::IN) {
                 open = connection.discard_input(&mut self.read_buffer, &self.events);
             }
@@ -41,7 +42,7 @@
         self.parse_input(id);
     }
 
-    /// Parses what was read, and sets the deadline for the rest.
+    /// Parses the input that has been read, and sets the deadline for completing the next command.
     fn parse_input(&mut self, id: ClientId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let progress = connection.parse(&self.settings, &self.events);
@@ -60,7 +61,9 @@
         connection.deadline = deadline;
     }
 
-    /// Guards against clients that connect and send nothing, or begin a message and never complete it.
+    /// Removes closing connections whose deadline has passed, and starts to close open connections that have
+    /// not completed a command in time. Otherwise clients that connect and send nothing, or never complete a
+    /// message, would use up connections forever.
     pub(super) fn expire_deadlines(&mut self) {
         while let Some(id) = self.deadlines.pop_expired() {
             let Some(connection) = self.connections.get_mut(&id) else { continue };
@@ -68,7 +71,7 @@
             if connection.closing {
                 let unwritten = connection.shared.state().write_buffer.unwritten_bytes();
                 let progresses = unwritten > 0 && unwritten != connection.unwritten_bytes_at_deadline;
-                // Guards against disconnecting a client that reads its answer slowly.
+                // A client that reads its answer slowly gets more time as long as it makes progress.
                 if progresses && !self.reading_stopped {
                     connection.unwritten_bytes_at_deadline = unwritten;
                     self.start_closing(id, LINGER_TIMEOUT);
@@ -82,7 +85,8 @@
         }
     }
 
-    /// Discards all further input of this connection, and removes it after this time at most.
+    /// Starts to close a connection: discards all further input, and sets the deadline to `timeout` from now
+    /// unless an earlier deadline of the closing connection is set.
     pub(super) fn start_closing(&mut self, id: ClientId, timeout: Duration) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let mut deadline = Instant::now() + timeout;
@@ -96,7 +100,8 @@
         connection.shared.set_reading_paused(false);
     }
 
-    /// Stops reading from a client. The connection is closed when the event loop drops its handle as well.
+    /// Removes a connection from the reactor. Its socket is closed once the event loop has dropped its handle
+    /// as well.
     pub(super) fn remove_connection(&mut self, id: ClientId) {
         let Some(mut connection) = self.connections.remove(&id) else { return };
         let _ = epoll::delete(&self.shared.epoll, &connection.shared.stream);
