--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -15,13 +15,15 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Set in `ConnectionShared::unfinished_commands` once the event loop has closed the connection.
+/// A flag in `ConnectionShared::unfinished_commands`, set once the event loop has closed the connection. The
+/// count of commands is in the lower bits.
 pub(super) const CLOSED: usize = 1 << 32;
-/// The most unanswered commands of one client before reading is paused, and their bytes.
+/// Reading from a client is paused while it has this many unanswered commands.
 const MAX_PIPELINED_COMMANDS: usize = 8;
+/// Reading from a client is paused while its unanswered commands have this many bytes.
 const MAX_PIPELINED_BYTES: usize = 160 * 1024;
 
-/// The state shared for all clients.
+/// The state that the reactor thread and the event loop share for all clients together.
 pub(super) struct ReactorShared {
     pub(super) epoll: OwnedFd,
     pub(super) waker: UnixStream,
@@ -29,18 +31,19 @@
     pub(super) unwritten_bytes: AtomicUsize,
     pub(super) unanswered_command_bytes: AtomicUsize,
     pub(super) open_connections: AtomicUsize,
-    /// No connection is accepted until one has closed: the reactor is woken then.
+    /// Whether accepting is paused at the connection limit, so that the reactor must be woken when a
+    /// connection has closed.
     pub(super) at_connection_limit: AtomicBool,
     pub(super) shutdown_requested: AtomicBool,
-    /// Accepting has stopped: another process does it.
+    /// Whether the reactor is to stop accepting, because another process accepts from the same socket.
     pub(super) stop_accepting_requested: AtomicBool,
-    /// Reading has stopped.
+    /// Whether the reactor is to stop reading and accepting.
     pub(super) stop_reading_requested: AtomicBool,
-    /// Connections that the event loop has closed since the reactor last checked.
+    /// Connections that the event loop has closed, until the reactor takes them.
     closed: Mutex<Vec<ClientId>>,
-    /// Connections whose events could not be requested: the reactor tries again.
+    /// Connections whose events could not be requested, until the reactor takes them to retry.
     interest_failed: Mutex<Vec<ClientId>>,
-    /// Barriers that were requested since the reactor last checked.
+    /// Barriers that have been requested, until the reactor takes them.
     requested_barriers: Mutex<Vec<EventBarrier>>,
 }
 
@@ -68,8 +71,8 @@
         while (&self.waker).write(&[0]).is_err_and(|error| error.kind() == ErrorKind::Interrupted) {}
     }
 
-    /// Requests a barrier behind the events that have arrived; the receiver is disconnected once these are
-    /// handled.
+    /// Requests a barrier behind the client events that have arrived. The returned receiver is disconnected
+    /// once the event loop has handled them.
     pub(super) fn request_barrier(&self) -> Receiver<Infallible> {
         let (released, barrier) = bounded(0);
         self.requested_barriers().push(EventBarrier::new(released));
@@ -77,7 +80,7 @@
         barrier
     }
 
-    /// Removes and returns the barriers that were requested.
+    /// Removes and returns the requested barriers.
     pub(super) fn take_requested_barriers(&self) -> Vec<EventBarrier> {
         std::mem::take(&mut *self.requested_barriers())
     }
@@ -113,30 +116,31 @@
     }
 }
 
-/// The state shared for one client.
+/// The state that the reactor thread and the event loop share for one client connection.
 pub(super) struct ConnectionShared {
     pub(super) id: ClientId,
     pub(super) stream: TcpStream,
     pub(super) reactor: Arc<ReactorShared>,
-    /// Unanswered commands, and one more while a command is being read. At zero, the event loop may close
-    /// the connection without missing a request that arrives at the same time.
+    /// The number of unanswered commands, plus one while a command is being read, and the flag [`CLOSED`]. The
+    /// event loop may close the connection only if this is zero; the atomic update ensures that no request
+    /// which arrives at the same time is lost.
     pub(super) unfinished_commands: AtomicUsize,
     state: Mutex<ConnectionState>,
 }
 
-/// The part of a connection's shared state that a lock guards.
+/// The part of a connection's shared state that is protected by a lock.
 #[derive(Default)]
 pub(super) struct ConnectionState {
     pub(super) write_buffer: WriteBuffer,
-    /// The sizes of the unanswered commands.
+    /// The sizes in bytes of the unanswered commands, in the order of their arrival.
     unanswered_command_sizes: VecDeque<usize>,
-    /// Reading is paused until another command may be sent.
+    /// Whether reading is paused until the client may send another command.
     pub(super) reading_paused: bool,
-    /// The reactor's `epoll` has the connection.
+    /// Whether the connection is registered with the reactor's `epoll` instance.
     registered: bool,
-    /// The reactor has removed the connection.
+    /// Whether the reactor has removed the connection.
     pub(super) removed: bool,
-    /// The connection is closed once everything is written.
+    /// Whether the connection is to be closed once all answers have been written.
     pub(super) closing: bool,
 }
 
@@ -155,10 +159,12 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Requests the events that this state needs; with `writable_now`, an event is due at once. That the
-    /// client has closed its side is always reported, even after bytes that are not read yet.
-    /// Guards against an error of this machine that would leave the connection unread, or its answer
-    /// unwritten: the reactor tries again.
+    /// Requests the `epoll` events that this state needs. With `writable_now`, also requests that the socket
+    /// is reported as writable, which wakes the reactor for this connection soon. A close by the client is
+    /// always reported, even if unread bytes precede it.
+    ///
+    /// If the call fails because of an error of this machine, the reactor retries it later. Otherwise the
+    /// connection would never be read again, or its answer never be written.
     pub(super) fn update_interest(&self, state: &mut ConnectionState, writable_now: bool) {
         let mut flags = EventFlags::RDHUP;
         flags.set(EventFlags::IN, !state.reading_paused);
@@ -178,14 +184,14 @@
         }
     }
 
-    /// Stops or resumes reading.
+    /// Pauses or resumes reading.
     pub(super) fn set_reading_paused(&self, paused: bool) {
         let mut state = self.state();
         state.reading_paused = paused;
         self.update_interest(&mut state, false);
     }
 
-    /// Writes as much as the socket accepts; `false` once it accepts no more.
+    /// Writes as much as the socket accepts; `false` if the socket can't be written to any more.
     pub(super) fn flush(&self, state: &mut ConnectionState) -> bool {
         if !state.write_buffer.flush(&self.stream, &self.reactor.unwritten_bytes) {
             return false;
@@ -196,13 +202,14 @@
         true
     }
 
-    /// Closes our side. Guards against a close with unread bytes: it resets the connection, and
-    /// discards the part of its answer that the client has not received yet.
+    /// Closes this side of the connection. A full close while bytes are unread would make TCP reset the
+    /// connection, and the client would lose the part of its answer that it has not received yet.
     pub(super) fn half_close(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Whether another command may be read; if not, reading is paused until it may.
+    /// Whether another command may be read. If not, pauses reading until a command has been answered or
+    /// answers have been written.
     pub(super) fn has_capacity(&self) -> bool {
         let mut state = self.state();
         let own_bytes: usize = state.unanswered_command_sizes.iter().sum();
@@ -219,8 +226,9 @@
         has_capacity
     }
 
-    /// Whether the answer to another command may wait for the socket. Guards against disconnecting a client
-    /// that sends many commands before it reads their answers: no more of them are read until it does.
+    /// Whether the answer to another command may wait for the socket. Reading is paused while it may not.
+    /// Otherwise a client that sends many commands before it reads their answers would exceed the limit on
+    /// waiting answers and be disconnected.
     pub(super) fn may_add_answer(&self, state: &ConnectionState) -> bool {
         let answers = state.write_buffer.answer_count() + state.unanswered_command_sizes.len();
         let all_unwritten = self.reactor.unwritten_bytes.load(Ordering::SeqCst);
@@ -235,7 +243,7 @@
         self.unfinished_commands.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Counts the oldest command as answered, and resumes reading.
+    /// Counts the oldest command as answered, and resumes reading if it is paused.
     pub(super) fn command_answered(&self) {
         self.unfinished_commands.fetch_sub(1, Ordering::SeqCst);
         let mut state = self.state();
