--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -76,8 +76,8 @@
 }
 
 impl ClientReactor {
-    /// Creates the reactor, which [`ClientReactor::run`] runs, and its handle. `alive` is dropped when the last
-    /// connection has closed after a shutdown.
+    /// Creates the reactor, which [`ClientReactor::run`] runs, and its handle. `alive` is dropped when the
+    /// last connection has closed after a shutdown.
     pub fn new(
         listeners: Vec<ClientListener>,
         limits: ReactorLimits,
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -121,9 +121,9 @@
     pub(super) id: ClientId,
     pub(super) stream: TcpStream,
     pub(super) reactor: Arc<ReactorShared>,
-    /// The number of unanswered commands, plus one while a command is being read, and the flag [`CLOSED`]. The
-    /// event loop may close the connection only if this is zero; the atomic update ensures that no request
-    /// which arrives at the same time is lost.
+    /// The number of unanswered commands, plus one while a command is being read, and the flag [`CLOSED`].
+    /// The event loop may close an idle connection only if this is zero; the atomic update ensures that no
+    /// request which arrives at the same time is lost.
     pub(super) unfinished_commands: AtomicUsize,
     state: Mutex<ConnectionState>,
 }
--- a/src/net/client/tests.rs
+++ b/src/net/client/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_answer_that_need_not_wait_is_taken_whatever_its_size() {
+fn first_answer_in_an_empty_buffer_is_accepted_whatever_its_size() {
     let total = AtomicUsize::new(0);
     let mut buffer = WriteBuffer::default();
     assert!(buffer.push(vec![0; MAX_TOTAL + 1], &total, MAX_TOTAL) == Added::First);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn answers_that_wait_are_limited_in_bytes_and_in_number() {
+fn waiting_answers_are_limited_in_bytes_and_in_number() {
     let total = AtomicUsize::new(0);
     let mut buffer = WriteBuffer::default();
     assert!(buffer.push(vec![0; 60], &total, MAX_TOTAL) == Added::First);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_flush_writes_answers_in_order_and_takes_them_out_of_the_total() {
+fn flush_writes_answers_in_order_and_subtracts_them_from_the_total() {
     let total = AtomicUsize::new(0);
     let mut buffer = WriteBuffer::default();
     buffer.push(b"first ".to_vec(), &total, MAX_TOTAL);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_answer_counts_until_it_is_written_completely() {
+fn all_bytes_of_an_answer_count_until_it_is_written_completely() {
     let length = 64 << 20;
     let total = AtomicUsize::new(0);
     let mut buffer = WriteBuffer::default();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn deadlines_expire_in_order_and_once() {
+fn deadlines_expire_once_and_in_order_of_time() {
     let past = Instant::now();
     let later_past = past + Duration::from_nanos(1);
     let future = past + Duration::from_secs(3600);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_batch_is_limited_in_messages_and_in_bytes() {
+fn batch_is_limited_in_messages_and_in_bytes() {
     let mut batch = PartialBatch::default();
     for _ in 0..1024 {
         assert!(batch.push(&[0; 5]).is_ok());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_batch_ends_with_a_bare_sync_or_flush_or_is_a_query_by_itself() {
+fn batch_ends_with_a_sync_or_flush_without_body_or_is_a_query_by_itself() {
     let mut batch = PartialBatch::default();
     assert!(batch.push(b"P\0\0\0\x04").is_ok());
     assert!(batch.end_with(BatchEnd::Sync, b"S\0\0\0\x04").is_ok());
