--- a/src/server/clients.rs
+++ b/src/server/clients.rs
@@ -1,4 +1,4 @@
-//! Client connections: admits new ones, closes idle ones, and carries out the effects of the fronts.
+//! Admits client connections, closes idle ones, and carries out the effects of the fronts.
 
 use super::Server;
 use crate::Micros;
@@ -9,12 +9,13 @@
 use crate::pg::{put_error_response, sqlstate};
 use crate::stable_hash::stable_hash;
 
-/// Clients hold a third of the descriptors at most. Once retained connections use one in this many
-/// descriptors, idle connections are closed as soon as they may be.
+/// Idle connections are closed once retained connections use one in this many of the process's descriptors.
+/// The limit is lower than a third of the descriptors, the share that is intended for clients.
 const RETAINED_CONNECTIONS_DIVISOR: usize = 4;
 
 impl Server {
-    /// Admits a new connection, or rejects it where there is no capacity.
+    /// Admits a new connection. At the limit on clients, an idle connection is closed first; if none may be,
+    /// the new connection is rejected.
     pub(super) fn accept_client(&mut self, now: Micros, id: ClientId, handle: ClientHandle) {
         if self.clients.len() >= self.max_clients && !self.evict_idle_client(now) {
             reject_client(&handle);
@@ -28,35 +29,35 @@
         self.apply_front_effects(now, effects);
     }
 
-    /// The key with which a client can cancel a request of its connection.
+    /// The secret of a connection's cancel key, with which its client can cancel a request.
     fn cancel_secret(&self, id: ClientId) -> u32 {
         let input = [self.seed.to_be_bytes(), id.to_be_bytes()].concat();
         stable_hash(&input) as u32
     }
 
-    /// Frees capacity for a client. Guards against connections, silent or kept open forever, that exclude
-    /// clients that send requests.
+    /// Closes one idle connection to free capacity for a new client; `false` if none may be closed. Without
+    /// this, connections that are open but unused would exclude clients that send requests.
     fn evict_idle_client(&mut self, now: Micros) -> bool {
         while let Some(id) = self.fronts.eviction_candidate(now) {
             if self.close_if_idle(now, id, ClientCloseReason::Evicted) {
                 return true;
             }
-            // Its next command is arriving: it is not idle, but another connection may be.
+            // The candidate's next command is arriving, so it is not idle; another connection may be.
             self.fronts.mark_active(now, id);
         }
         false
     }
 
-    /// Which connection to close next, and when, if clients keep many. Guards against clients that send one
-    /// request and keep their connection forever: with all client capacity used by these, new clients cannot
-    /// connect, however much capacity for requests is left.
+    /// The idle connection to close next and the time to close it, if there are many retained connections.
+    /// Clients may send one request and keep their connection open forever. Once such connections use up the
+    /// limit on clients, new clients can't connect although the proxy has capacity for their requests.
     pub(super) fn next_idle_close(&self) -> Option<(Micros, ClientId)> {
         let retained = self.fronts.retained_connections();
         let are_many = retained.count * RETAINED_CONNECTIONS_DIVISOR >= self.max_descriptors;
         if are_many { retained.longest_idle } else { None }
     }
 
-    /// Closes the retained connections that are due.
+    /// Closes the retained connections that are due according to [`Server::next_idle_close`].
     pub(super) fn close_retained_connections(&mut self, now: Micros) {
         while let Some((close_at, id)) = self.next_idle_close()
             && close_at <= now
@@ -67,13 +68,13 @@
         }
     }
 
-    /// Starts to close connections between requests.
+    /// Closes idle connections, and from now on each connection when it becomes idle.
     pub(super) fn close_idle_connections(&mut self, now: Micros) {
         let effects = self.fronts.close_idle_connections();
         self.apply_front_effects(now, effects);
     }
 
-    /// Closes a connection between requests; `false` if another request is arriving.
+    /// Closes a connection if it is idle; `false` if a command is arriving.
     fn close_if_idle(&mut self, now: Micros, id: ClientId, reason: ClientCloseReason) -> bool {
         let closed = self.clients.get(&id).is_some_and(ClientHandle::close_if_idle);
         if closed {
@@ -84,7 +85,7 @@
         closed
     }
 
-    /// Counts a client's connection that was closed, and logs it unless the client itself closed it.
+    /// Counts a client connection that was closed, and logs the close unless the client itself closed it.
     fn count_client_close(&mut self, now: Micros, id: ClientId, reason: ClientCloseReason) {
         *self.client_closes.entry(reason).or_default() += 1;
         if reason != ClientCloseReason::ClosedByClient {
@@ -131,7 +132,8 @@
     }
 }
 
-/// Rejects a connection. No request has been executed; the client gets an error, without waiting for it.
+/// Rejects a connection: writes an error without waiting for a request. No request of the connection is
+/// executed.
 fn reject_client(handle: &ClientHandle) {
     let mut bytes = Vec::new();
     put_error_response(&mut bytes, "FATAL", sqlstate::TOO_MANY_CONNECTIONS, "too many clients", None);
--- a/src/server/descriptor_budget.rs
+++ b/src/server/descriptor_budget.rs
@@ -1,37 +1,39 @@
-//! The division of the process's descriptors between clients, members and all other uses.
+//! The division of the process's descriptors among client connections, member connections and other uses.
 
 use crate::net::admin;
 
-/// Descriptors reserved for the listener, discovery, logs and the like.
+/// The number of descriptors that are reserved for listeners, discovery, logs and other uses.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// The part of the reserve that is kept even where the limit is low.
+/// The number of descriptors that are reserved even if the process may have only few.
 const MIN_RESERVED_DESCRIPTORS: usize = 14;
-/// Client connections beyond those served, which are still to be rejected or linger.
+/// The most client connections that are open but not served: they are still to be rejected, or linger.
 const MAX_UNSERVED_CONNECTIONS: usize = 8;
-/// Where two processes of this proxy may overlap, the descriptors divide into this many shares: the clients
-/// hold one, the connections to members one, and the other process one.
+/// If two processes of this proxy may run at the same time, the descriptors are divided into this many
+/// shares: one each for clients, for connections to members, and for the other process. Only the connections
+/// to members are limited by their share.
 const OVERLAP_SHARES: usize = 3;
-/// Connections to members, and descriptors in all, are at least this many.
+/// The least number of connections of both kinds together, and of connections to members if two processes
+/// may run at the same time.
 const MIN_CONNECTIONS: usize = 2;
 
-/// How many connections of each kind may be open.
+/// The most connections of each kind that may be open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DescriptorBudget {
-    /// Connections to members.
+    /// The most connections to members.
     pub(super) member_connections: usize,
-    /// Client connections that are served.
+    /// The most client connections that are served.
     pub(super) clients: usize,
-    /// Client connections, including those that are still to be rejected or linger.
+    /// The most client connections, including those that are still to be rejected or linger.
     pub(super) client_connections: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides this many descriptors. An inherited listening socket means that another process of this proxy
-    /// may run at the same time.
+    /// Divides `max_descriptors`. An inherited listening socket means that another process of this proxy may
+    /// run at the same time.
     pub(super) fn new(max_descriptors: usize, admin_listener: bool, inherited_listener: bool) -> Self {
         let admin_connections = if admin_listener { admin::MAX_CONNECTIONS } else { 0 };
-        // Guards against clients or member connections that use the last descriptor: endpoint updates
-        // must arrive in any case.
+        // Clients and member connections must not use the last descriptors: without a free descriptor, calls
+        // to discovery fail and no endpoint update arrives.
         let unreserved = max_descriptors.saturating_sub(MIN_RESERVED_DESCRIPTORS + admin_connections);
         let reserve = (RESERVED_DESCRIPTORS - MIN_RESERVED_DESCRIPTORS).min(unreserved / 2);
         let connections = unreserved.saturating_sub(reserve).max(MIN_CONNECTIONS);
--- a/src/server/descriptor_budget/tests.rs
+++ b/src/server/descriptor_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::DescriptorBudget;
 
 #[test]
-fn members_and_clients_share_what_the_reserve_leaves() {
+fn members_and_clients_each_get_half_of_the_unreserved_descriptors() {
     let budget = DescriptorBudget::new(1024, false, false);
     let expected = DescriptorBudget { member_connections: 492, clients: 492, client_connections: 500 };
     assert_eq!(budget, expected);
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn an_inherited_listener_leaves_a_third_for_the_other_process() {
+fn inherited_listener_limits_member_connections_to_a_third_of_the_descriptors() {
     let budget = DescriptorBudget::new(1024, false, true);
     let expected = DescriptorBudget { member_connections: 321, clients: 492, client_connections: 500 };
     assert_eq!(budget, expected);
 }
 
 #[test]
-fn low_limits_leave_a_connection_of_each_kind() {
+fn low_limits_allow_at_least_one_connection_of_each_kind() {
     for max_descriptors in [0, 14, 16] {
         let budget = DescriptorBudget::new(max_descriptors, false, false);
         assert_eq!((budget.member_connections, budget.clients), (1, 1));
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! The server: one event loop that feeds the reducer and the fronts, and carries out their effects. The
-//! event loop itself never blocks on a socket; the threads in [`crate::net`] do.
+//! The server: one event loop that passes events to the reducer and the fronts, and carries out their
+//! effects. The event loop itself never blocks on a socket; the threads in [`crate::net`] do.
 
 mod clients;
 mod descriptor_budget;
@@ -34,8 +34,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// The target of the server's log lines. Its last part is the message id in syslog, which collectors filter
-/// by: it stays as it is wherever the code moves.
+/// The target of the server's log lines. Its last part is the message id in syslog. Collectors filter by
+/// that id, so the target must not change even if the module is moved.
 const LOG_TARGET: &str = "liftrelay::net";
 
 /// The state of the event loop.
@@ -45,30 +45,31 @@
     fronts: Fronts,
     settings: Arc<Settings>,
     store: Store,
-    /// The sender for messages to this event loop.
+    /// The sender of messages to this event loop.
     messages: Messages,
     client_reactor: client::ReactorHandle,
-    /// Disconnected once the last client connection has closed.
+    /// Disconnected once the last client connection has closed after a shutdown.
     clients_closed: Receiver<()>,
     workers: WorkerPool,
     member_events: MemberEvents,
     member_connections: HashMap<ConnectionId, MemberHandle>,
     clients: HashMap<ClientId, client::ClientHandle>,
     max_clients: usize,
-    /// Descriptors that the process may hold.
+    /// The number of descriptors that the process may have open.
     max_descriptors: usize,
     seed: u64,
     endpoint_watches: EndpointWatches,
-    /// The watch that a reload could not start yet.
+    /// The discovery watch that could not be started, and when to retry; `None` if there is none.
     reload_retry: Option<ReloadRetry>,
-    /// When the proxy is ready without an endpoint update; `None` once it is ready.
+    /// When the proxy becomes ready even if no endpoint update has arrived; `None` once it is ready or an
+    /// operator has set the service state.
     ready_at: Option<Micros>,
-    /// When the proxy, out of service, starts to close connections between requests.
+    /// When the proxy starts to close idle connections after an operator has taken it out of service.
     drain_at: Option<Micros>,
     shutdown: Shutdown,
     event_log: EventLog,
-    /// Connections of clients that were closed, by reason.
+    /// The number of client connections that have been closed, by reason.
     client_closes: BTreeMap<ClientCloseReason, u64>,
-    /// Calls to discovery that ended, by reason.
+    /// The number of calls to discovery that have ended, by reason.
     discovery_calls: BTreeMap<&'static str, u64>,
 }
