--- a/src/server/endpoint_directory.rs
+++ b/src/server/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The names and the listed states of endpoints, for the log.
+//! The names and the listed states of endpoints, which the log shows.
 
 use crate::endpoint_list::EndpointList;
 use crate::{EndpointId, EndpointState};
@@ -7,22 +7,22 @@
 /// An endpoint whose listed state has changed.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct EndpointChange {
-    /// Its name in the list.
+    /// The name of the endpoint in the list.
     pub(super) uid: String,
-    /// Its state before; `None` if it is new.
+    /// The previous state; `None` if the endpoint is new.
     pub(super) from: Option<EndpointState>,
-    /// Its state now.
+    /// The new state.
     pub(super) to: EndpointState,
 }
 
-struct Listed {
+struct ListedEndpoint {
     uid: String,
     state: EndpointState,
 }
 
-/// The endpoints of the list in use. One that was removed is forgotten.
+/// The endpoints of the list in use, without those that have been removed.
 #[derive(Default)]
-pub(super) struct EndpointDirectory(HashMap<EndpointId, Listed>);
+pub(super) struct EndpointDirectory(HashMap<EndpointId, ListedEndpoint>);
 
 impl EndpointDirectory {
     /// The number of endpoints.
@@ -30,7 +30,7 @@
         self.0.len()
     }
 
-    /// The name of an endpoint, or its number if it is not listed any more.
+    /// The name of an endpoint, or its id in hexadecimal digits if it is no longer listed.
     pub(super) fn name(&self, endpoint: EndpointId) -> String {
         match self.0.get(&endpoint) {
             Some(listed) => listed.uid.clone(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Applies a list or an update, and returns what has changed.
+    /// Applies a complete list or an update, and returns the endpoints whose listed state has changed.
     pub(super) fn apply(&mut self, list: &EndpointList) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         let mut unlisted = if list.complete { std::mem::take(&mut self.0) } else { HashMap::new() };
@@ -51,10 +51,10 @@
             }
             if to != EndpointState::Removed {
                 let uid = known.map_or_else(|| record.uid().into(), |known| known.uid);
-                self.0.insert(id, Listed { uid, state: to });
+                self.0.insert(id, ListedEndpoint { uid, state: to });
             }
         }
-        let removed = unlisted.into_values().map(|Listed { uid, state }| EndpointChange {
+        let removed = unlisted.into_values().map(|ListedEndpoint { uid, state }| EndpointChange {
             uid,
             from: Some(state),
             to: EndpointState::Removed,
--- a/src/server/endpoint_directory/tests.rs
+++ b/src/server/endpoint_directory/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn changes_are_new_changed_and_removed_endpoints_and_names_last_as_long_as_the_entry() {
+fn apply_returns_new_changed_and_removed_endpoints_and_keeps_names_while_endpoints_are_listed() {
     let entry = |uid: &str, state: &str| {
         format!(r#"{{"uid":"{uid}","endpoint":"127.0.0.1:1","state":"{state}","boot_ms":0}}"#)
     };
--- a/src/server/endpoint_watch.rs
+++ b/src/server/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates, and the switch to another discovery address when the configuration is reloaded.
+//! Handles endpoint updates, and switches to another discovery address when the configuration is reloaded.
 
 use super::event_log::ListSource;
 use super::{LOG_TARGET, Message, Messages, Server};
@@ -12,29 +12,30 @@
 use crate::store::Change;
 use std::net::SocketAddr;
 
-/// A watch that could not be started is started again after this.
+/// The delay before the start of a watch is retried.
 const RELOAD_RETRY_DELAY: Micros = 100_000;
 
-/// A watch that could not be started.
+/// The retry of a watch that could not be started.
 #[derive(Clone, Copy)]
 pub(super) struct ReloadRetry {
-    /// When it is to be started again.
+    /// When the start is retried.
     pub(super) at: Micros,
     address: SocketAddr,
 }
 
-/// The watches on the endpoint list.
+/// The watches of the endpoint list: the current one and, after a switch, its predecessor.
 pub(super) struct EndpointWatches {
     current: Watch,
     kind: DiscoveryKind,
-    /// The previous watch, until the current one has received its first event.
+    /// The previous watch, until the current watch has received its first update.
     previous_watch: Option<Watch>,
-    /// The revision of the list in use; the highest possible once discovery has sent one.
+    /// The revision of the list in use; `u64::MAX` once discovery has sent a list, so that no list of the
+    /// store replaces it.
     known_revision: u64,
 }
 
 impl EndpointWatches {
-    /// Starts the first watch, after this revision.
+    /// Starts the first watch, for changes after `known_revision`.
     pub(super) fn start(
         address: SocketAddr,
         kind: DiscoveryKind,
@@ -47,7 +48,8 @@
         Ok(EndpointWatches { current, kind, previous_watch: None, known_revision })
     }
 
-    /// Whether an event of this watch counts. Guards against late events of a watch that has ended.
+    /// Whether an update of this watch is to be applied. Updates that a replaced watch sent before its end
+    /// may arrive later and are ignored. The first update of the current watch ends the previous one.
     fn accept_event(&mut self, watch: WatchId) -> bool {
         if watch == self.current.id {
             self.previous_watch = None;
@@ -58,7 +60,8 @@
         true
     }
 
-    /// Whether a list from the store counts: a list from discovery or a newer list takes precedence.
+    /// Whether a list from the store is to be applied: only if it is newer than the list in use and discovery
+    /// has not sent one.
     fn accept_stored(&mut self, list: &EndpointList) -> bool {
         let accepted = list.revision > self.known_revision && !list.endpoints.is_empty();
         if accepted {
@@ -70,12 +73,13 @@
     /// Starts a watch at another address.
     fn replace(&mut self, address: SocketAddr, seed: u64, messages: Messages) -> std::io::Result<()> {
         let events = event_sink(messages);
-        // The members stay as they are until the new address has sent its complete list.
+        // Without a known revision, the first update from the new address is a complete list. Until it
+        // arrives, the members stay as they are.
         let watch = Watch::start(self.current.id + 1, address, self.kind, None, seed, events)?;
         tracing::info!(target: LOG_TARGET, discovery = %address, "discovery address changed");
         let replaced = std::mem::replace(&mut self.current, watch);
-        // Guards against missing updates from the old address before the new one has sent any. A watch
-        // that has received no event yet does not replace the one before it.
+        // Updates from the old address are applied until the new address has sent one. A watch that has not
+        // received any update does not become the previous watch.
         self.previous_watch.get_or_insert(replaced);
         Ok(())
     }
@@ -87,7 +91,7 @@
 }
 
 impl Server {
-    /// Handles an endpoint update.
+    /// Handles an event of a discovery watch: applies an update and sends it to the store, or logs the event.
     pub(super) fn handle_watch_event(&mut self, now: Micros, event: WatchEvent) {
         let list = match event.report {
             WatchReport::Update(list) => list,
@@ -118,14 +122,15 @@
         }
     }
 
-    /// Applies a list or an update of it, and logs what it changed.
+    /// Applies a complete list or an update, and logs the changes.
     pub(super) fn apply_list(&mut self, now: Micros, source: ListSource, list: &EndpointList) {
         let (revision, complete, members) = (list.revision, list.complete, list.members());
         self.step_reducer(now, Input::EndpointUpdate { revision, complete, members });
         self.event_log.list_applied(now, source, list);
     }
 
-    /// Switches to the configured `discovery` address; all other settings apply from the next start.
+    /// Switches to the configured `discovery` address. All other settings take effect at the next start of
+    /// the process.
     pub(super) fn reload(&mut self, now: Micros, config: Result<Config, ConfigError>) {
         let address = match config {
             Ok(config) => config.discovery,
@@ -146,9 +151,9 @@
         self.watch_address(now, address);
     }
 
-    /// Starts a watch at this address, now or as soon as there are descriptors and a thread for it. Guards
-    /// against a crowd that uses them up just then: the old address closes its calls, and no list would ever
-    /// arrive again.
+    /// Starts a watch at this address; if no descriptor or thread is available, retries until one is. Without
+    /// the retry, a crowd of connections that uses them up during a reload would stop all endpoint updates:
+    /// the old address closes its calls, and no watch would run at the new one.
     fn watch_address(&mut self, now: Micros, address: SocketAddr) {
         if let Err(error) = self.endpoint_watches.replace(address, self.seed, self.messages.clone()) {
             tracing::error!(
@@ -158,7 +163,7 @@
         }
     }
 
-    /// Starts the watch that could not be started before, if it is time.
+    /// Retries the start of a watch that could not be started, if the retry is due.
     pub(super) fn retry_reload_if_due(&mut self, now: Micros) {
         if let Some(ReloadRetry { at, address }) = self.reload_retry
             && at <= now
