--- a/src/server/event_log.rs
+++ b/src/server/event_log.rs
@@ -1,8 +1,8 @@
-//! The log of what happens to requests, connections and the endpoint list.
+//! Log lines about requests, connections and the endpoint list, limited in rate.
 //!
-//! Each kind of line has a budget of its own: a burst of lines, then a few per second. Lines beyond that
-//! are left out, and the next one of that kind says how many were. The counters by reason count all of
-//! them.
+//! Each kind of line has its own rate limit: a burst of lines, then a few lines per second. Lines beyond the
+//! limit are left out, and the next line of that kind has their number in the field `left_out`. The counters
+//! by reason count all events, whether logged or not.
 
 use super::LOG_TARGET;
 use super::endpoint_directory::{EndpointChange, EndpointDirectory};
@@ -15,12 +15,12 @@
 use std::num::NonZeroU64;
 use std::time::Duration;
 
-/// Lines of one kind that may be written in a burst.
+/// The number of lines of one kind that may be written in a burst.
 const BURST: f64 = 64.0;
-/// Lines of one kind that may be written per second.
+/// The number of lines of one kind that may be written per second after a burst.
 const LINES_PER_SECOND: f64 = 8.0;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The target of lines about calls to discovery.
+/// The target of lines about discovery.
 const DISCOVERY_TARGET: &str = "liftrelay::discovery";
 
 /// Where an endpoint list came from.
@@ -28,11 +28,11 @@
 pub(super) enum ListSource {
     /// The configuration file.
     Configuration,
-    /// The store, from this proxy's last run.
+    /// The store, which recovered the list of this proxy's last run.
     Store,
-    /// This discovery watch.
+    /// A discovery watch.
     Discovery {
-        /// Its number.
+        /// The id of the watch.
         watch: WatchId,
     },
 }
@@ -54,19 +54,21 @@
     }
 }
 
-/// How many lines were left out before this one, if any were.
+/// The number of lines of the same kind that were left out before a line; `None` if there were none.
 type LeftOut = Option<NonZeroU64>;
 
-/// The lines of one kind that may still be written.
+/// A token bucket that limits the lines of one kind.
 struct LineBudget {
+    /// The number of lines that may be written at `updated_at`.
     lines: f64,
     updated_at: Micros,
+    /// The number of lines that have been left out since the last written line.
     left_out: u64,
 }
 
 impl LineBudget {
-    /// Takes a line from the budget. Returns how many were left out before it; `None` if it is left out,
-    /// too.
+    /// Takes one line from the budget, and returns how many lines were left out before it; `None` if the
+    /// budget is used up, so that this line is left out as well.
     fn take(&mut self, now: Micros) -> Option<LeftOut> {
         let elapsed = now.saturating_sub(self.updated_at) as f64 / MICROS_PER_SECOND;
         self.updated_at = now;
@@ -80,7 +82,7 @@
     }
 }
 
-/// Writes the lines.
+/// Writes log lines about events, within the budget of each kind.
 #[derive(Default)]
 pub(super) struct EventLog {
     budgets: BTreeMap<RecordKind, LineBudget>,
@@ -93,7 +95,8 @@
         self.budgets.entry(kind).or_insert(full).take(now)
     }
 
-    /// Writes a record of the reducer; `request` is the id that the client gave its request.
+    /// Logs a record of the reducer. `request` is the request's name in the log, `class` the name of its
+    /// class; either is empty where the record has none.
     pub(super) fn record(&mut self, now: Micros, record: &Record, request: &str, class: &str) {
         let Some(left_out) = self.take_line(now, record.key().0) else { return };
         match record {
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Writes that a client's connection was closed.
+    /// Logs that a client connection was closed.
     pub(super) fn client_closed(&mut self, now: Micros, client: ClientId, reason: ClientCloseReason) {
         let Some(left_out) = self.take_line(now, RecordKind::ClientConnectionClosed) else { return };
         tracing::info!(
@@ -129,13 +132,13 @@
         );
     }
 
-    /// Writes that an endpoint is avoided from now on.
+    /// Logs that an endpoint was ejected.
     pub(super) fn endpoint_ejected(&mut self, endpoint: EndpointId, cause: &str) {
         let member = self.endpoints.name(endpoint);
         tracing::info!(target: LOG_TARGET, member, cause, "endpoint ejected");
     }
 
-    /// Writes that a call to discovery ended, and why.
+    /// Logs that a call to discovery ended, and why.
     pub(super) fn discovery_call_ended(&mut self, now: Micros, watch: WatchId, end: &CallEnd) {
         let Some(left_out) = self.take_line(now, RecordKind::DiscoveryCallEnded) else { return };
         let CallEnd { call, path, reason, detail, lasted, updates, revision } = end;
@@ -146,13 +149,13 @@
         );
     }
 
-    /// Writes that no call to discovery is answered in time any more.
+    /// Logs that calls to discovery are no longer answered in time.
     pub(super) fn discovery_unanswered(&mut self, now: Micros, watch: WatchId) {
         let Some(left_out) = self.take_line(now, RecordKind::DiscoveryStateChanged) else { return };
         tracing::warn!(target: DISCOVERY_TARGET, watch, left_out, "discovery does not answer");
     }
 
-    /// Writes that discovery answers again.
+    /// Logs that discovery answers again, after this time without answers.
     pub(super) fn discovery_answered(&mut self, now: Micros, watch: WatchId, after: Duration) {
         let Some(left_out) = self.take_line(now, RecordKind::DiscoveryStateChanged) else { return };
         tracing::info!(
@@ -161,7 +164,7 @@
         );
     }
 
-    /// Writes that a list was applied, and what it changed; returns the number of changes.
+    /// Logs that an endpoint list was applied, and each endpoint whose listed state it changed.
     pub(super) fn list_applied(&mut self, now: Micros, source: ListSource, list: &EndpointList) {
         let changes = self.endpoints.apply(list);
         if let Some(left_out) = self.take_line(now, RecordKind::EndpointListApplied) {
@@ -190,7 +193,7 @@
     }
 }
 
-/// How a request without an id of its client's is named.
+/// The name in the log of a request to which its client gave no id.
 pub(super) fn unnamed_request(request: RequestId) -> String {
     format!("#{request}")
 }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: it waits for the next message or timer, and handles it.
+//! The event loop, which waits for the next message or timer and handles it.
 
 use super::{Message, Server};
 use crate::Micros;
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Waits for a message; `None` if a timer is due first.
+    /// Waits for the next message; `None` if a timer is due first. Fails if all senders have been dropped.
     fn next_message(&self, inbox: &Receiver<Message>) -> Result<Option<Message>, RecvError> {
         let Some(due_at) = self.next_due_at() else {
             return inbox.recv().map(Some);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due; `None` if no timer is set.
     fn next_due_at(&self) -> Option<Micros> {
         let idle_close_at = self.next_idle_close().map(|(close_at, _)| close_at);
         let shutdown_check_at = self.shutdown.next_check_at(self.clock.now());
@@ -67,7 +67,7 @@
             }
             Message::Discovery(event) => self.handle_watch_event(now, event),
             Message::Reload(config) => self.reload(now, *config),
-            Message::Stored(list) => self.handle_stored_list(now, &list),
+            Message::StoredList(list) => self.handle_stored_list(now, &list),
             Message::Accepted(id, handle) => self.accept_client(now, id, handle),
             Message::Client(id, event) => {
                 let effects = self.fronts.handle_platform_event(now, id, event);
@@ -80,7 +80,7 @@
             Message::ClientBarrier(barrier) => drop(barrier),
             Message::Admin(call) => self.handle_admin_call(now, call),
             Message::Terminate => self.request_shutdown(now),
-            Message::Stopped => self.shutdown.reading_stopped(),
+            Message::ClientReadingStopped => self.shutdown.reading_stopped(),
         }
     }
 }
--- a/src/server/messages.rs
+++ b/src/server/messages.rs
@@ -12,29 +12,29 @@
 
 /// A message to the event loop.
 pub enum Message {
-    /// An input of the reducer.
+    /// An input for the reducer.
     Core(Input<MemberRequest, MemberResponse>),
-    /// An update of the endpoint list.
+    /// An event of a discovery watch.
     Discovery(WatchEvent),
-    /// SIGHUP: the configuration as read from the file, or why it can't be used.
+    /// SIGHUP has been received: the configuration as read from the file, or the error in it.
     Reload(Box<Result<Config, ConfigError>>),
     /// The endpoint list that the store recovered from this proxy's last run.
-    Stored(EndpointList),
-    /// A new connection of a client.
+    StoredList(EndpointList),
+    /// A new client connection, and the handle to write to it.
     Accepted(ClientId, client::ClientHandle),
     /// An event of a client of the platform's front.
     Client(ClientId, ClientEvent<SimpleQuery>),
     /// An event of a client of the extended front.
     Extended(ClientId, ClientEvent<ClientBatch>),
-    /// All that had arrived from clients before is handled.
+    /// A barrier behind the client events that had arrived before it; it is dropped when it is handled.
     ClientBarrier(client::EventBarrier),
-    /// An operator's request.
+    /// A call from the admin listener.
     Admin(AdminCall),
-    /// SIGTERM or SIGINT.
+    /// SIGTERM or SIGINT has been received.
     Terminate,
-    /// Reading from clients has stopped, and all that was read before has been sent.
-    Stopped,
+    /// Reading from clients has stopped, and everything read before has been sent to the event loop.
+    ClientReadingStopped,
 }
 
-/// Where messages to the event loop are sent.
+/// The sender of messages to the event loop.
 pub type Messages = Sender<Message>;
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -73,7 +73,7 @@
 
 /// Starts the store, which sends the recovered endpoint list to the event loop.
 fn start_store(config: &Config, replicas: &StoreConfig, messages: Messages) -> Result<Store, StoreError> {
-    let recovered = move |state: State| drop(messages.try_send(Message::Stored(state.members)));
+    let recovered = move |state: State| drop(messages.try_send(Message::StoredList(state.members)));
     Store::start(replicas, config.seed, recovered)
 }
 
@@ -121,7 +121,7 @@
             ReactorEvent::Simple(id, event) => Message::Client(id, event),
             ReactorEvent::Extended(id, event) => Message::Extended(id, event),
             ReactorEvent::Barrier(barrier) => Message::ClientBarrier(barrier),
-            ReactorEvent::ReadingStopped => Message::Stopped,
+            ReactorEvent::ReadingStopped => Message::ClientReadingStopped,
         });
     })
 }
