--- a/src/server/fronts.rs
+++ b/src/server/fronts.rs
@@ -1,4 +1,4 @@
-//! Both fronts and the requests that they share.
+//! Both fronts, and the registry of requests that they share.
 
 use crate::client::{ClientBatch, ClientEvent, ClientId, SimpleQuery};
 use crate::core::FinalAnswer;
@@ -8,15 +8,15 @@
 use crate::front::{ConnectionManager, FrontEffect, RequestRegistry, ServiceState};
 use crate::{Micros, RequestId};
 
-/// Connections that have sent a request and are kept open.
-pub(super) struct RetainedConnections {
-    /// How many there are.
+/// A summary of the connections of both fronts that have made a request.
+pub(super) struct AllRetainedConnections {
+    /// The number of these connections, idle or not.
     pub(super) count: usize,
-    /// The one that has been idle longest, with the time from which it may be closed.
+    /// The time from which the connection that has been idle longest may be closed, and that connection.
     pub(super) longest_idle: Option<(Micros, ClientId)>,
 }
 
-/// The platform's front and, where configured, the extended front.
+/// The platform's front and, if it is configured, the extended front.
 pub(super) struct Fronts {
     platform: ConnectionManager<Platform>,
     postgres: Option<ConnectionManager<Postgres>>,
@@ -24,7 +24,8 @@
 }
 
 impl Fronts {
-    /// Fronts without connections. In each, this many bytes of replies may wait for earlier replies.
+    /// Creates fronts without connections. In each front, at most `max_reordered_bytes` of replies may wait
+    /// for earlier replies.
     pub(super) fn new(postgres: Option<Postgres>, max_reordered_bytes: usize) -> Self {
         Fronts {
             platform: ConnectionManager::new(Platform, max_reordered_bytes),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Registers a new client.
+    /// Registers a new connection with its front. `secret` is the secret of its cancel key.
     pub(super) fn connect(
         &mut self,
         now: Micros,
@@ -74,22 +75,23 @@
         }
     }
 
-    /// The client that sent a request which has not ended.
+    /// The client that sent this request; `None` if the request has ended.
     pub(super) fn client_of(&self, request: RequestId) -> Option<ClientId> {
         self.requests.client_of(request)
     }
 
-    /// The id that its client gave an open request; empty if it gave none.
+    /// The id that the client gave this request, which is empty if it gave none; `None` if the request has
+    /// ended.
     pub(super) fn external_id(&self, request: RequestId) -> Option<&[u8]> {
         self.requests.external_id(request)
     }
 
-    /// Ends a request; returns the client that sent it, unless it had already ended.
+    /// Ends a request, and returns the client that sent it; `None` if the request had already ended.
     pub(super) fn close_request(&mut self, request: RequestId) -> Option<ClientId> {
         self.requests.close(request)
     }
 
-    /// Gives a client the final answer to its request.
+    /// Passes the final answer to a request to the front of its client.
     pub(super) fn answer(
         &mut self,
         now: Micros,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Sets whether the proxy is in service, and resumes commands that waited for that.
+    /// Sets the service state, and resumes commands that waited for the state to change.
     pub(super) fn set_service_state(&mut self, now: Micros, state: ServiceState) -> Vec<FrontEffect> {
         let mut effects = self.platform.set_service_state(state, &mut self.requests, now);
         if let Some(postgres) = &mut self.postgres {
@@ -113,7 +115,7 @@
         effects
     }
 
-    /// Starts to close connections between requests.
+    /// Closes idle connections, and from now on each connection when it becomes idle.
     pub(super) fn close_idle_connections(&mut self) -> Vec<FrontEffect> {
         let mut effects = self.platform.close_between_requests();
         if let Some(postgres) = &mut self.postgres {
@@ -122,32 +124,32 @@
         effects
     }
 
-    /// How many connections are open.
+    /// The number of open connections.
     pub(super) fn open_connections(&self) -> usize {
         self.platform.connection_count()
             + self.postgres.as_ref().map_or(0, ConnectionManager::connection_count)
     }
 
-    /// The connection to close first to free capacity for another.
+    /// The connection to close first to free capacity for a new one; `None` if none may be closed.
     pub(super) fn eviction_candidate(&self, now: Micros) -> Option<ClientId> {
         let of_platform = self.platform.best_eviction_candidate(now);
         let of_postgres = self.postgres.as_ref().and_then(|postgres| postgres.best_eviction_candidate(now));
         of_platform.max(of_postgres).map(|candidate| candidate.client)
     }
 
-    /// The connections that clients keep open between requests.
-    pub(super) fn retained_connections(&self) -> RetainedConnections {
+    /// The connections that have made a request; their clients may keep them open indefinitely.
+    pub(super) fn retained_connections(&self) -> AllRetainedConnections {
         let of_platform = self.platform.retained_connections();
         let of_postgres = self.postgres.as_ref().map(ConnectionManager::retained_connections);
         let of_postgres = of_postgres.unwrap_or_default();
         let evictable = of_platform.next_evictable.into_iter().chain(of_postgres.next_evictable);
-        RetainedConnections {
+        AllRetainedConnections {
             count: of_platform.count + of_postgres.count,
             longest_idle: evictable.min().map(|next| (next.evictable_at, next.client)),
         }
     }
 
-    /// A command of this client is arriving: its connection is not idle.
+    /// Restarts the idle time of a connection on which part of a command has arrived.
     pub(super) fn mark_active(&mut self, now: Micros, client: ClientId) {
         self.platform.mark_active(now, client);
         if let Some(postgres) = &mut self.postgres {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Removes a client whose connection has been closed between requests.
+    /// Removes a connection that has been closed while it was idle.
     pub(super) fn remove(&mut self, client: ClientId) {
         self.platform.remove_connection(client);
         if let Some(postgres) = &mut self.postgres {
