--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -1,4 +1,4 @@
-//! Steps of the reducer, and the effects that it requests.
+//! Runs steps of the reducer, and carries out the effects that they request.
 
 use super::event_log::unnamed_request;
 use super::{LOG_TARGET, Server};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Server {
-    /// Runs one step of the reducer, and carries out all resulting effects.
+    /// Runs one step of the reducer, and carries out its effects in order.
     pub(super) fn step_reducer(&mut self, now: Micros, input: Input<MemberRequest, MemberResponse>) {
         for effect in self.reducer.step(now, input) {
             self.apply_reducer_effect(now, effect);
@@ -64,7 +64,7 @@
         if handle.is_some_and(|handle| handle.start_job(job, spec, conditions)) {
             return;
         }
-        // Guards against counting the proxy's own lack of threads as the member's fault.
+        // The outcome is a local error: the member must not be blamed because this proxy lacks threads.
         tracing::warn!(target: LOG_TARGET, "job not started: no thread available");
         let result = JobResult::from_outcome(Outcome::LocalError);
         self.member_connections.remove(&connection);
@@ -112,7 +112,8 @@
         if let Some(handle) = self.member_connections.remove(&connection) {
             handle.abort();
         }
-        // No thread runs this connection that could report it.
+        // The reducer closes only connections without a job. Such a connection has no thread that could
+        // report the close.
         self.step_reducer(now, Input::ConnectionClosed(connection));
     }
 
--- a/src/server/service.rs
+++ b/src/server/service.rs
@@ -1,4 +1,4 @@
-//! Readiness, and the service state that operators set.
+//! The proxy's readiness, and the service state, which operators can set.
 
 use super::{LOG_TARGET, Server};
 use crate::core::{Counters, RecordKind};
@@ -6,22 +6,24 @@
 use crate::net::admin::{AdminCall, AdminRequest, AdminResponse};
 use crate::{Micros, Settings};
 
-/// Without an endpoint update, the proxy is ready this long after its start.
+/// The proxy becomes ready this long after its start even if no endpoint update has arrived.
 const MAX_STARTUP_WAIT: Micros = 400_000;
-/// The same where an agent pushes the list, which answers at once unless discovery is down. What it has
-/// counts from the first moment of a process: one that is slow to answer is worth waiting for.
+/// The same for a proxy that gets the list from a local agent, which answers immediately unless discovery is
+/// down. The agent's list matters from the first request of the process on, so that a slow answer is worth a
+/// longer wait.
 const MAX_STARTUP_WAIT_FOR_AGENT: Micros = 1_500_000;
-/// Out of service, connections are closed between requests after this delay: the front layer polls ten times
-/// per second, and keeps sending for 0.2 s after a negative answer.
+/// Idle connections are closed this long after an operator has taken the proxy out of service. The layer in
+/// front of the proxies checks their health ten times per second, and still sends clients to a proxy for
+/// 0.2 s after a negative answer.
 const OUT_OF_SERVICE_CLOSE_DELAY: Micros = 1_000_000;
 
-/// How long to wait for the first endpoint update before the proxy is ready without one.
+/// How long to wait for the first endpoint update before the proxy becomes ready without one.
 pub(super) fn max_startup_wait(settings: &Settings) -> Micros {
     if settings.list_on_request { MAX_STARTUP_WAIT } else { MAX_STARTUP_WAIT_FOR_AGENT }
 }
 
 impl Server {
-    /// Handles an operator's request.
+    /// Handles a call from the admin listener.
     pub(super) fn handle_admin_call(&mut self, now: Micros, call: AdminCall) {
         let response = match call.request {
             AdminRequest::Ready => AdminResponse::Answer(self.ready_at.is_none()),
@@ -35,7 +37,8 @@
         let _ = call.respond_to.try_send(response);
     }
 
-    /// The counters of the reducer, and those of the server's own records.
+    /// The counters of the reducer, with the server's own counts of closed client connections and of ended
+    /// discovery calls.
     fn counters(&self) -> Counters {
         let mut counters = self.reducer.counters();
         for (reason, count) in &self.client_closes {
@@ -55,7 +58,7 @@
         self.set_service_state(now, state);
     }
 
-    /// Puts the proxy in service, unless it already is or an operator has decided.
+    /// Puts the proxy in service, unless it is ready already or an operator has set the service state.
     pub(super) fn become_ready(&mut self, now: Micros) {
         if self.ready_at.take().is_some() {
             self.set_service_state(now, ServiceState::InService);
@@ -67,7 +70,8 @@
         self.apply_front_effects(now, effects);
     }
 
-    /// Closes connections between requests once the proxy has been out of service long enough.
+    /// Starts to close idle connections once the proxy has been out of service for
+    /// [`OUT_OF_SERVICE_CLOSE_DELAY`].
     pub(super) fn drain_if_due(&mut self, now: Micros) {
         if self.drain_at.is_some_and(|drain_at| drain_at <= now) {
             self.drain_at = None;
