--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown after SIGTERM or SIGINT: its phases, and the times between the request and SIGKILL.
+//! The graceful shutdown after SIGTERM or SIGINT: its phases, and its schedule, which ends before SIGKILL.
 
 use super::{LOG_TARGET, Server};
 use crate::core::Input;
@@ -6,29 +6,32 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// SIGKILL comes no earlier than the longest deadline, counted as this at most, and a margin after SIGTERM.
+/// SIGKILL comes no earlier than the longest deadline of a request class plus [`KILL_MARGIN`] after SIGTERM.
+/// A longer deadline than this counts as this.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
+/// The least time from the end of the longest deadline, counted from SIGTERM, to SIGKILL.
 const KILL_MARGIN: Micros = 700_000;
-/// Connections are closed between requests from this long before SIGKILL on.
+/// Idle connections are closed from this long before SIGKILL on.
 const CLOSE_IDLE_BEFORE_KILL: Micros = 900_000;
-/// Requests that are still pending fail this long before SIGKILL, and reading from clients stops: what would
-/// be read later could only be rejected, and is left to the client to send elsewhere.
+/// This long before SIGKILL, requests that are still pending fail and reading from clients stops. A request
+/// that was read later could only be rejected; unread, it can be sent to another proxy by its client.
 const FAIL_PENDING_BEFORE_KILL: Micros = 250_000;
-/// Waiting stops this long before SIGKILL.
+/// The process stops waiting for answers this long before SIGKILL.
 const STOP_WAITING_BEFORE_KILL: Micros = FAIL_PENDING_BEFORE_KILL / 4;
-/// The process has exited this long before SIGKILL.
+/// The process exits no later than this long before SIGKILL.
 const EXIT_BEFORE_KILL: Micros = 30_000;
-/// Clients go on opening connections for 0.4 s after SIGTERM: until a little later, none is closed between
-/// requests.
+/// No idle connection is closed before this long after SIGTERM, because clients still open connections to
+/// this process for 0.4 s after SIGTERM.
 const MIN_SERVING_TIME: Micros = 450_000;
-/// New connections are answered for this long after SIGTERM, even if there are no clients, unless requests
-/// must fail before.
+/// The process accepts connections for this long after SIGTERM even if it has no clients, but not longer
+/// than until pending requests fail.
 const MAX_SERVING_TIME_WITHOUT_CLIENTS: Micros = 900_000;
-/// New connections are accepted for this long after SIGTERM where the next process accepts them as well.
+/// How long connections are accepted after SIGTERM from a listening socket that the next process shares.
 const SHARED_ACCEPT_TIME: Micros = 500_000;
-/// The interval between two checks whether all requests are answered.
+/// The interval of the checks whether all requests have been answered.
 const CHECK_INTERVAL: Micros = 20_000;
-/// How long the process waits before it exits for clients to read their answers and to close.
+/// How long the process waits before its exit for clients to read their answers and to close their
+/// connections.
 const MAX_FLUSH_TIME: Micros = 1_000_000;
 
 /// The phase of the shutdown.
@@ -36,25 +39,25 @@
 enum Phase {
     /// No shutdown has been requested.
     Running,
-    /// Requested; connections are served as before.
+    /// A shutdown has been requested, but connections are still served as before.
     Draining {
-        /// When it was requested.
+        /// When the shutdown was requested.
         requested_at: Micros,
     },
-    /// Connections are closed between requests.
+    /// Connections are closed when they are idle.
     ClosingIdle {
-        /// When it was requested.
+        /// When the shutdown was requested.
         requested_at: Micros,
     },
 }
 
-/// Whether reading from clients is active.
+/// Whether commands are read from clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reading {
     Active,
-    /// The reading thread has been asked to stop.
+    /// The client reactor has been requested to stop reading.
     Stopping,
-    /// All commands that were read have been handled.
+    /// Reading has stopped, and all commands that were read have been handled.
     Stopped,
 }
 
@@ -62,12 +65,13 @@
 pub(super) struct Shutdown {
     phase: Phase,
     reading: Reading,
-    /// Another process may accept connections from the listening socket, as this one still does.
+    /// Whether this process still accepts connections from a listening socket that another process may share.
     accepts_from_shared_listener: bool,
 }
 
 impl Shutdown {
-    /// No shutdown yet. With an inherited listening socket, another process may accept from it.
+    /// Creates the state without a requested shutdown. An inherited listening socket may be shared with
+    /// another process that accepts from it.
     pub(super) fn new(inherited_listener: bool) -> Self {
         Shutdown {
             phase: Phase::Running,
@@ -76,12 +80,12 @@
         }
     }
 
-    /// Reading from clients has stopped, and all that was read before has been handled.
+    /// Records that reading from clients has stopped and all commands that were read have been handled.
     pub(super) fn reading_stopped(&mut self) {
         self.reading = Reading::Stopped;
     }
 
-    /// When the next completion check is due; `None` while no shutdown has been requested.
+    /// When the next check for completion is due; `None` while no shutdown has been requested.
     pub(super) fn next_check_at(&self, now: Micros) -> Option<Micros> {
         self.requested_at().map(|_| now + CHECK_INTERVAL)
     }
@@ -94,29 +98,30 @@
     }
 }
 
-/// The times of a shutdown. Guards against an outage longer than a restart: open connections are served until
-/// shortly before SIGKILL may come.
+/// The times of a shutdown. Open connections are served until shortly before SIGKILL may come. If they were
+/// closed earlier, their clients would be without service for longer than the restart takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Schedule {
-    /// Connections are closed between requests from then on.
+    /// From this time on, idle connections are closed.
     close_idle_at: Micros,
-    /// Reading stops from then on if there are no clients.
+    /// From this time on, reading stops if there are no clients and no pending requests.
     may_end_at: Micros,
-    /// Requests that are still pending fail, and reading from clients stops.
+    /// At this time, requests that are still pending fail and reading from clients stops.
     fail_pending_at: Micros,
-    /// Waiting for answers stops.
+    /// At this time, waiting for answers stops.
     stop_waiting_at: Micros,
-    /// The process has exited.
+    /// By this time, the process exits.
     exit_at: Micros,
 }
 
 impl Schedule {
-    /// The times of a shutdown that was requested at this time.
+    /// Computes the times of a shutdown that was requested at `requested_at`.
     fn new(requested_at: Micros, settings: &Settings) -> Schedule {
         let longest_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let time_until_kill = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
         let kill_at = requested_at + time_until_kill;
-        // With short deadlines, half of the time serves clients, and half is left to their last requests.
+        // If the deadlines are short, connections are served for half of the time until SIGKILL, and the
+        // other half is left for their last requests.
         let serving_time = time_until_kill.saturating_sub(CLOSE_IDLE_BEFORE_KILL).max(time_until_kill / 2);
         let fail_pending_at = kill_at - FAIL_PENDING_BEFORE_KILL;
         Schedule {
@@ -130,7 +135,7 @@
 }
 
 impl Server {
-    /// Starts the shutdown, once.
+    /// Starts the shutdown, unless it has been started already.
     pub(super) fn request_shutdown(&mut self, now: Micros) {
         if self.shutdown.phase != Phase::Running {
             return;
@@ -148,7 +153,7 @@
         };
         let schedule = Schedule::new(requested_at, &self.settings);
         self.leave_shared_listener(now, requested_at);
-        // Repeated at each check: connections that were accepted late and send nothing are closed as well.
+        // Repeated at each check, so that connections that were accepted late and send nothing are closed.
         if now >= schedule.close_idle_at {
             self.enter_closing_idle(requested_at);
             self.close_idle_connections(now);
@@ -159,7 +164,8 @@
             self.shutdown.reading = Reading::Stopping;
             self.client_reactor.stop_reading();
         }
-        // Guards against a request that is read at the last moment and never answered.
+        // The event loop ends only after all commands that were read have been handled. Otherwise a request
+        // that is read while reading stops would never be answered.
         let all_answered = self.shutdown.reading == Reading::Stopped && self.reducer.pending_requests() == 0;
         if all_answered || now >= schedule.stop_waiting_at {
             self.flush_clients(schedule.exit_at);
@@ -168,7 +174,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Stops accepting once it is time to leave new connections to the process that shares the socket.
+    /// Stops accepting [`SHARED_ACCEPT_TIME`] after SIGTERM if another process may share the listening
+    /// socket, and leaves new connections to that process.
     fn leave_shared_listener(&mut self, now: Micros, requested_at: Micros) {
         if self.shutdown.accepts_from_shared_listener && now >= requested_at + SHARED_ACCEPT_TIME {
             self.shutdown.accepts_from_shared_listener = false;
@@ -184,12 +191,12 @@
         }
     }
 
-    /// Waits for clients to read the unwritten answers, until the deadline at most.
+    /// Closes all client connections, and waits for clients to read their answers, no longer than `deadline`.
     fn flush_clients(&mut self, deadline: Micros) {
         self.clients.clear();
         self.client_reactor.shut_down();
         let timeout = deadline.saturating_sub(self.clock.now()).min(MAX_FLUSH_TIME);
-        // Returns at once when the last connection has closed: no message is ever sent here.
+        // No message is ever sent on this channel: it is disconnected when the last connection has closed.
         let _ = self.clients_closed.recv_timeout(Duration::from_micros(timeout));
     }
 }
