--- a/src/server/signals.rs
+++ b/src/server/signals.rs
@@ -1,4 +1,4 @@
-//! The signals of the process, as messages to the event loop.
+//! Turns the signals that the process receives into messages to the event loop.
 
 use super::{Message, Messages};
 use crate::config::Config;
@@ -10,18 +10,18 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// The pause after a wait that failed.
+/// The pause after waiting for a signal has failed.
 const WAIT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Starts the thread that waits for signals. SIGHUP reads the configuration again; SIGTERM and SIGINT request
-/// a shutdown.
+/// Starts the thread that waits for signals. On SIGHUP, the thread reads the configuration file again and
+/// sends the result; on SIGTERM and SIGINT, it requests a shutdown.
 pub(super) fn start(messages: Messages) -> std::io::Result<()> {
     let (mut arrived, wake) = UnixStream::pair()?;
     let read = arrived.try_clone()?;
     let mut signals = SignalDelivery::with_pipe(read, wake, SignalOnly, [SIGTERM, SIGINT, SIGHUP])?;
     spawn("signals", move || {
         loop {
-            // Guards against the end of the thread, and of all signals, by an error that lasts for a moment.
+            // A failed read is retried: if the thread ended, no signal would be handled any more.
             if arrived.read(&mut [0]).is_err() {
                 std::thread::sleep(WAIT_RETRY_DELAY);
             }
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! Startup: builds the parts of the server, connects them to the event loop, and runs it.
+//! Builds the parts of the server, connects them to the event loop, and runs it.
 
 use super::descriptor_budget::DescriptorBudget;
 use super::endpoint_watch::EndpointWatches;
@@ -24,9 +24,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Messages to the event loop that may be queued; further senders block.
+/// The most messages to the event loop that are queued; a sender blocks while the queue is full.
 const MESSAGE_QUEUE_CAPACITY: usize = 1024;
-/// Each buffer that is shared by all clients may use this fraction of the memory.
+/// Each limit on buffers of all clients together is the memory limit divided by this.
 const BUFFER_MEMORY_DIVISOR: usize = 8;
 
 /// Why the server could not be started.
@@ -35,12 +35,13 @@
     /// The store could not be started.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A socket or a thread could not be had.
+    /// A socket or a thread could not be created.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Serves until a shutdown is requested; on the extended listener too, where there is one.
+/// Serves clients on `listener`, and on the extended listener if one is configured. Returns when a shutdown
+/// is complete; fails if the server can't be started.
 pub fn serve(
     config: &Config,
     listener: TcpListener,
@@ -50,7 +51,8 @@
     let extended_listener = extended.as_ref().map(|listen| TcpListener::bind(listen.listen)).transpose()?;
     let clock = Clock::start();
     let (messages, inbox) = bounded(MESSAGE_QUEUE_CAPACITY);
-    // Guards against a signal that comes early and ends the process in place of being handled.
+    // The signal handlers come first: without them, a signal during startup would end the process without a
+    // graceful shutdown.
     signals::start(messages.clone())?;
     let store = start_store(config, replicas, messages.clone())?;
     let listen_address = listener.local_addr()?;
@@ -93,7 +95,7 @@
     }
 }
 
-/// Who answers calls to discovery, according to the settings.
+/// The kind of discovery service that the settings specify.
 fn discovery_kind(settings: &Settings) -> DiscoveryKind {
     match settings.list_on_request {
         true => DiscoveryKind::SharedService,
@@ -101,7 +103,7 @@
     }
 }
 
-/// Passes operators' requests to the event loop.
+/// Passes calls from the admin listener to the event loop.
 fn admin_calls(messages: Messages) -> CallSink {
     Arc::new(move |call, timeout| {
         messages.send_timeout(Message::Admin(call), timeout).map_err(|_| LoopUnavailable)
@@ -113,7 +115,7 @@
     MemberEvents::new(move |event| drop(messages.send(Message::Core(event))))
 }
 
-/// Passes reports of the client reactor to the event loop.
+/// Passes events of the client reactor to the event loop.
 fn client_events(messages: Messages) -> client::EventSink {
     Box::new(move |event| {
         let _ = messages.send(match event {
@@ -127,7 +129,7 @@
 }
 
 impl Server {
-    /// Builds the server and the thread that reads from clients.
+    /// Builds the server, and the client reactor, which is to run on a thread of its own.
     fn build(
         config: &Config,
         clock: Clock,
@@ -188,7 +190,7 @@
         Ok((server, reactor))
     }
 
-    /// Records the configured settings, and recovers the endpoint list of this proxy's last run.
+    /// Proposes the configured settings to the store, and applies the configured endpoint list.
     fn load_configured_state(&mut self, config: &Config) {
         self.store.propose(Change::Set("proxy".into(), config.raw_settings.clone()));
         let list = config.known_endpoints.clone().into_complete();
