--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -2,8 +2,8 @@
 //! writes through one handle per connection. Neither decides how requests are handled.
 //!
 //! The sockets are non-blocking, and `epoll` reports which of them are ready. Blocking sockets would need one
-//! or two threads per client. With 170 clients, such threads took two thirds of the proxy's CPU time, because
-//! they were woken only to be stopped and continued with the process.
+//! or two threads per client. With 170 clients, such threads took two thirds of the proxy's share of a CPU
+//! core, because they were woken only to be stopped and continued with the process.
 
 mod accept_gate;
 mod commands;
--- a/src/server/reducer_effects.rs
+++ b/src/server/reducer_effects.rs
@@ -64,7 +64,8 @@
         if handle.is_some_and(|handle| handle.start_job(job, spec, conditions)) {
             return;
         }
-        // The outcome is a local error: the member must not be blamed because this proxy lacks threads.
+        // The outcome is a local error, so that the proxy's lack of threads is not counted as a fault of the
+        // member.
         tracing::warn!(target: LOG_TARGET, "job not started: no thread available");
         let result = JobResult::from_outcome(Outcome::LocalError);
         self.member_connections.remove(&connection);
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -20,8 +20,8 @@
 const STOP_WAITING_BEFORE_KILL: Micros = FAIL_PENDING_BEFORE_KILL / 4;
 /// The process exits no later than this long before SIGKILL.
 const EXIT_BEFORE_KILL: Micros = 30_000;
-/// No idle connection is closed before this long after SIGTERM, because clients still open connections to
-/// this process for 0.4 s after SIGTERM.
+/// For this long after SIGTERM, no idle connection is closed, because clients still open connections to this
+/// process for 0.4 s after SIGTERM.
 const MIN_SERVING_TIME: Micros = 450_000;
 /// The process accepts connections for this long after SIGTERM even if it has no clients, but not longer
 /// than until pending requests fail.
@@ -164,8 +164,8 @@
             self.shutdown.reading = Reading::Stopping;
             self.client_reactor.stop_reading();
         }
-        // The event loop ends only after all commands that were read have been handled. Otherwise a request
-        // that is read while reading stops would never be answered.
+        // While there is time to wait, the event loop ends only after all commands that were read have been
+        // handled. Otherwise a request that is read while reading stops would never be answered.
         let all_answered = self.shutdown.reading == Reading::Stopped && self.reducer.pending_requests() == 0;
         if all_answered || now >= schedule.stop_waiting_at {
             self.flush_clients(schedule.exit_at);
--- a/src/server/signals.rs
+++ b/src/server/signals.rs
@@ -21,7 +21,8 @@
     let mut signals = SignalDelivery::with_pipe(read, wake, SignalOnly, [SIGTERM, SIGINT, SIGHUP])?;
     spawn("signals", move || {
         loop {
-            // A failed read is retried: if the thread ended, no signal would be handled any more.
+            // The error may be transient, so the read is retried. If the thread ended, no signal would be
+            // handled any more.
             if arrived.read(&mut [0]).is_err() {
                 std::thread::sleep(WAIT_RETRY_DELAY);
             }
