--- a/src/net/client/presence.rs
+++ b/src/net/client/presence.rs
@@ -26,7 +26,7 @@
 
     /// Whether the client has closed its connection. Queries the socket, so a close is found even if the
     /// reactor has not handled it yet or unread bytes precede it.
-    pub fn has_left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         let Some(connection) = self.0.upgrade() else { return true };
         let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let mut descriptors = [PollFd::new(&connection.stream, PollFlags::RDHUP)];
--- a/src/net/member/start_conditions.rs
+++ b/src/net/member/start_conditions.rs
@@ -47,7 +47,7 @@
     pub(super) fn time_left(&self) -> Option<Duration> {
         if let Some(client) = &self.client {
             self.catch_up_with_clients(client)?;
-            if client.has_left() {
+            if client.has_disconnected() {
                 return None;
             }
         }
