--- a/src/server/endpoint_watch.rs
+++ b/src/server/endpoint_watch.rs
@@ -152,7 +152,7 @@
     }
 
     /// Starts a watch at this address; if no descriptor or thread is available, retries until one is. Without
-    /// the retry, a crowd of connections that uses them up during a reload would stop all endpoint updates:
+    /// the retry, a burst of connections that uses them up during a reload would stop all endpoint updates:
     /// the old address closes its calls, and no watch would run at the new one.
     fn watch_address(&mut self, now: Micros, address: SocketAddr) {
         if let Err(error) = self.endpoint_watches.replace(address, self.seed, self.messages.clone()) {
