--- a/src/net/member/start_conditions.rs
+++ b/src/net/member/start_conditions.rs
@@ -56,7 +56,7 @@
     pub(super) fn time_left(&self) -> Option<Duration> {
         if let Some(client) = &self.client {
             self.await_client_events(client)?;
-            if client.has_left() {
+            if client.has_disconnected() {
                 return None;
             }
         }
