--- a/src/store/raft/mod.rs
+++ b/src/store/raft/mod.rs
@@ -1,10 +1,13 @@
 //! Raft consensus: leader election, log replication, and commit by a quorum.
 //!
-//! [`RaftNode::step`] is a pure function of the node's state, the time and an input. The caller carries the
-//! outputs out in order, and persists what [`Output::Persist`] and [`Output::Compact`] name before it
-//! continues with the next. After a step with one of these two it reports [`Input::Persisted`]. If its
-//! storage fails, it drops the rest of the outputs and reports [`Input::StorageFailed`]: until
-//! [`Input::StorageRecovered`], the replica follows silently.
+//! [`RaftNode::step`] is deterministic: its result depends only on the node's state, the time and the input.
+//! The caller carries out the outputs of a step in order, and waits until the contents of an
+//! [`Output::Persist`] or [`Output::Compact`] are on the disk before it continues with the next output. After
+//! the outputs of a step with one of these two, the caller reports [`Input::Persisted`].
+//!
+//! If the caller's storage fails, it drops the remaining outputs of the step and reports
+//! [`Input::StorageFailed`]. From then until [`Input::StorageRecovered`], the replica still applies the
+//! leader's committed entries, but sends no messages.
 
 mod election;
 mod log;
@@ -20,43 +23,47 @@
 use messages::MessageBody;
 use std::collections::BTreeMap;
 
-/// The election timeout: a follower without a heartbeat for this long, up to twice that, starts an election.
+/// The shortest election timeout. A follower that receives no heartbeat starts an election after a random
+/// time between this and twice this.
 const ELECTION_TIMEOUT: Micros = 300_000;
-/// Each election without a result doubles the next election timeout, up to this many times. A vote takes two
-/// syncs one after the other, of the candidate and of the voter: on disks that are slower than the timeout,
-/// the next election must not start before it is there.
+/// How many times the election timeout may double. Each election without a winner doubles the next timeout.
+/// A vote takes two disk syncs in sequence, the candidate's and the voter's. On disks whose syncs take longer
+/// than the timeout, without this backoff the next election would start before the votes arrive, and no
+/// candidate would win.
 const MAX_ELECTION_BACKOFF: u32 = 3;
 /// The heartbeat interval of a leader.
 const HEARTBEAT_INTERVAL: Micros = 75_000;
-/// The delay before entries are sent to a silent follower again doubles up to this many times, to 2.4 s.
+/// How many times the resend delay may double, up to 2.4 s. This is the delay before a leader sends entries
+/// again to a follower that does not reply.
 const MAX_RESEND_BACKOFF: u32 = 5;
-/// The most entries in one message.
+/// The most entries in one AppendEntries message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 128;
-/// The log is compacted once it has more applied entries than this.
+/// The log is compacted once it has more applied entries than this after its snapshot.
 const COMPACT_AFTER_ENTRIES: u64 = 512;
 
 /// An input of [`RaftNode::step`].
 pub enum Input<C, S> {
-    /// Time has passed.
+    /// The time has advanced. Due at [`RaftNode::next_deadline`].
     Tick,
     /// A message from another replica.
     Message(Message<C, S>),
-    /// A command to commit; dropped where this replica is not the leader.
+    /// A command to append to the log and commit. Ignored unless this replica is the leader.
     Propose(C),
-    /// What the last [`Output::Persist`] or [`Output::Compact`] named is on the disk.
+    /// The contents of the last [`Output::Persist`] or [`Output::Compact`] are on the disk.
     Persisted,
-    /// An output could not be persisted: what the disk holds is older than this node's state.
+    /// An output could not be persisted: the contents of the disk are older than the node's state.
     StorageFailed,
-    /// The disk holds all of [`RaftNode::persistent_state`] again.
+    /// All of [`RaftNode::persistent_state`] is on the disk again.
     StorageRecovered,
 }
 
 /// An output that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<C, S> {
-    /// Persist term and vote, and entries that replace all from the first one's index on.
+    /// Persist the hard state and the entries. The entries replace all persisted ones from the index of the
+    /// first new one on.
     Persist { hard_state: HardState, entries: Vec<Entry<C>> },
-    /// Persist this in place of all that was persisted before.
+    /// Persist the contents in place of everything that was persisted before.
     Compact { contents: PersistedState<C, S> },
     /// Send a message to a replica.
     Send { to: ReplicaId, message: Message<C, S> },
@@ -64,11 +71,11 @@
     Applied { index: Index, term: Term },
 }
 
-/// A deterministic state machine.
+/// A deterministic state machine, which the committed commands are applied to.
 pub trait StateMachine: Clone + Default {
     /// A command that changes the state.
     type Command: Clone;
-    /// Applies a command, with the same result at every replica.
+    /// Applies a command. The result must be the same at every replica.
     fn apply(&mut self, command: Self::Command);
 }
 
@@ -77,9 +84,9 @@
 pub struct RaftStatus {
     /// The current term.
     pub term: Term,
-    /// The leader, as far as known.
+    /// The leader of the current term, if this replica knows it.
     pub leader: Option<ReplicaId>,
-    /// The last entry that is known to be committed.
+    /// The index of the last entry that this replica knows to be committed.
     pub commit_index: Index,
 }
 
@@ -90,28 +97,28 @@
     Leader,
 }
 
-/// This replica's view of another one.
+/// What a replica knows of another replica of its group.
 struct Peer {
-    /// Leader: the next entry to send.
+    /// On a leader: the index of the next entry to send to the peer.
     next_index: Index,
-    /// Leader: the last entry known to be replicated there.
+    /// On a leader: the index of the last entry known to be replicated on the peer.
     match_index: Index,
-    /// Leader: how many times entries were sent since its last answer.
+    /// On a leader: how many times entries or a snapshot were sent since the peer's last reply.
     unanswered_sends: u32,
-    /// Leader: when entries are sent again without an answer.
+    /// On a leader: when entries are sent again if the peer has not replied.
     resend_at: Micros,
-    /// Candidate: whether it voted for this replica in the current term.
+    /// On a candidate: whether the peer granted its vote in the current term.
     vote_granted: bool,
 }
 
-/// One replica of the group.
+/// The Raft state of one replica of the group.
 pub struct RaftNode<M: StateMachine> {
     id: ReplicaId,
     hard_state: HardState,
     role: Role,
     leader: Option<ReplicaId>,
     leader_heard_at: Micros,
-    /// The elections that this replica has started since it last knew a leader.
+    /// The number of elections that this replica has started since it last knew a leader.
     elections_without_leader: u32,
     peers: BTreeMap<ReplicaId, Peer>,
     log: Log<M::Command, M>,
@@ -119,20 +126,21 @@
     state_machine: M,
     commit_index: Index,
     last_applied: Index,
-    /// When the next election or heartbeat is due.
+    /// When the next election (of a follower or candidate) or heartbeat (of a leader) is due.
     next_deadline: Micros,
     random: RandomSource,
     outputs: Vec<Output<M::Command, M>>,
-    /// Hard state and the entries from this index on are to be persisted ahead of all other outputs.
+    /// The current step must persist the hard state and the entries from this index on, before its other
+    /// outputs. `None` if neither has changed.
     unpersisted_from: Option<Index>,
-    /// The last own entry that is on the disk.
+    /// The index of the last entry of this replica's log that is on the disk.
     persisted_index: Index,
     /// Whether this replica can persist; while it can't, it neither votes nor acknowledges entries.
     storage_available: bool,
 }
 
 impl<M: StateMachine> RaftNode<M> {
-    /// A replica that resumes from its persisted state. `replicas` may include its own id.
+    /// Creates a follower that resumes from its persisted state. `replicas` may include its own id.
     pub fn new(
         id: ReplicaId,
         replicas: &[ReplicaId],
@@ -157,7 +165,8 @@
             persisted_index: log.last_index(),
             log,
             next_deadline: now,
-            // Replicas with the same seed must not start their elections at the same time forever.
+            // Without the id, replicas with the same seed would draw the same election timeouts, and their
+            // elections would collide again and again.
             random: RandomSource::new(seed ^ u64::from(id) << u32::BITS),
             outputs: Vec::new(),
             unpersisted_from: None,
@@ -171,32 +180,33 @@
         node
     }
 
-    /// The state machine after all entries applied here.
+    /// Returns the state machine after the last applied entry.
     pub fn state_machine(&self) -> &M {
         &self.state_machine
     }
 
-    /// Term, leader and commit index.
+    /// Returns the term, the leader and the commit index.
     pub fn status(&self) -> RaftStatus {
         RaftStatus { term: self.hard_state.term, leader: self.leader, commit_index: self.commit_index }
     }
 
-    /// Whether this replica is the leader.
+    /// Returns whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// The last entry in the log, committed or not.
+    /// Returns the index of the last entry in the log, committed or not.
     pub fn last_log_index(&self) -> Index {
         self.log.last_index()
     }
 
-    /// When [`Input::Tick`] is due next.
+    /// Returns when [`Input::Tick`] is due next.
     pub fn next_deadline(&self) -> Micros {
         self.next_deadline
     }
 
-    /// All that must be on the disk for what this replica has sent so far, and for what it may send next.
+    /// Returns everything that must be on the disk for the messages that this replica has sent, and for those
+    /// that it may send next.
     pub fn persistent_state(&self) -> PersistedState<M::Command, M> {
         PersistedState {
             hard_state: self.hard_state,
@@ -205,7 +215,7 @@
         }
     }
 
-    /// Handles one input.
+    /// Handles one input, and returns the outputs to carry out in their order.
     pub fn step(&mut self, now: Micros, input: Input<M::Command, M>) -> Vec<Output<M::Command, M>> {
         match input {
             Input::Tick => self.on_tick(now),
@@ -233,7 +243,7 @@
         } else if self.storage_available {
             self.start_election(now);
         } else {
-            self.lose_leader(now);
+            self.forget_leader(now);
         }
     }
 
@@ -284,18 +294,18 @@
         self.peers.len().div_ceil(2) + 1
     }
 
-    /// Hard state and the entries from `index` on have to be persisted in this step.
+    /// Makes this step persist the hard state and the entries from `index` on.
     fn mark_unpersisted(&mut self, index: Index) {
         let earliest = self.unpersisted_from.map_or(index, |earlier| earlier.min(index));
         self.unpersisted_from = Some(earliest);
     }
 
-    /// Only hard state has to be persisted in this step.
+    /// Makes this step persist the hard state.
     fn mark_hard_state_unpersisted(&mut self) {
         self.mark_unpersisted(self.log.last_index() + 1);
     }
 
-    /// Puts what has to be on the disk ahead of the messages that rely on it.
+    /// Inserts the [`Output::Persist`] of this step, if any, before the messages that rely on it.
     fn persist_before_other_outputs(&mut self) {
         if let Some(index) = self.unpersisted_from.take() {
             let entries = self.log.entries_from(index).to_vec();
@@ -303,7 +313,7 @@
         }
     }
 
-    /// Replaces the applied entries by a snapshot once there are many.
+    /// Replaces the applied entries by a snapshot once there are more than [`COMPACT_AFTER_ENTRIES`].
     fn compact_log(&mut self) {
         let snapshot_index = self.log.snapshot().last_included_index;
         if self.last_applied.saturating_sub(snapshot_index) <= COMPACT_AFTER_ENTRIES {
@@ -325,8 +335,8 @@
         Peer { next_index, match_index: 0, unanswered_sends: 0, resend_at: 0, vote_granted: false }
     }
 
-    /// Whether entries may be sent now. To a peer that doesn't answer, which may be silent since its disk
-    /// fails, they are sent again after a delay that doubles each time.
+    /// Returns whether entries or a snapshot may be sent to the peer now, and if so, counts the send. A peer
+    /// that does not reply may have a failed disk: the delay before the next send to it doubles each time.
     fn may_send_entries(&mut self, now: Micros) -> bool {
         if self.unanswered_sends > 0 && now < self.resend_at {
             return false;
--- a/src/store/raft/storage.rs
+++ b/src/store/raft/storage.rs
@@ -1,12 +1,13 @@
-//! The replica's own storage: which of its entries count as persisted, and what it does while nothing can be
-//! persisted.
+//! The replica's own storage: which entries of its log count as persisted, and how the replica behaves while
+//! nothing can be persisted.
 
 use super::messages::MessageBody;
 use super::{RaftNode, Role, StateMachine};
 use crate::Micros;
 
 impl<M: StateMachine> RaftNode<M> {
-    /// Counts the own entries towards the quorum, now that they are on the disk.
+    /// Records that all entries of this replica's log are on the disk. A leader then counts them towards the
+    /// quorum.
     pub(super) fn on_persisted(&mut self) {
         self.persisted_index = self.log.last_index();
         if self.is_leader() {
@@ -14,7 +15,7 @@
         }
     }
 
-    /// Steps down, and follows silently from now on.
+    /// Steps down. Until the storage recovers, this replica follows a leader without sending messages.
     pub(super) fn on_storage_failed(&mut self, now: Micros) {
         self.storage_available = false;
         if self.is_leader() {
@@ -24,7 +25,8 @@
         self.reset_election_timer(now);
     }
 
-    /// Takes part again. A replica with peers gives the present leader time for a heartbeat first.
+    /// Votes and acknowledges entries again. A replica with peers waits an election timeout for a leader's
+    /// heartbeat before it starts an election; a single replica starts one without delay.
     pub(super) fn on_storage_recovered(&mut self, now: Micros) {
         self.storage_available = true;
         self.persisted_index = self.log.last_index();
@@ -35,20 +37,21 @@
         }
     }
 
-    /// Whether a message counts. Without storage, only what a leader says does: a vote, or a term that was
-    /// learnt from a candidate, would have to be persisted.
+    /// Returns whether a message may be handled. Without storage, only a leader's messages are handled: a
+    /// vote, or a term that was learnt from a candidate, would have to be persisted.
     pub(super) fn may_handle(&self, body: &MessageBody<M::Command, M>) -> bool {
         let from_leader = matches!(body, MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot(_));
         self.storage_available || from_leader
     }
 
-    /// Without storage there is no election to start when the leader has fallen silent.
-    pub(super) fn lose_leader(&mut self, now: Micros) {
+    /// Forgets a leader that has sent no heartbeat within the election timeout. Without storage, this replica
+    /// starts no election.
+    pub(super) fn forget_leader(&mut self, now: Micros) {
         self.leader = None;
         self.reset_election_timer(now);
     }
 
-    /// The only replica of a group is a quorum: all entries on its disk are committed.
+    /// Commits and applies all persisted entries of a group's only replica, which is a quorum by itself.
     pub(super) fn commit_persisted_entries(&mut self) {
         self.commit_index = self.persisted_index;
         self.apply_committed();
