--- a/src/store/raft/election.rs
+++ b/src/store/raft/election.rs
@@ -5,19 +5,20 @@
 use crate::Micros;
 
 impl<M: StateMachine> RaftNode<M> {
-    /// Sets the next election to a random time between one and two election timeouts from now; later after
-    /// elections without a result.
+    /// Sets the next election to a random time between one and two election timeouts from now. Each election
+    /// without a winner doubles that time, up to [`MAX_ELECTION_BACKOFF`] times.
     pub(super) fn reset_election_timer(&mut self, now: Micros) {
         let backoff = self.elections_without_leader.min(MAX_ELECTION_BACKOFF);
         self.next_deadline = now + ((ELECTION_TIMEOUT + self.election_jitter()) << backoff);
     }
 
-    /// The random part of an election timeout.
+    /// Draws the random part of an election timeout, less than [`ELECTION_TIMEOUT`].
     pub(super) fn election_jitter(&mut self) -> Micros {
         self.random.below(ELECTION_TIMEOUT)
     }
 
-    /// Steps down; a later term starts without a leader and without a vote.
+    /// Becomes a follower. A term later than the current one is adopted, without a known leader and without a
+    /// vote.
     pub(super) fn become_follower(&mut self, term: Term) {
         if term > self.hard_state.term {
             self.hard_state = HardState { term, voted_for: None };
@@ -36,15 +37,16 @@
         self.reset_election_timer(now);
     }
 
-    /// Whether a replica other than `candidate` is known to lead. A replica that was cut off starts one
-    /// election after another: while there is a leader, no other candidate gets a vote, so that it does not
-    /// disturb the group when it reconnects.
+    /// Returns whether this replica has heard from a leader other than `candidate` within an election
+    /// timeout. It then ignores the candidate's vote request and its term. A replica that was partitioned off
+    /// starts one election after another: without this check, the others would give up a working leader for
+    /// its later term when it reconnects.
     pub(super) fn follows_other_leader(&self, now: Micros, candidate: ReplicaId) -> bool {
-        let heard_lately = now < self.leader_heard_at + ELECTION_TIMEOUT;
-        self.leader.is_some_and(|leader| leader != candidate) && heard_lately
+        let heard_recently = now < self.leader_heard_at + ELECTION_TIMEOUT;
+        self.leader.is_some_and(|leader| leader != candidate) && heard_recently
     }
 
-    /// Becomes a candidate in the next term.
+    /// Becomes a candidate in the next term, and requests the votes of all peers.
     pub(super) fn start_election(&mut self, now: Micros) {
         self.hard_state = HardState { term: self.hard_state.term + 1, voted_for: Some(self.id) };
         self.role = Role::Candidate;
@@ -98,7 +100,7 @@
         self.count_votes(now);
     }
 
-    /// Becomes the leader with the votes of a quorum, including its own.
+    /// Becomes the leader if this candidate has the votes of a quorum, its own included.
     fn count_votes(&mut self, now: Micros) {
         let votes = 1 + self.peers.values().filter(|peer| peer.vote_granted).count();
         if self.role == Role::Candidate && votes >= self.quorum() {
@@ -116,7 +118,8 @@
             peer.match_index = 0;
             peer.unanswered_sends = 0;
         }
-        // Entries of earlier terms are committed only together with an entry of this one.
+        // Raft commits entries of earlier terms only together with an entry of the current term. Without this
+        // entry, they would stay uncommitted until the next proposal.
         self.append_entry(None);
         self.broadcast_append_entries(now);
     }
