--- a/src/store/raft/log.rs
+++ b/src/store/raft/log.rs
@@ -9,27 +9,27 @@
 }
 
 impl<C: Clone, S> Log<C, S> {
-    /// A log that starts from `snapshot`.
+    /// Creates a log that starts from `snapshot`. `entries` must follow the snapshot without a gap.
     pub fn new(snapshot: Snapshot<S>, entries: Vec<Entry<C>>) -> Self {
         Log { snapshot, entries }
     }
 
-    /// The snapshot that the log starts from.
+    /// Returns the snapshot that the log starts from.
     pub fn snapshot(&self) -> &Snapshot<S> {
         &self.snapshot
     }
 
-    /// The last entry in the log, committed or not.
+    /// Returns the index of the last entry, committed or not; the snapshot's if there is no entry.
     pub fn last_index(&self) -> Index {
         self.entries.last().map_or(self.snapshot.last_included_index, |entry| entry.index)
     }
 
-    /// The term of the last entry.
+    /// Returns the term of the last entry; the snapshot's if there is no entry.
     pub fn last_term(&self) -> Term {
         self.entries.last().map_or(self.snapshot.last_included_term, |entry| entry.term)
     }
 
-    /// The term of an entry; `None` for one that is compacted or not in the log yet.
+    /// Returns the term of the entry at `index`; `None` if that entry is compacted or not in the log yet.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.last_included_index {
             return Some(self.snapshot.last_included_term);
@@ -38,7 +38,7 @@
         self.entries.get(offset).map(|entry| entry.term)
     }
 
-    /// The entries from `index` on.
+    /// Returns the entries from `index` on.
     pub fn entries_from(&self, index: Index) -> &[Entry<C>] {
         let offset = usize::try_from(index.saturating_sub(self.first_index())).unwrap_or(usize::MAX);
         self.entries.get(offset..).unwrap_or_default()
@@ -51,15 +51,16 @@
         index
     }
 
-    /// Stores an entry at its index and removes all that follow it. Its index must be after the snapshot and
-    /// at most one after the last entry.
-    pub fn replace_from(&mut self, entry: Entry<C>) {
+    /// Replaces all entries from the index of `entry` on by `entry`. Its index must be after the snapshot's,
+    /// and at most one after the last entry's.
+    pub fn truncate_and_append(&mut self, entry: Entry<C>) {
         let offset = (entry.index - self.first_index()) as usize;
         self.entries.truncate(offset);
         self.entries.push(entry);
     }
 
-    /// Starts the log from a later snapshot of its own; the entries after it are kept.
+    /// Replaces the entries up to a snapshot of this replica's own state by that snapshot. The entries after
+    /// the snapshot are kept.
     pub fn compact(&mut self, snapshot: Snapshot<S>) {
         self.entries = self.entries_from(snapshot.last_included_index + 1).to_vec();
         self.snapshot = snapshot;
--- a/src/store/raft/replication.rs
+++ b/src/store/raft/replication.rs
@@ -1,4 +1,4 @@
-//! Log replication: sending and accepting entries, and committing them.
+//! Log replication: a leader sends entries, followers append them, and a quorum commits them.
 
 use super::messages::{
     AppendEntries, AppendEntriesReply, Entry, Index, InstallSnapshot, MessageBody, ReplicaId,
@@ -13,7 +13,7 @@
         self.mark_unpersisted(index);
     }
 
-    /// Sends every follower its missing entries, or a heartbeat.
+    /// Sends every follower the entries that it lacks, or a heartbeat.
     pub(super) fn broadcast_append_entries(&mut self, now: Micros) {
         self.next_deadline = now + HEARTBEAT_INTERVAL;
         for peer in self.peer_ids() {
@@ -22,8 +22,9 @@
         self.advance_commit_index();
     }
 
-    /// Sends a follower its missing entries, or the snapshot that precedes them; a heartbeat to one that is
-    /// silent.
+    /// Sends a follower the entries that it lacks, or the snapshot if the entry before them is compacted.
+    /// Sends a heartbeat instead if the follower lacks none, or has not replied and its resend delay has not
+    /// passed.
     fn send_append_entries(&mut self, now: Micros, to: ReplicaId) {
         let last_index = self.log.last_index();
         let Some(peer) = self.peers.get_mut(&to) else { return };
@@ -43,10 +44,10 @@
         self.send(to, MessageBody::AppendEntries(request));
     }
 
-    /// Sends the snapshot, or a heartbeat that follows it.
-    fn send_snapshot(&mut self, to: ReplicaId, complete: bool) {
+    /// Sends the snapshot, or only a heartbeat whose previous entry is the snapshot's last.
+    fn send_snapshot(&mut self, to: ReplicaId, include_snapshot: bool) {
         let snapshot = self.log.snapshot();
-        let body = if complete {
+        let body = if include_snapshot {
             MessageBody::InstallSnapshot(InstallSnapshot { snapshot: snapshot.clone() })
         } else {
             MessageBody::AppendEntries(AppendEntries {
@@ -67,23 +68,24 @@
     ) {
         self.accept_leader(now, leader);
         let prev_log_index = request.prev_log_index;
-        // Entries that are committed here are in every later leader's log.
-        let agrees = prev_log_index <= self.commit_index
+        // A committed entry is in the log of every later leader: the logs match up to the commit index.
+        let logs_match = prev_log_index <= self.commit_index
             || self.log.term_at(prev_log_index) == Some(request.prev_log_term);
-        if !agrees {
+        if !logs_match {
             let index = self.log.last_index().min(prev_log_index.saturating_sub(1));
             return self.reply_to_leader(leader, false, index);
         }
         let last_sent = request.entries.last().map_or(prev_log_index, |entry| entry.index);
-        self.take_entries(request.entries);
+        self.append_missing_entries(request.entries);
         let last_agreed = last_sent.min(self.log.last_index());
         self.commit_index = self.commit_index.max(request.leader_commit.min(last_agreed));
         self.apply_committed();
         self.reply_to_leader(leader, true, last_agreed);
     }
 
-    /// Replaces entries that conflict with the leader's by the leader's.
-    fn take_entries(&mut self, entries: Vec<Entry<M::Command>>) {
+    /// Appends the leader's entries that this log lacks. Removes an entry that conflicts with the leader's,
+    /// and all entries after it.
+    fn append_missing_entries(&mut self, entries: Vec<Entry<M::Command>>) {
         for entry in entries {
             if entry.index <= self.commit_index || self.log.term_at(entry.index) == Some(entry.term) {
                 continue;
@@ -92,7 +94,7 @@
                 break;
             }
             self.mark_unpersisted(entry.index);
-            self.log.replace_from(entry);
+            self.log.truncate_and_append(entry);
         }
     }
 
@@ -135,7 +137,7 @@
             peer.match_index = peer.match_index.max(reply.last_agreed_index);
             peer.next_index = peer.next_index.max(peer.match_index + 1);
         } else {
-            // Retry from an earlier entry, but not before what is known to be replicated there.
+            // Retry from an earlier entry, but from none that is known to be replicated on the peer.
             let earlier = peer.next_index.saturating_sub(1);
             peer.next_index = (reply.last_agreed_index + 1).min(earlier).max(peer.match_index + 1);
         }
@@ -146,7 +148,8 @@
         }
     }
 
-    /// A leader commits an entry of its own term once a quorum has it, and all entries before it.
+    /// Commits the last entry that a quorum has on the disk, and all before it, if that entry is of the
+    /// leader's own term. Then applies the committed entries.
     pub(super) fn advance_commit_index(&mut self) {
         let replicated = self.index_at_quorum();
         let own_term = self.log.term_at(replicated) == Some(self.hard_state.term);
@@ -156,7 +159,8 @@
         self.apply_committed();
     }
 
-    /// The last entry that a quorum has on the disk, this leader included.
+    /// Returns the highest index up to which a quorum has all entries on the disk. This leader's own disk
+    /// counts as one of the group's.
     fn index_at_quorum(&self) -> Index {
         let mut indexes: Vec<Index> = self.peers.values().map(|peer| peer.match_index).collect();
         indexes.push(self.persisted_index);
