--- a/src/store/raft/messages.rs
+++ b/src/store/raft/messages.rs
@@ -22,23 +22,23 @@
     pub command: Option<C>,
 }
 
-/// The state machine after all entries up to and including one.
+/// The state machine after all entries up to and including `last_included_index`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot<S> {
-    /// The last entry that the state includes.
+    /// The index of the last entry whose command the state includes.
     #[serde(rename = "index")]
     pub last_included_index: Index,
     /// The term of that entry.
     #[serde(rename = "term")]
     pub last_included_term: Term,
-    /// The state.
+    /// The state machine's state.
     pub state: S,
 }
 
-/// The hard state: what must survive a restart besides the log.
+/// The hard state: the term and the vote, which must survive a restart, as must the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term seen.
+    /// The latest term that this replica has seen.
     pub term: Term,
     /// The candidate that got this replica's vote in that term.
     #[serde(rename = "vote")]
@@ -68,7 +68,7 @@
     pub body: MessageBody<C, S>,
 }
 
-/// The requests and replies.
+/// The requests and replies of the Raft protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageBody<C, S> {
     /// A candidate requests a vote.
@@ -91,7 +91,7 @@
 /// A candidate's request for a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestVote {
-    /// The candidate's last entry.
+    /// The index of the last entry in the candidate's log.
     #[serde(rename = "last_index")]
     pub last_log_index: Index,
     /// The term of that entry.
@@ -107,10 +107,11 @@
     pub vote_granted: bool,
 }
 
-/// Entries that follow one which both logs should have; a heartbeat if there are none.
+/// A leader's entries after `prev_log_index`, up to which both logs should match. Without entries, a
+/// heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AppendEntries<C> {
-    /// The entry before the new ones.
+    /// The index of the entry before the new ones.
     #[serde(rename = "prev_index")]
     pub prev_log_index: Index,
     /// The term of that entry.
@@ -126,10 +127,10 @@
 /// The answer to [`AppendEntries`] and [`InstallSnapshot`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendEntriesReply {
-    /// Whether the entries were accepted.
+    /// Whether the follower accepted the entries or the snapshot.
     #[serde(rename = "ok")]
     pub success: bool,
-    /// On success, the last entry up to which the logs agree; otherwise the last one up to which they may.
+    /// On success, the index up to which the logs match; otherwise the highest index up to which they may.
     #[serde(rename = "index")]
     pub last_agreed_index: Index,
 }
