--- a/src/store/raft/slow_disk_tests.rs
+++ b/src/store/raft/slow_disk_tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use std::collections::VecDeque;
 
-/// The step of the simulated time.
+/// The interval by which the simulated time advances.
 const TIME_STEP: Micros = 5_000;
-/// The time in which the tests of the program expect a leader.
+/// The time limit for an election; the tests that run processes, in `tests/store.rs`, have the same limit.
 const AGREEMENT_LIMIT: Micros = 20_000_000;
 
 #[derive(Clone, Default)]
@@ -16,12 +16,12 @@
     fn apply(&mut self, (): ()) {}
 }
 
-/// A replica whose thread waits for each of its syncs, as the service does.
+/// A replica that handles no input during a disk sync, as the service thread does.
 struct Replica {
     node: RaftNode<NoState>,
     inbox: VecDeque<Input<(), NoState>>,
-    /// The outputs behind the sync that is in progress.
-    held_back: VecDeque<Output<(), NoState>>,
+    /// The outputs that wait for the sync in progress.
+    waiting_outputs: VecDeque<Output<(), NoState>>,
     sync_ends_at: Option<Micros>,
 }
 
@@ -37,15 +37,15 @@
         let replica = |id| Replica {
             node: RaftNode::new(id, &[0, 1, 2], PersistedState::default(), seed, 0),
             inbox: VecDeque::new(),
-            held_back: VecDeque::new(),
+            waiting_outputs: VecDeque::new(),
             sync_ends_at: None,
         };
         Group { replicas: (0..3).map(replica).collect(), sync_duration, now: 0 }
     }
 
-    /// Carries out outputs up to the next sync.
+    /// Carries out the waiting outputs of a replica up to the next sync.
     fn carry_out(&mut self, position: usize) {
-        while let Some(output) = self.replicas[position].held_back.pop_front() {
+        while let Some(output) = self.replicas[position].waiting_outputs.pop_front() {
             match output {
                 Output::Persist { .. } | Output::Compact { .. } => {
                     self.replicas[position].sync_ends_at = Some(self.now + self.sync_duration);
@@ -61,11 +61,12 @@
 
     fn step(&mut self, position: usize, input: Input<(), NoState>) {
         let outputs = self.replicas[position].node.step(self.now, input);
-        self.replicas[position].held_back.extend(outputs);
+        self.replicas[position].waiting_outputs.extend(outputs);
         self.carry_out(position);
     }
 
-    /// Lets a replica do what it can at this time.
+    /// Ends a replica's sync if it is due. Then handles its inputs, and a tick if none is left, until a sync
+    /// starts.
     fn run_replica(&mut self, position: usize) {
         let replica = &mut self.replicas[position];
         if let Some(end) = replica.sync_ends_at {
@@ -94,7 +95,7 @@
         first.leader.is_some() && self.replicas.iter().all(same)
     }
 
-    /// How long it takes until all agree; `None` if longer than `limit`.
+    /// Returns the time until all replicas agree on a leader; `None` if that takes longer than `limit`.
     fn time_to_agree(&mut self, limit: Micros) -> Option<Micros> {
         while self.now < limit {
             self.now += TIME_STEP;
@@ -108,11 +109,11 @@
 }
 
 #[test]
-fn a_leader_is_agreed_on_in_time_though_a_sync_takes_longer_than_an_election_timeout() {
+fn a_leader_is_elected_although_disk_syncs_take_longer_than_the_election_timeout() {
     for sync_duration in [0, 100_000, 200_000, 300_000, 500_000, 700_000] {
         for seed in 0..50 {
             let time = Group::new(seed, sync_duration).time_to_agree(AGREEMENT_LIMIT);
-            assert!(time.is_some(), "seed {seed}, {sync_duration} us a sync");
+            assert!(time.is_some(), "no leader with seed {seed} and syncs of {sync_duration} us");
         }
     }
 }
--- a/src/store/raft/tests.rs
+++ b/src/store/raft/tests.rs
@@ -1,7 +1,7 @@
 use super::messages::{AppendEntriesReply, RequestVote, RequestVoteReply};
 use super::*;
 
-/// A state machine that keeps every command.
+/// A state machine whose state is the list of all applied commands.
 #[derive(Clone, Default, Debug, PartialEq)]
 struct CommandHistory(Vec<u64>);
 
@@ -12,7 +12,7 @@
     }
 }
 
-/// Three replicas with what they have persisted, the clock, and which of them are partitioned off.
+/// Three replicas in simulated time, with the persisted state of each and whether it is partitioned off.
 struct Group {
     nodes: Vec<RaftNode<CommandHistory>>,
     persisted: Vec<PersistedState<u64, CommandHistory>>,
@@ -27,7 +27,7 @@
         Group { nodes: (0..3).map(node).collect(), persisted, partitioned: vec![false; 3], now: 0 }
     }
 
-    /// Passes an input to a replica, and delivers all messages that follow from it.
+    /// Passes an input to a replica, and delivers all messages that result from it.
     fn input(&mut self, to: usize, input: Input<u64, CommandHistory>) {
         let mut pending = vec![(to, input)];
         while let Some((to, input)) = pending.pop() {
@@ -96,13 +96,13 @@
     group.input(old_leader, Input::Propose(1));
     group.advance_time(200_000);
     group.partitioned[old_leader] = true;
-    // Not committed: only the old leader has it.
+    // This entry is not committed: only the old leader has it.
     group.input(old_leader, Input::Propose(99));
     group.advance_time(2_000_000);
     let new_leader = group.leader();
     group.input(new_leader, Input::Propose(2));
     group.advance_time(200_000);
-    assert_eq!(group.nodes[old_leader].state_machine().0, [1], "a minority commits nothing");
+    assert_eq!(group.nodes[old_leader].state_machine().0, [1], "the old leader has no quorum");
     group.partitioned[old_leader] = false;
     group.restart(old_leader);
     group.advance_time(2_000_000);
@@ -119,8 +119,8 @@
     for command in 0..(2 * COMPACT_AFTER_ENTRIES) {
         group.input(leader, Input::Propose(command));
     }
-    let kept = group.persisted[leader].entries.len() as u64;
-    assert!(kept <= COMPACT_AFTER_ENTRIES, "the log is compacted");
+    let remaining = group.persisted[leader].entries.len() as u64;
+    assert!(remaining <= COMPACT_AFTER_ENTRIES, "the log is compacted");
     group.partitioned[lagging] = false;
     group.advance_time(3_000_000);
     assert_eq!(group.nodes[lagging].state_machine(), group.nodes[leader].state_machine());
@@ -141,12 +141,12 @@
     assert_eq!(group.persisted[0].hard_state, HardState { term: 5, voted_for: Some(1) });
     group.restart(0);
     let outputs = group.nodes[0].step(0, request(2));
-    let refusal = MessageBody::RequestVoteReply(RequestVoteReply { vote_granted: false });
-    let refuses = |output: &Output<u64, CommandHistory>| match output {
-        Output::Send { to: 2, message } => message.body == refusal,
+    let vote_denied = MessageBody::RequestVoteReply(RequestVoteReply { vote_granted: false });
+    let denies_vote = |output: &Output<u64, CommandHistory>| match output {
+        Output::Send { to: 2, message } => message.body == vote_denied,
         _ => false,
     };
-    assert!(outputs.iter().any(refuses), "{outputs:?}");
+    assert!(outputs.iter().any(denies_vote), "{outputs:?}");
 }
 
 #[test]
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_silent_follower_is_sent_entries_ever_more_rarely_and_all_of_them_once_it_answers() {
+fn entries_are_resent_with_backoff_to_a_silent_follower_until_it_replies() {
     let mut leader: RaftNode<CommandHistory> = RaftNode::new(0, &[0, 1, 2], PersistedState::default(), 1, 0);
     let mut now = 0;
     let message = |term, body| Input::Message(Message { from: 2, term, body });
@@ -202,11 +202,11 @@
             with_entries += usize::from(!entries.is_empty());
         }
     }
-    assert_eq!(heartbeats, 100, "the follower hears from its leader all the same");
-    assert!((3..15).contains(&with_entries), "{with_entries} times all entries");
-    let last_sent = leader.last_log_index();
+    assert_eq!(heartbeats, 100, "the leader sends all heartbeats to a silent follower");
+    assert!((3..15).contains(&with_entries), "entries were sent {with_entries} times in 100 heartbeats");
+    let last_index = leader.last_log_index();
     let reply = AppendEntriesReply { success: true, last_agreed_index: 1 };
     let reply = message(leader.status().term, MessageBody::AppendEntriesReply(reply));
     let entries = sent_to_follower(leader.step(now, reply)).unwrap();
-    assert_eq!(entries.last().map(|entry| entry.index), Some(last_sent), "at once when it answers");
+    assert_eq!(entries.last().map(|entry| entry.index), Some(last_index), "the reply makes the leader send");
 }
