--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The command line's side: sends requests to the replicas over their sockets.
+//! The command line's client: sends requests to the replicas over their sockets.
 
 use super::config::{Replica, StoreConfig};
 use super::error::StoreError;
@@ -9,22 +9,22 @@
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
 
-/// The answer of a replica.
+/// The result of a status query to one replica.
 #[derive(Debug)]
 pub struct ReplicaStatus {
-    /// The replica.
+    /// The id of the replica.
     pub id: ReplicaId,
-    /// Its status, or why there is none.
+    /// The replica's status, or why the query failed.
     pub status: Result<Status, StoreError>,
 }
 
-/// Asks each replica for its status.
+/// Queries the status of each replica.
 pub fn status(config: &StoreConfig) -> Vec<ReplicaStatus> {
-    let ask = |replica: &Replica| ReplicaStatus {
+    let query = |replica: &Replica| ReplicaStatus {
         id: replica.id,
         status: request(replica.address, &Frame::Status),
     };
-    config.replicas.iter().map(ask).collect()
+    config.replicas.iter().map(query).collect()
 }
 
 /// Changes a setting, and returns once a quorum has persisted the change.
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated store of the daemon's own configuration and state: settings, the last endpoint list and the
+//! The replicated store of the proxy's own configuration and state: settings, the last endpoint list and the
 //! catalogue of prepared statements.
 //!
 //! Each change is an entry of a Raft log. A separate thread runs the replica; no request and no routing
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most statements in the catalogue; the oldest are evicted.
+/// The most statements in the catalogue. Above it, the oldest statements are evicted.
 const MAX_STATEMENTS: usize = 512;
-/// The most settings; further names are rejected.
+/// The most settings. Above it, settings with new names are ignored.
 const MAX_SETTINGS: usize = 256;
 
 /// A statement that a client prepared.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
-    /// Its text.
+    /// The SQL text.
     pub sql: String,
-    /// Its parameter types, as the client sent them.
+    /// The parameter types, as encoded in the client's Parse message.
     pub types: Vec<u8>,
 }
 
@@ -26,9 +26,9 @@
 pub enum Change {
     /// Sets a setting, by name.
     Set(String, serde_json::Value),
-    /// Updates the endpoint list.
+    /// Merges an update into the endpoint list.
     Members(EndpointList),
-    /// Adds a prepared statement.
+    /// Adds a prepared statement to the catalogue.
     Prepared(Statement),
 }
 
@@ -37,7 +37,7 @@
 pub struct State {
     /// Settings by name; `proxy` is the proxy's own configuration.
     pub settings: BTreeMap<String, serde_json::Value>,
-    /// The endpoint list.
+    /// The last endpoint list.
     pub members: EndpointList,
     /// The catalogue of prepared statements, the newest last.
     pub statements: VecDeque<Statement>,
