--- a/src/store/log_file.rs
+++ b/src/store/log_file.rs
@@ -1,8 +1,9 @@
-//! A replica's log file. Each record is on the disk before it counts. A record that is cut off at the end of
-//! the file, because the machine stopped while it was written, is dropped; damage elsewhere is an error.
+//! A replica's log file. A record counts as persisted only when it is synced to the disk. An incomplete
+//! record at the end of the file, left by a machine that stopped during a write, is dropped. Damage elsewhere
+//! is an error.
 //!
-//! After a write or a sync that failed, nobody knows what the disk holds behind the last synced record. Then
-//! nothing is appended any more: only [`LogFile::replace`], with the complete contents, makes the log usable.
+//! After a failed write or sync, the contents of the disk behind the last synced record are unknown. From
+//! then on, appending fails until [`LogFile::replace`] has written the complete contents to a new file.
 
 use super::LOG_TARGET;
 use super::error::StoreError;
@@ -16,9 +17,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file in the data directory.
+/// The name of the log file in the data directory.
 const FILE_NAME: &str = "log";
-/// The extension of the file that replaces it.
+/// The extension of the new file that replaces the log file.
 const REPLACEMENT_EXTENSION: &str = "new";
 
 /// A log file.
@@ -26,11 +27,11 @@
     files: Box<dyn FileOperations>,
     directory: PathBuf,
     path: PathBuf,
-    /// `None` after a failure, until the file is replaced.
+    /// The open file; `None` after a failure, until the file is replaced.
     synced: Option<SyncedFile>,
 }
 
-/// A log file all of whose records are on the disk.
+/// An open log file whose records are all on the disk.
 struct SyncedFile {
     file: File,
     length: u64,
@@ -44,13 +45,13 @@
     pub log_file: LogFile,
     /// Its contents.
     pub persisted: PersistedState<C, S>,
-    /// Why the file can't be written to for the time being; `None` if it can.
+    /// The error that keeps the file from being written to but may be transient; `None` for a usable file.
     pub failure: Option<io::Error>,
 }
 
 impl LogFile {
-    /// Opens or creates the file in a data directory. It is an error if the file is damaged or the directory
-    /// can't be used, but not if the disk is full or fails to write: that may pass.
+    /// Opens or creates the log file in a data directory. A damaged file or an unusable directory is an error.
+    /// A full disk or a failed write may be transient, and is reported in [`OpenedLog::failure`] instead.
     pub fn open<C: DeserializeOwned, S: DeserializeOwned + Default>(
         files: Box<dyn FileOperations>,
         directory: &Path,
@@ -67,14 +68,14 @@
         let mut log_file = LogFile { files, directory: directory.to_path_buf(), path, synced: None };
         let failure = match log_file.open_synced(records.end as u64, persisted.hard_state) {
             Ok(()) => None,
-            Err(error) if may_pass(&error) => Some(error),
+            Err(error) if may_be_transient(&error) => Some(error),
             Err(error) => return Err(unusable(error)),
         };
         Ok(OpenedLog { log_file, persisted, failure })
     }
 
-    /// Opens the file to append to it. Its first `length` bytes are complete records, which the last process
-    /// may have written without a sync.
+    /// Opens the file to append to it, and drops all but its first `length` bytes, the complete records.
+    /// Syncs these: the previous process may have written them without a sync.
     fn open_synced(&mut self, length: u64, hard_state: HardState) -> io::Result<()> {
         self.files.create_directory(&self.directory)?;
         let file = self.files.open_for_append(&self.path)?;
@@ -85,7 +86,8 @@
         Ok(())
     }
 
-    /// Appends term and vote, if they have changed, and entries; they are on the disk when this returns.
+    /// Appends the hard state, if it has changed, and the entries. They are on the disk when this returns
+    /// `Ok`.
     pub fn append<C: Serialize + Clone>(
         &mut self,
         hard_state: HardState,
@@ -100,7 +102,8 @@
             record::encode(&Record::<C, ()>::Entry(entry.clone()), &mut bytes)?;
         }
         if let Err(error) = self.write_and_sync(&mut synced.file, &bytes) {
-            // What may be half written is not left for the next process to read, as far as the disk allows.
+            // Removes records that may be half written, so that the next process does not read them. On a
+            // failed disk, this may fail, too.
             let _ = self.files.truncate(&synced.file, synced.length);
             return Err(error.into());
         }
@@ -109,8 +112,8 @@
         Ok(())
     }
 
-    /// Replaces the file atomically, whatever state it is in: after a crash, either the old or the new one
-    /// exists, and on an error, too.
+    /// Replaces the file atomically, also after a failed write. After a crash or an error, either the old or
+    /// the new file exists.
     pub fn replace<C: Serialize, S: Serialize>(
         &mut self,
         contents: PersistedState<C, S>,
@@ -135,7 +138,7 @@
     }
 }
 
-/// The contents of a file; empty if there is none.
+/// Returns the contents of a file; empty if the file does not exist.
 fn read_if_present(path: &Path) -> io::Result<Vec<u8>> {
     match std::fs::read(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
@@ -143,8 +146,8 @@
     }
 }
 
-/// Whether a write may succeed later though nothing is changed in the configuration.
-fn may_pass(error: &io::Error) -> bool {
+/// Returns whether a write may succeed later without a change of the configuration.
+fn may_be_transient(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOSPC | Errno::DQUOT | Errno::IO))
 }
 
@@ -158,7 +161,7 @@
     Ok(bytes)
 }
 
-/// The state that results from the records.
+/// Returns the state that results from the records in their order.
 fn replay<C: DeserializeOwned, S: DeserializeOwned + Default>(
     payloads: &[&[u8]],
 ) -> Result<PersistedState<C, S>, StoreError> {
--- a/src/store/log_file/tests.rs
+++ b/src/store/log_file/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_incomplete_last_record_is_dropped_wherever_it_is_cut_and_the_log_goes_on() {
+fn an_incomplete_last_record_is_dropped_and_further_records_can_be_appended() {
     let directory = empty_directory("incomplete");
     let path = directory.join(FILE_NAME);
     let (mut log_file, _) = open(&directory).unwrap();
@@ -41,17 +41,17 @@
         log_file.append(hard_state, &[entry(3)]).unwrap();
         assert_eq!(read(&directory).entries.len(), 3, "cut at {cut}");
     }
-    let mut flipped = bytes.clone();
-    *flipped.last_mut().unwrap() ^= 1;
-    std::fs::write(&path, &flipped).unwrap();
-    assert_eq!(read(&directory).entries.len(), 2, "a last record half written");
+    let mut corrupted = bytes.clone();
+    *corrupted.last_mut().unwrap() ^= 1;
+    std::fs::write(&path, &corrupted).unwrap();
+    assert_eq!(read(&directory).entries.len(), 2, "the last record has a wrong checksum");
     std::fs::write(&path, [&bytes[..complete], &[0; 64]].concat()).unwrap();
-    assert_eq!(read(&directory).entries.len(), 2, "zeros after the end");
+    assert_eq!(read(&directory).entries.len(), 2, "zeros after the last complete record");
     std::fs::remove_dir_all(&directory).unwrap();
 }
 
 #[test]
-fn a_log_cut_at_any_byte_has_the_records_before_the_cut() {
+fn a_log_truncated_at_any_byte_has_all_complete_records_before_the_cut() {
     let directory = empty_directory("cut");
     let path = directory.join(FILE_NAME);
     let (mut log_file, empty) = open(&directory).unwrap();
@@ -103,14 +103,14 @@
     std::fs::remove_dir_all(&directory).unwrap();
 }
 
-/// Writes what could not be written, once the disk is back.
-fn write_again(log_file: &mut LogFile, state: &PersistedState<String, Vec<u8>>) {
+/// Replaces the log by the complete state, as the service does after a failed write.
+fn replace_after_failure(log_file: &mut LogFile, state: &PersistedState<String, Vec<u8>>) {
     log_file.replace(state.clone()).unwrap();
 }
 
 #[test]
-fn what_a_failed_write_or_sync_left_out_is_there_once_it_is_written_again() {
-    // After opening, the operations are a write and a sync.
+fn entries_whose_write_or_sync_failed_are_in_the_log_after_it_is_replaced() {
+    // An append is two operations, a write and a sync.
     for failing in [0, 1] {
         let directory = empty_directory(&format!("again-{failing}"));
         let files = FaultyFiles::default();
@@ -124,7 +124,7 @@
         let appended = log_file.append(hard_state, &[entry(1)]);
         assert!(matches!(appended, Err(StoreError::LogNotReplaced)), "{appended:?}");
         let state = PersistedState { hard_state, snapshot: Snapshot::default(), entries: vec![entry(1)] };
-        write_again(&mut log_file, &state);
+        replace_after_failure(&mut log_file, &state);
         assert_eq!(open(&directory).map(|opened| opened.1).ok(), Some(state), "operation {failing}");
         std::fs::remove_dir_all(&directory).unwrap();
     }
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -5,20 +5,20 @@
 use super::raft::{Entry, HardState, Snapshot};
 use serde::{Deserialize, Serialize};
 
-/// The size of the length and the checksum before each payload.
+/// The size of the length and the checksum before each payload, in bytes.
 pub const HEADER_BYTES: usize = 8;
-/// The longest payload: a snapshot of the complete state.
+/// The longest payload. The longest records are snapshots of the complete state.
 const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 
 /// The payload of a record. The serde names are stored; they must not change.
 #[derive(Deserialize, Serialize)]
 pub enum Record<C, S> {
-    /// Term and vote, in place of those before.
+    /// The term and the vote. Replaces those of earlier records.
     #[serde(rename = "Hard")]
     HardState(HardState),
-    /// An entry, in place of all from its index on.
+    /// An entry. Replaces all earlier entries from its index on.
     Entry(Entry<C>),
-    /// A snapshot, in place of all entries before.
+    /// A snapshot. Replaces all entries and the snapshot of earlier records.
     Snapshot(Snapshot<S>),
 }
 
@@ -26,18 +26,18 @@
 pub struct DecodedRecords<'a> {
     /// The payload of each complete record.
     pub payloads: Vec<&'a [u8]>,
-    /// Where the last complete record ends.
+    /// The offset at which the last complete record ends.
     pub end: usize,
 }
 
-/// A record as stored in the file, with a payload that may be damaged.
+/// A record as stored in the file. Its payload may be damaged.
 struct RawRecord<'a> {
     checksum: u32,
     payload: &'a [u8],
 }
 
 impl<'a> RawRecord<'a> {
-    /// The record at the start of `bytes`; `None` if it is not complete.
+    /// Reads the record at the start of `bytes`; `None` if it is incomplete.
     fn read(bytes: &'a [u8]) -> Option<Self> {
         let (length, rest) = bytes.split_first_chunk()?;
         let (checksum, rest) = rest.split_first_chunk()?;
@@ -47,8 +47,8 @@
     }
 
     fn is_intact(&self) -> bool {
-        let plausible = !self.payload.is_empty() && self.payload.len() <= MAX_PAYLOAD_BYTES;
-        plausible && crc32fast::hash(self.payload) == self.checksum
+        let has_valid_length = !self.payload.is_empty() && self.payload.len() <= MAX_PAYLOAD_BYTES;
+        has_valid_length && crc32fast::hash(self.payload) == self.checksum
     }
 
     fn len(&self) -> usize {
@@ -68,13 +68,15 @@
     Ok(())
 }
 
-/// Finds the records in a log file, up to one that was not completely written.
+/// Returns the records of a log file, up to the first incomplete one. A damaged record is an error, unless
+/// it is the last one.
 pub fn decode(bytes: &[u8]) -> Result<DecodedRecords<'_>, StoreError> {
     let mut records = DecodedRecords { payloads: Vec::new(), end: 0 };
     while let Some(record) = RawRecord::read(&bytes[records.end..]) {
         if !record.is_intact() {
             let rest = &bytes[records.end..];
-            // Space that was reserved but never written reads as zeros; the last record may be half written.
+            // After a crash, space that was reserved but never written reads as zeros, and the last record may
+            // be half written.
             if rest.iter().all(|byte| *byte == 0) || record.len() == rest.len() {
                 break;
             }
