--- a/src/store/faulty_files.rs
+++ b/src/store/faulty_files.rs
@@ -1,4 +1,4 @@
-//! File operations that fail when a test says so.
+//! File operations that tests can make fail.
 
 use super::file_operations::{FileOperations, SystemFiles};
 use rustix::io::Errno;
@@ -8,47 +8,47 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// The operations of the operating system on a disk that fails for a while: a write then leaves the first
-/// half of its bytes in the file. Clones share the disk.
+/// The operating system's file operations, of which a range fails. A write that fails leaves the first half
+/// of its bytes in the file. Clones share the count of operations and the failing range.
 #[derive(Clone, Default)]
 pub struct FaultyFiles(Arc<Mutex<Disk>>);
 
 #[derive(Default)]
 struct Disk {
-    /// The number of operations so far.
+    /// The number of operations, failed ones included.
     operations: usize,
-    /// The operations that fail.
+    /// The operations that fail, counted from 0.
     failing: Range<usize>,
 }
 
 impl FaultyFiles {
-    /// A disk on which these operations fail, counted from 0.
+    /// Creates a disk on which the operations in this range fail, counted from 0.
     pub fn with_failing(failing: Range<usize>) -> Self {
         FaultyFiles(Arc::new(Mutex::new(Disk { operations: 0, failing })))
     }
 
-    /// From now on, all operations fail.
+    /// Makes all further operations fail.
     pub fn fail(&self) {
         let mut disk = self.0.lock().unwrap();
         disk.failing = disk.operations..usize::MAX;
     }
 
-    /// Only this operation fails, counted from 0.
+    /// Makes only this operation fail, counted from 0.
     pub fn fail_only(&self, operation: usize) {
         self.0.lock().unwrap().failing = operation..operation + 1;
     }
 
-    /// From now on, no operation fails.
+    /// Makes all further operations succeed.
     pub fn repair(&self) {
         self.0.lock().unwrap().failing = 0..0;
     }
 
-    /// The number of operations so far.
+    /// Returns the number of operations, failed ones included.
     pub fn operations(&self) -> usize {
         self.0.lock().unwrap().operations
     }
 
-    /// Counts an operation, and fails if it has to.
+    /// Counts an operation, and returns `error` if it is in the failing range.
     fn check(&self, error: Errno) -> io::Result<()> {
         let mut disk = self.0.lock().unwrap();
         disk.operations += 1;
--- a/src/store/persistent_log.rs
+++ b/src/store/persistent_log.rs
@@ -1,4 +1,5 @@
-//! The log on the disk as the service sees it: healthy, or failed until it is replaced by what is in memory.
+//! The log on the disk and its health. After a failed write, the log can't be used until its contents are
+//! replaced by those in memory.
 
 use super::LOG_TARGET;
 use super::error::StoreError;
@@ -9,19 +10,21 @@
 use crate::clock::Clock;
 use crate::random::RandomSource;
 
-/// The delay before the first replacement of a failed log: an error that passes at once costs the group less
-/// than an election. Each later delay is twice as long.
+/// The delay before the first attempt to replace a failed log. It is shorter than an election, so that a
+/// transient error costs the group less time than an election does. Each later delay is twice as long.
 const FIRST_RETRY_DELAY: Micros = 100_000;
-/// The longest delay: a disk that has space again is used this much later at most, plus the jitter.
+/// The longest delay between two attempts. A disk that has space again is used after at most this time, plus
+/// the jitter.
 const MAX_RETRY_DELAY: Micros = 5_000_000;
-/// The jitter is up to this fraction of a delay: replicas that share a disk don't write at the same time.
+/// The random jitter of a delay is less than the delay divided by this. Without jitter, replicas that share a
+/// disk would replace their logs at the same time.
 const JITTER_DIVISOR: Micros = 4;
 
-/// The log could not be written to. [`PersistentLog::failure`] says why.
+/// The log could not be written to. [`PersistentLog::failure`] returns the error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PersistFailed;
 
-/// The state of the log.
+/// The health of the log.
 enum LogState {
     /// All that was persisted is on the disk.
     Healthy,
@@ -30,11 +33,11 @@
 }
 
 struct Failure {
-    /// The first error.
+    /// The text of the first error.
     error: String,
-    since: Micros,
+    failed_at: Micros,
     attempts: u64,
-    /// The delay before the next replacement, without its jitter.
+    /// The delay before the next attempt to replace the log, without its jitter.
     delay: Micros,
     retry_at: Micros,
 }
@@ -48,19 +51,20 @@
 }
 
 impl PersistentLog {
-    /// A log that is healthy; in memory only without a file.
+    /// Creates a healthy log; without a file, the log is in memory only.
     pub fn new(file: Option<LogFile>, clock: Clock, seed: u64) -> Self {
         PersistentLog { file, state: LogState::Healthy, clock, random: RandomSource::new(seed) }
     }
 
-    /// Appends term and vote, if they have changed, and entries.
+    /// Appends the hard state, if it has changed, and the entries. They are on the disk when this returns
+    /// `Ok`.
     pub fn append(&mut self, hard_state: HardState, entries: &[Entry<Change>]) -> Result<(), PersistFailed> {
         let Some(file) = &mut self.file else { return Ok(()) };
         let result = file.append(hard_state, entries);
         result.map_err(|error| self.fail(&error))
     }
 
-    /// Replaces the log.
+    /// Replaces the contents of the log. A failed log is healthy again if this succeeds.
     pub fn replace(&mut self, contents: PersistedState<Change, State>) -> Result<(), PersistFailed> {
         let Some(file) = &mut self.file else { return Ok(()) };
         match file.replace(contents) {
@@ -72,7 +76,7 @@
         }
     }
 
-    /// When the log has to be replaced next; `None` for a healthy one.
+    /// Returns when the next attempt to replace a failed log is due; `None` for a healthy log.
     pub fn retry_at(&self) -> Option<Micros> {
         match &self.state {
             LogState::Healthy => None,
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Why nothing can be persisted; `None` for a healthy log.
+    /// Returns the first error of a failed log; `None` for a healthy log.
     pub fn failure(&self) -> Option<&str> {
         match &self.state {
             LogState::Healthy => None,
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Notes a failure, the first one in the process's log, too, and schedules the next replacement.
+    /// Records a failure and schedules the next attempt to replace the log. Logs only the first error.
     pub fn fail(&mut self, error: &StoreError) -> PersistFailed {
         let now = self.clock.now();
         let failure = match std::mem::replace(&mut self.state, LogState::Healthy) {
@@ -98,7 +102,7 @@
                 );
                 Failure::first(now, error)
             }
-            LogState::Failed(failure) => failure.again(now),
+            LogState::Failed(failure) => failure.after_failed_attempt(now),
         };
         let jitter = self.random.below(failure.delay / JITTER_DIVISOR);
         self.state = LogState::Failed(Failure { retry_at: failure.retry_at + jitter, ..failure });
@@ -107,7 +111,7 @@
 
     fn recover(&mut self) {
         if let LogState::Failed(failure) = std::mem::replace(&mut self.state, LogState::Healthy) {
-            let failed_ms = self.clock.now().saturating_sub(failure.since) / 1000;
+            let failed_ms = self.clock.now().saturating_sub(failure.failed_at) / 1000;
             let attempts = failure.attempts;
             tracing::info!(target: LOG_TARGET, failed_ms, attempts, "raft log is written again");
         }
@@ -118,15 +122,15 @@
     fn first(now: Micros, error: &StoreError) -> Self {
         Failure {
             error: error.to_string(),
-            since: now,
+            failed_at: now,
             attempts: 1,
             delay: FIRST_RETRY_DELAY,
             retry_at: now + FIRST_RETRY_DELAY,
         }
     }
 
-    /// After another failure, with the next longer delay.
-    fn again(self, now: Micros) -> Self {
+    /// Counts another failed attempt, and doubles the delay up to [`MAX_RETRY_DELAY`].
+    fn after_failed_attempt(self, now: Micros) -> Self {
         let delay = (self.delay * 2).min(MAX_RETRY_DELAY);
         Failure { attempts: self.attempts + 1, delay, retry_at: now + delay, ..self }
     }
