--- a/src/store/log_file.rs
+++ b/src/store/log_file.rs
@@ -50,8 +50,8 @@
 }
 
 impl LogFile {
-    /// Opens or creates the log file in a data directory. A damaged file or an unusable directory is an error.
-    /// A full disk or a failed write may be transient, and is reported in [`OpenedLog::failure`] instead.
+    /// Opens or creates the log file in a data directory. A damaged file or an unusable directory is an
+    /// error. A full disk or a failed write may be transient, and is reported in [`OpenedLog::failure`].
     pub fn open<C: DeserializeOwned, S: DeserializeOwned + Default>(
         files: Box<dyn FileOperations>,
         directory: &Path,
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -75,8 +75,8 @@
     while let Some(record) = RawRecord::read(&bytes[records.end..]) {
         if !record.is_intact() {
             let rest = &bytes[records.end..];
-            // After a crash, space that was reserved but never written reads as zeros, and the last record may
-            // be half written.
+            // After a crash, space that was reserved but never written reads as zeros, and the last record
+            // may be half written.
             if rest.iter().all(|byte| *byte == 0) || record.len() == rest.len() {
                 break;
             }
