--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -1,4 +1,4 @@
-//! The file that names the replicas (`deploy/store.toml`).
+//! The configuration file of a replica, such as `deploy/store.toml`.
 
 use super::error::StoreError;
 use super::raft::ReplicaId;
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The replicas of the store, as one of them is configured.
+/// The configuration of one replica of the store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreConfig {
-    /// This replica.
+    /// The id of this replica.
     pub id: ReplicaId,
-    /// The directory of its log; without one, the log is in memory only.
+    /// The directory of this replica's log; without one, the log is in memory only.
     #[serde(rename = "data")]
     pub data_directory: Option<PathBuf>,
     /// All replicas, including this one; if empty, this is the only replica and accepts no connections.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replica {
-    /// Its id.
+    /// The id of the replica.
     pub id: ReplicaId,
     /// The address for connections from the other replicas and the command line.
     pub address: SocketAddr,
@@ -37,13 +37,13 @@
         if listed { Ok(()) } else { Err(StoreError::ReplicaNotListed(self.id)) }
     }
 
-    /// The address at which this replica accepts connections, if it does.
+    /// Returns the address at which this replica accepts connections; `None` if no replicas are listed.
     pub fn own_address(&self) -> Option<SocketAddr> {
         let own = self.replicas.iter().find(|replica| replica.id == self.id);
         own.map(|replica| replica.address)
     }
 
-    /// A single replica that persists nothing across a restart.
+    /// Returns the configuration of a single replica with its log in memory only.
     pub fn single_in_memory() -> Self {
         StoreConfig { id: 1, data_directory: None, replicas: Vec::new() }
     }
--- a/src/store/file_operations.rs
+++ b/src/store/file_operations.rs
@@ -1,4 +1,4 @@
-//! The file operations of the log, as a trait: tests let them fail.
+//! The file operations of the log, as a trait, so that tests can make them fail.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -14,17 +14,17 @@
     fn create(&self, path: &Path) -> io::Result<File>;
     /// Writes all bytes. After an error, any number of them may have been written.
     fn write(&self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file to a length.
+    /// Truncates a file to `length` bytes.
     fn truncate(&self, file: &File, length: u64) -> io::Result<()>;
-    /// Returns once the contents are on the disk.
+    /// Syncs a file: returns once its contents are on the disk.
     fn sync(&self, file: &File) -> io::Result<()>;
     /// Renames a file, in place of any that has the new name.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
-    /// Returns once the names in a directory are on the disk.
+    /// Syncs a directory: returns once the names of its files are on the disk.
     fn sync_directory(&self, path: &Path) -> io::Result<()>;
 }
 
-/// The operations of the operating system.
+/// The file operations of the operating system.
 pub struct SystemFiles;
 
 impl FileOperations for SystemFiles {
--- a/src/store/protocol.rs
+++ b/src/store/protocol.rs
@@ -16,7 +16,7 @@
 pub enum Frame {
     /// A raft message from another replica.
     Peer(PeerMessage),
-    /// A change that another replica's proxy proposes; dropped where this replica is not the leader.
+    /// A change that another replica's proxy proposes. Dropped unless the receiver is the leader.
     Forward(Change),
     /// A change from the command line; answered with a [`Status`] once it is committed.
     Put(Change),
@@ -27,22 +27,22 @@
 /// A replica's answer to the command line.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The replica that answers.
+    /// The id of the replica that answers.
     pub id: ReplicaId,
-    /// Its term.
+    /// The replica's current term.
     pub term: Term,
-    /// The leader, as far as it knows.
+    /// The leader of that term, if the replica knows it.
     pub leader: Option<ReplicaId>,
-    /// The last entry that it knows to be committed.
+    /// The index of the last entry that the replica knows to be committed.
     #[serde(rename = "committed")]
     pub commit_index: Index,
-    /// Whether the change that this answers is committed.
+    /// Whether the put that this status answers is committed; `false` in answers to a status query.
     #[serde(rename = "done")]
     pub put_committed: bool,
-    /// Why the replica can't write to its log at present; absent while it can.
+    /// The error that keeps the replica from writing to its log; absent while the log is healthy.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub log_error: Option<String>,
-    /// Its state.
+    /// The replicated state after the last entry that the replica has applied.
     pub state: State,
 }
 
@@ -50,20 +50,20 @@
 pub enum ServiceRequest {
     /// A raft message from another replica.
     PeerMessage(PeerMessage),
-    /// A change that the local proxy proposes; kept until there is a leader.
+    /// A change that the local proxy proposes. Queued until there is a leader.
     Propose(Change),
-    /// A change that another replica's proxy proposes; dropped where this replica is not the leader.
+    /// A change that another replica's proxy proposes. Dropped unless this replica is the leader.
     ProposeForwarded(Change),
     /// A change from the command line.
     Put {
         /// The change.
         change: Change,
-        /// The sender for the answer once the change is committed.
+        /// Receives the answer when the change is committed or has failed.
         reply: Sender<Status>,
     },
     /// A query from the command line.
     Status {
-        /// The sender for the answer.
+        /// Receives the answer.
         reply: Sender<Status>,
     },
 }
