--- a/src/store/proposals.rs
+++ b/src/store/proposals.rs
@@ -4,20 +4,20 @@
 use crate::endpoint_list::EndpointList;
 use std::collections::VecDeque;
 
-/// A bounded queue of changes, of which only those count whose effect later ones don't replace.
+/// A bounded queue of changes. A change that a later one makes redundant is removed.
 pub struct Proposals {
     changes: VecDeque<Change>,
     capacity: usize,
 }
 
 impl Proposals {
-    /// An empty queue. Above its capacity, the oldest prepared statements are dropped, which the state would
-    /// evict first.
+    /// Creates an empty queue. A change above its capacity drops the oldest prepared statement, which the
+    /// state would evict first; without one, the first change.
     pub fn new(capacity: usize) -> Self {
         Proposals { changes: VecDeque::new(), capacity }
     }
 
-    /// Adds a change at the end.
+    /// Adds a change at the end. Merges an endpoint list with the one that waits.
     pub fn push(&mut self, change: Change) {
         let change = match change {
             Change::Members(update) => Change::Members(self.take_endpoint_list().followed_by(update)),
@@ -33,12 +33,12 @@
         self.changes.push_back(change);
     }
 
-    /// Removes the first change.
+    /// Removes and returns the first change.
     pub fn pop(&mut self) -> Option<Change> {
         self.changes.pop_front()
     }
 
-    /// Removes the endpoint list that waits; one without changes if there is none.
+    /// Removes and returns the endpoint list that waits; an empty update if there is none.
     fn take_endpoint_list(&mut self) -> EndpointList {
         let position = self.changes.iter().position(|change| matches!(change, Change::Members(_)));
         match position.and_then(|position| self.changes.remove(position)) {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Whether a later change has all the effect of an earlier one.
+/// Returns whether a later change makes an earlier one redundant.
 fn is_replaced(earlier: &Change, later: &Change) -> bool {
     match (earlier, later) {
         (Change::Set(earlier, _), Change::Set(later, _)) => earlier == later,
