--- a/src/store/service.rs
+++ b/src/store/service.rs
@@ -20,8 +20,8 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use std::collections::HashMap;
 
-/// The most queued requests, frames to a peer and proposals, each. Further requests of the proxy and frames
-/// are dropped; Raft sends its messages again.
+/// The capacity of each queue: of requests, of frames to a peer and of proposals. When a queue is full, the
+/// proxy's requests and frames to peers are dropped; Raft sends its messages again.
 const QUEUE_CAPACITY: usize = 256;
 
 /// The proxy's handle to its replica.
@@ -31,15 +31,16 @@
 }
 
 impl Store {
-    /// Starts a replica. `on_recovered` is called with the state once the persisted log is
-    /// committed, if there was any.
+    /// Starts a replica. Calls `on_recovered` with the state once all entries of the persisted log are
+    /// committed; never if that log is empty.
     pub fn start(
         config: &StoreConfig,
         seed: u64,
         on_recovered: impl FnOnce(State) + Send + 'static,
     ) -> Result<Store, StoreError> {
         config.check()?;
-        // The process that has the address may still write to the log: it is opened after that.
+        // Binds before the log is opened: a previous process that still holds the address may write to the
+        // log until it ends.
         let listener = config.own_address().map(bind).transpose()?;
         let mut service = Service::new(config, Box::new(SystemFiles), seed, on_recovered)?;
         let (requests, inbox) = bounded(QUEUE_CAPACITY);
@@ -51,13 +52,14 @@
         Ok(Store { requests })
     }
 
-    /// Proposes a change. Never blocks; the change is committed once there is a leader.
+    /// Proposes a change, which is committed once there is a leader. Never blocks: if the queue is full, the
+    /// change is dropped.
     pub fn propose(&self, change: Change) {
         let _ = self.requests.try_send(ServiceRequest::Propose(change));
     }
 }
 
-/// The log of a replica, and what it contained.
+/// Opens the log of a replica, and returns it with its contents.
 fn open_log(
     config: &StoreConfig,
     files: Box<dyn FileOperations>,
@@ -94,23 +96,24 @@
 
 /// The callback for the recovered state, and the condition for calling it.
 struct Recovery {
-    /// The last entry that was in the log at the start.
+    /// The index of the last entry that was in the log at the start. The state is recovered when that entry
+    /// is committed.
     last_log_index: Index,
     on_recovered: Box<dyn FnOnce(State) + Send>,
 }
 
 impl Recovery {
-    /// `None` for an empty log: there is nothing to recover.
+    /// Returns `None` for an empty log, which has nothing to recover.
     fn of_log(last_log_index: Index, on_recovered: impl FnOnce(State) + Send + 'static) -> Option<Self> {
         let recovery = Recovery { last_log_index, on_recovered: Box::new(on_recovered) };
         (last_log_index > 0).then_some(recovery)
     }
 }
 
-/// A put that waits for the commit of its entry.
+/// A put whose answer waits for the commit of its entry.
 struct PendingPut {
     index: Index,
-    /// The entry is that of the put only if it has this term.
+    /// The term of the put's entry. A committed entry of another term at `index` has replaced that entry.
     term: Term,
     reply: Sender<Status>,
 }
@@ -121,15 +124,15 @@
     log: PersistentLog,
     peers: HashMap<ReplicaId, Sender<Frame>>,
     clock: Clock,
-    /// The local proxy's changes that wait for a leader.
+    /// The changes of the local proxy that wait for a leader.
     proposals: Proposals,
     pending_puts: Vec<PendingPut>,
-    /// `None` once the state is recovered.
+    /// `None` when the state is recovered, or if there is none to recover.
     recovery: Option<Recovery>,
 }
 
 impl Service {
-    /// A replica without connections to its peers.
+    /// Creates a replica that has no connections to its peers yet.
     fn new(
         config: &StoreConfig,
         files: Box<dyn FileOperations>,
@@ -166,7 +169,7 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.replace_failed_log_if_due();
-            self.propose_waiting();
+            self.propose_waiting_changes();
         }
     }
 
@@ -175,7 +178,8 @@
         self.log.retry_at().map_or(raft, |retry_at| raft.min(retry_at))
     }
 
-    /// Writes all that is in memory to the disk; from then on this replica votes and acknowledges again.
+    /// Replaces a failed log by the state in memory when the next attempt is due. On success, this replica
+    /// votes and acknowledges entries again.
     fn replace_failed_log_if_due(&mut self) {
         let due = self.log.retry_at().is_some_and(|retry_at| retry_at <= self.clock.now());
         if due && self.log.replace(self.raft.persistent_state()).is_ok() {
@@ -204,8 +208,8 @@
         self.step(Input::Propose(change));
     }
 
-    /// Commits the local proxy's changes, or forwards them to the leader.
-    fn propose_waiting(&mut self) {
+    /// Proposes the local proxy's waiting changes as leader, or forwards them to the leader if it is known.
+    fn propose_waiting_changes(&mut self) {
         while self.raft.is_leader()
             && let Some(change) = self.proposals.pop()
         {
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Passes an input to the raft node, and carries out all outputs.
+    /// Passes an input to the raft node, carries out its outputs, and passes on the inputs that result.
     fn step(&mut self, input: Input<Change, State>) {
         let was_leader = self.raft.is_leader();
         let mut next = Some(input);
@@ -238,8 +242,8 @@
         }
     }
 
-    /// Carries out outputs in their order, and returns the input that follows from them. Where the log
-    /// fails, the rest is dropped: nothing may be promised to others before it is on the disk.
+    /// Carries out outputs in their order, and returns the input that results, if any. If the log fails,
+    /// drops the remaining outputs: a vote or an acknowledgement must not be sent before it is on the disk.
     fn carry_out(&mut self, outputs: Vec<Output<Change, State>>) -> Option<Input<Change, State>> {
         let mut next = None;
         for output in outputs {
@@ -276,7 +280,8 @@
         }
     }
 
-    /// Answers the puts whose log index is committed now.
+    /// Answers the puts whose entry was appended at `index`, which is now committed. They are committed if
+    /// the entry there has their term.
     fn resolve_puts(&mut self, index: Index, term: Term) {
         let resolved: Vec<_> = self.pending_puts.extract_if(.., |put| put.index == index).collect();
         for put in resolved {
@@ -284,7 +289,7 @@
         }
     }
 
-    /// Answers that the puts are not committed: their entries may or may not be kept.
+    /// Answers all pending puts as not committed. Their entries may or may not be kept.
     fn reject_pending_puts(&mut self) {
         for put in std::mem::take(&mut self.pending_puts) {
             self.reply(&put.reply, false);
--- a/src/store/service/tests.rs
+++ b/src/store/service/tests.rs
@@ -8,9 +8,9 @@
 
 /// Longer than any step takes; reached only by a test that fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longer than the longest election timeout: a replica that says nothing for so long is silent.
+/// Longer than the longest election timeout: a replica that sends nothing for this long is silent.
 const SILENCE: Duration = Duration::from_millis(700);
-/// The pause between two attempts to get an answer.
+/// How long a test waits for an answer before it sends its message again.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(20);
 
 fn empty_directory(name: &str) -> PathBuf {
@@ -33,14 +33,14 @@
     Service::new(&config(directory, 1), files, 7, drop).unwrap()
 }
 
-/// The settings that a process finds which is started on a copy of the log cut to this length.
+/// Returns the settings that a replica recovers from a log with these contents.
 fn settings_after_kill(log: &[u8], directory: &Path) -> Value {
     std::fs::write(directory.join("log"), log).unwrap();
     let service = open_single(directory, Box::new(SystemFiles));
     serde_json::to_value(&service.raft.state_machine().settings).unwrap()
 }
 
-/// The only replica of a group, on a disk that fails, and what it has confirmed.
+/// The only replica of a group, on a disk that may fail, and the puts that it has confirmed.
 struct SingleReplica {
     service: Service,
     data: PathBuf,
@@ -72,7 +72,7 @@
         confirmed
     }
 
-    /// Tries to replace the log now, whether or not that is due.
+    /// Tries to replace the log without waiting for the retry delay.
     fn retry(&mut self) {
         if self.service.log.replace(self.service.raft.persistent_state()).is_ok() {
             self.service.step(Input::StorageRecovered);
@@ -85,8 +85,8 @@
         std::fs::read(self.data.join("log")).unwrap_or_default()
     }
 
-    /// Whatever of the bytes that follow the last confirmed ones a kill leaves, all that was confirmed is
-    /// found by the next process.
+    /// Checks that the next process recovers all confirmed puts, however many of the bytes that follow the
+    /// last confirmed put a kill leaves in the log.
     fn check_kills(&self, context: &str) {
         let log = self.log();
         for length in self.confirmed_length.min(log.len())..=log.len() {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Puts values while these operations fail, with a kill at every byte after every put.
+/// Puts values on a disk with failing operations, and after each put simulates a kill at every byte.
 fn check_failing_operations(directory: &Path, files: &FaultyFiles, context: &str) {
     let mut replica = SingleReplica::start(directory, files);
     for value in 0..4 {
@@ -108,7 +108,7 @@
             replica.retry();
             replica.check_kills(context);
             attempts += 1;
-            assert!(attempts < 10, "{context}: confirms again once the disk is back");
+            assert!(attempts < 10, "{context}: no put is confirmed after the disk has recovered");
         }
         replica.check_kills(context);
     }
@@ -134,12 +134,14 @@
 fn confirmed_puts_survive_a_compaction_whichever_operation_of_it_fails() {
     let full = empty_directory("full");
     let mut replica = SingleReplica::start(&full, &FaultyFiles::default());
-    // With the entry that starts the term, the next put but one is the first that compacts.
+    // With the entry of the first term, the log has 511 entries. After a restart, the entry of the new term
+    // reaches the limit, and the put after it compacts.
     for value in 0..510 {
         assert!(replica.put("name", value));
     }
     let log = replica.log();
-    // An append is a write and a sync; opening is five operations, the start of a term is one append.
+    // Opening the log is five operations. The entry of the new term and the put are one append each, which is
+    // a write and a sync.
     let compaction = 5 + 2 + 2;
     for first in compaction..compaction + 6 {
         let directory = empty_directory("compaction");
@@ -150,21 +152,21 @@
         replica.confirmed.push(("name".into(), 509));
         replica.put("after", 1);
         replica.check_kills(&format!("operation {first}"));
-        assert!(replica.service.log.failure().is_some(), "operation {first} belongs to the compaction");
+        assert!(replica.service.log.failure().is_some(), "operation {first} is not part of the compaction");
         while replica.service.log.failure().is_some() {
             replica.retry();
             replica.check_kills(&format!("retry after operation {first}"));
         }
         assert!(replica.put("later", 2));
         replica.check_kills(&format!("recovery after operation {first}"));
-        assert!(replica.log().len() < log.len(), "compacted");
+        assert!(replica.log().len() < log.len(), "the log is not compacted");
         std::fs::remove_dir_all(&directory).unwrap();
     }
     std::fs::remove_dir_all(&full).unwrap();
 }
 
 #[test]
-fn the_state_of_a_single_replica_is_recovered_though_its_disk_fails_from_the_start() {
+fn a_single_replica_recovers_its_state_even_if_its_disk_fails_from_the_start() {
     let directory = empty_directory("recovered");
     let mut replica = SingleReplica::start(&directory, &FaultyFiles::default());
     assert!(replica.put("name", 5));
@@ -177,7 +179,7 @@
     std::fs::remove_dir_all(&directory).unwrap();
 }
 
-/// Replica 1 of three in its thread; the test plays replica 2.
+/// Replica 1 of three on its service thread. The test acts as replica 2.
 struct RunningReplica {
     requests: Sender<ServiceRequest>,
     frames: Receiver<Frame>,
@@ -197,19 +199,19 @@
         RunningReplica { requests, frames, files, directory }
     }
 
-    /// Sends a message of replica 2.
+    /// Sends a message from replica 2.
     fn send(&self, term: u64, body: &Value) {
         let message = serde_json::from_value(json!({ "from": 2, "term": term, "say": body })).unwrap();
         self.requests.send(ServiceRequest::PeerMessage(message)).unwrap();
     }
 
-    /// The next message to replica 2 within this time.
+    /// Returns the next message to replica 2; `None` if there is none within `timeout`.
     fn receive(&self, timeout: Duration) -> Option<Value> {
         let frame = self.frames.recv_timeout(timeout).ok()?;
         Some(serde_json::to_value(&frame).unwrap()["Peer"].clone())
     }
 
-    /// The next message to replica 2 of this kind.
+    /// Returns the next message of this kind to replica 2, and drops those before it.
     fn receive_kind(&self, kind: &str) -> Value {
         loop {
             let message = self.receive(TEST_TIMEOUT).unwrap_or_else(|| panic!("no {kind}"));
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Sends a message until it is answered like this.
+    /// Sends a message repeatedly until replica 2 receives `answer`.
     fn send_until_answered(&self, term: u64, body: &Value, answer: &Value) {
         let start = std::time::Instant::now();
         while start.elapsed() < TEST_TIMEOUT {
@@ -261,23 +263,27 @@
 }
 
 #[test]
-fn a_replica_with_a_failed_disk_follows_silently_and_takes_part_again_once_it_is_back() {
+fn a_replica_with_a_failed_disk_sends_no_messages_until_the_disk_has_recovered() {
     let replica = RunningReplica::start("follower");
     replica.files.fail();
     replica.send(5, &vote_request());
     let status = replica.status();
     assert!(status.log_error.is_some_and(|error| error.contains("No space left")));
     while let Some(message) = replica.receive(SILENCE) {
-        assert!(message["say"].get("Voted").is_none(), "a vote that is not on the disk: {message}");
+        assert!(message["say"].get("Voted").is_none(), "sent a vote that is not on the disk: {message}");
     }
     replica.send(9, &vote_request());
     replica.send(6, &append_request(0));
     replica.send(6, &append_request(1));
     let status = replica.status();
-    assert_eq!((status.term, status.leader, status.commit_index), (6, Some(2), 1), "it goes on learning");
+    assert_eq!(
+        (status.term, status.leader, status.commit_index),
+        (6, Some(2), 1),
+        "still applies the leader's entries"
+    );
     assert_eq!(status.state.settings["name"], 5);
-    assert_eq!(replica.receive(SILENCE), None, "neither acknowledges nor starts an election");
-    assert_eq!(replica.status().leader, None, "a leader that has fallen silent is not known any more");
+    assert_eq!(replica.receive(SILENCE), None, "sends neither an acknowledgement nor a vote request");
+    assert_eq!(replica.status().leader, None, "forgets a leader without heartbeats");
     replica.files.repair();
     let acknowledged = json!({ "Appended": { "ok": true, "index": 1 } });
     replica.send_until_answered(6, &append_request(1), &acknowledged);
@@ -304,9 +310,9 @@
         assert!(!answer.put_committed && answer.leader.is_none(), "{answer:?}");
     }
     while replica.frames.try_recv().is_ok() {}
-    // The other replica has the entry, and says so late.
+    // Replica 2 acknowledges the entry after the leader has stepped down.
     replica.send(term, &json!({ "Appended": { "ok": true, "index": 3 } }));
-    assert_eq!(replica.receive(SILENCE), None, "no heartbeat, no election");
+    assert_eq!(replica.receive(SILENCE), None, "sends neither a heartbeat nor a vote request");
     assert_eq!(replica.status().commit_index, 2);
     replica.files.repair();
     assert!(replica.receive_kind("Vote")["term"].as_u64().unwrap() > term);
@@ -319,7 +325,7 @@
 }
 
 #[test]
-fn the_latest_of_all_proposals_made_while_the_disk_fails_is_kept() {
+fn the_latest_proposals_made_while_the_disk_fails_are_applied_after_its_recovery() {
     let directory = empty_directory("proposals");
     let files = FaultyFiles::default();
     let mut replica = SingleReplica::start(&directory, &files);
@@ -328,7 +334,7 @@
         replica.service.handle(ServiceRequest::Propose(endpoint_change(revision, &uid, "SERVING")));
     }
     replica.service.step(Input::Tick);
-    replica.service.propose_waiting();
+    replica.service.propose_waiting_changes();
     files.fail();
     assert!(!replica.put("name", 1));
     let statement = |n| Change::Prepared(Statement { sql: format!("SELECT {n}"), types: Vec::new() });
@@ -343,7 +349,7 @@
     files.repair();
     replica.retry();
     replica.service.step(Input::Tick);
-    replica.service.propose_waiting();
+    replica.service.propose_waiting_changes();
     let state = serde_json::to_value(replica.service.raft.state_machine()).unwrap();
     let endpoints = state["members"]["targets"].as_array().unwrap();
     let states: Vec<_> = endpoints.iter().map(|endpoint| (&endpoint["uid"], &endpoint["state"])).collect();
