--- a/src/store/transport.rs
+++ b/src/store/transport.rs
@@ -1,4 +1,4 @@
-//! The sockets between replicas and to the command line: frames out, frames in, answers.
+//! The sockets between replicas and to the command line: sends frames, receives frames and answers them.
 
 use super::protocol::{Frame, ServiceRequest, Status};
 use crate::sockets::closed_by_peer;
@@ -12,15 +12,16 @@
 
 /// The connect timeout for a replica.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the command line waits for a commit.
+/// How long a replica waits for its service thread's answer, which for a put comes with the commit. The
+/// command line waits longer by [`CONNECT_TIMEOUT`].
 pub const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The timeout of a write to a replica, and how long a connection may be silent.
+/// The timeout of a write to a replica and of a read from an accepted connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The pause after a connection could not be accepted.
+/// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The most connections from other replicas and from the command line together.
 const MAX_CONNECTIONS: u64 = 64;
-/// The longest frame between replicas.
+/// The longest frame, in bytes.
 const MAX_FRAME_BYTES: u64 = 64 << 20;
 
 /// Sends frames to a replica, over one connection at a time, until the channel's senders are dropped. Frames
@@ -53,7 +54,7 @@
     stream.write_all(&line)
 }
 
-/// Starts to accept connections and passes what they receive to the service thread.
+/// Starts the thread that accepts connections. Received frames are passed to the service thread.
 pub fn listen(listener: TcpListener, requests: Sender<ServiceRequest>) -> io::Result<()> {
     let connections = ConnectionCount::default();
     spawn("store-accept", move || {
@@ -97,8 +98,8 @@
 }
 
 impl ConnectionSlot {
-    /// A method, so that a closure that calls it captures the slot, not only a copy of the field: the slot
-    /// must live as long as the connection.
+    /// Returns whether the limit allows this connection. This is a method because a closure that reads the
+    /// field would capture only a copy of it, but the slot must live as long as the connection.
     fn is_within_limit(&self) -> bool {
         self.within_limit
     }
@@ -110,7 +111,7 @@
     }
 }
 
-/// Passes the frames of a connection to the service thread, and its answers back, until either side ends.
+/// Passes the frames of a connection to the service thread, and writes its answers, until either ends.
 fn serve_connection(stream: &TcpStream, requests: &Sender<ServiceRequest>) {
     let _ = stream.set_read_timeout(Some(IDLE_TIMEOUT));
     let mut reader = BufReader::new(stream);
@@ -138,7 +139,8 @@
     serde_json::from_slice(line).ok()
 }
 
-/// Passes a request to the service thread and writes its answer; `false` if there is none.
+/// Passes a request to the service thread and writes its answer. Returns `false` if there is none, or if it
+/// can't be written.
 fn answer(
     stream: &TcpStream,
     requests: &Sender<ServiceRequest>,
--- a/src/store/transport/tests.rs
+++ b/src/store/transport/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn connections_over_the_limit_are_closed_until_others_end() {
+fn connections_over_the_limit_are_closed_until_another_connection_ends() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (requests, _inbox) = bounded(1);
@@ -31,7 +31,7 @@
     last.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     assert!(!is_closed(&last), "the last one within the limit");
     drop(last);
-    // The listener detects the end on another thread.
+    // The thread of the closed connection frees its slot at some later time.
     let start = std::time::Instant::now();
     loop {
         let stream = connect(address);
@@ -39,6 +39,6 @@
         if !is_closed(&stream) {
             return;
         }
-        assert!(start.elapsed() < CLOSE_TIMEOUT, "the place of an ended connection is not given away");
+        assert!(start.elapsed() < CLOSE_TIMEOUT, "the slot of a closed connection is not freed");
     }
 }
