--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,5 +1,5 @@
-//! The store as three processes: a leader that is killed, a minority, a replica that catches up, a disk that
-//! fails.
+//! Tests of the store with three replica processes: a killed leader, a minority, a replica that catches up, a
+//! failing disk and an address in use.
 
 #![allow(missing_docs)]
 
@@ -21,8 +21,9 @@
 
 struct Cluster {
     directory: PathBuf,
+    /// The process of each replica; `None` while it is killed.
     replicas: Vec<Option<Child>>,
-    /// The faults of all replicas' system calls.
+    /// The faults that are injected into all replicas' system calls.
     faults: Option<Faults>,
 }
 
@@ -35,7 +36,7 @@
         let directory = std::env::temp_dir().join(format!("liftrelay-store-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&directory);
         std::fs::create_dir_all(&directory).unwrap();
-        // Nobody else uses this address, so the ports stay free until the replicas take them.
+        // No other process uses this loopback address, so the ports stay free until the replicas bind them.
         let pid = std::process::id();
         let host = format!("127.{}.{}.{}:0", 100 + name.len(), pid >> 8 & 255, pid & 255);
         let listeners: Vec<_> = (0..3).map(|_| TcpListener::bind(&host).unwrap()).collect();
@@ -71,31 +72,31 @@
         self.replicas[id - 1] = Some(command.spawn().unwrap());
     }
 
-    /// The file of a replica's standard error.
+    /// Returns the path of the file with a replica's standard error.
     fn log_path(&self, id: usize) -> PathBuf {
         self.directory.join(format!("{id}.log"))
     }
 
-    /// All that the replicas have logged.
+    /// Returns everything that the replicas have logged.
     fn logs(&self) -> String {
         let log = |id| std::fs::read_to_string(self.log_path(id)).unwrap_or_default();
         (1..=3).map(|id| format!("replica {id}:\n{}", log(id))).collect()
     }
 
-    /// The lines that a replica has logged with this text.
+    /// Returns the lines in a replica's log that contain `text`.
     fn logged(&self, id: usize, text: &str) -> Vec<String> {
         let log = std::fs::read_to_string(self.log_path(id)).unwrap();
         log.lines().filter(|line| line.contains(text)).map(String::from).collect()
     }
 
-    /// The status of a running replica once a condition holds for it.
+    /// Waits until a condition holds for the status of a running replica.
     fn wait_for_status(&self, id: usize, what: &str, condition: impl Fn(&Value) -> bool) {
         self.wait_until(what, |statuses| {
             statuses.iter().any(|status| status["id"] == id && condition(status))
         });
     }
 
-    /// Lets all writes to a replica's disk fail, in place of all faults before.
+    /// Makes all writes to a replica's disk fail. Replaces all earlier faults.
     fn fail_disk(&self, id: usize) {
         let path = self.directory.join(format!("data-{id}"));
         let script = format!("write path={0} error=ENOSPC\nfdatasync path={0} error=EIO", path.display());
@@ -112,7 +113,7 @@
         self.command(1, &["put", name, &value.to_string()]).output().unwrap()
     }
 
-    /// Asks the running replicas for their status until a condition holds, and returns what they answered.
+    /// Queries the status of the running replicas until a condition holds, and returns their answers.
     fn wait_until(&self, what: &str, condition: impl Fn(&[Value]) -> bool) -> Vec<Value> {
         let start = Instant::now();
         loop {
@@ -122,11 +123,15 @@
             if condition(&statuses) {
                 return statuses;
             }
-            assert!(start.elapsed() < TEST_TIMEOUT, "{what} does not come: {statuses:?}\n{}", self.logs());
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "timed out waiting for {what}: {statuses:?}\n{}",
+                self.logs()
+            );
         }
     }
 
-    /// Waits until all running replicas agree on a leader that runs, and returns it.
+    /// Waits until all running replicas agree on a running leader, and returns its id.
     fn wait_for_leader(&self) -> usize {
         let running = self.replicas.iter().flatten().count();
         let same_view = |first: &Value, other: &Value| {
@@ -161,7 +166,7 @@
 }
 
 #[test]
-fn committed_values_survive_a_killed_leader_and_it_catches_up() {
+fn committed_values_survive_a_killed_leader_which_catches_up_after_a_restart() {
     let mut cluster = Cluster::start("leader");
     let old_leader = cluster.wait_for_leader();
     assert!(cluster.put("a", 1).status.success());
@@ -170,7 +175,7 @@
     assert_ne!(old_leader, new_leader);
     cluster.wait_until_all_have("a", 1);
     assert!(cluster.put("b", 2).status.success());
-    // A machine that stopped while writing leaves half a record.
+    // The start of a record, as left by a machine that stopped during a write.
     let log = cluster.directory.join(format!("data-{old_leader}/log"));
     let mut bytes = std::fs::read(&log).unwrap();
     bytes.extend([0, 0, 0, 200, 1, 2, 3, 4, b'{']);
@@ -181,17 +186,17 @@
 }
 
 #[test]
-fn a_minority_commits_nothing_and_a_quorum_goes_on() {
+fn a_minority_commits_nothing_until_it_is_a_quorum_again() {
     let mut cluster = Cluster::start("minority");
     let leader = cluster.wait_for_leader();
     assert!(cluster.put("a", 1).status.success());
     let followers: Vec<_> = (1..=3).filter(|id| *id != leader).collect();
     cluster.kill(followers[0]);
     cluster.kill(followers[1]);
-    assert!(!cluster.put("b", 2).status.success(), "no quorum, no commit");
-    let alone = cluster.wait_until("the minority", |statuses| statuses.len() == 1);
-    assert_eq!(alone[0]["state"]["settings"]["b"], Value::Null);
-    assert_eq!(alone[0]["state"]["settings"]["a"], 1, "what was committed is kept");
+    assert!(!cluster.put("b", 2).status.success(), "committed without a quorum");
+    let remaining = cluster.wait_until("the status of the leader alone", |statuses| statuses.len() == 1);
+    assert_eq!(remaining[0]["state"]["settings"]["b"], Value::Null);
+    assert_eq!(remaining[0]["state"]["settings"]["a"], 1, "a committed value is lost");
     cluster.start_replica(followers[0]);
     cluster.wait_for_leader();
     assert!(cluster.put("c", 3).status.success());
@@ -199,7 +204,7 @@
 }
 
 #[test]
-fn all_replicas_restarted_have_what_was_committed() {
+fn all_replicas_have_the_committed_values_after_a_restart_of_all() {
     let mut cluster = Cluster::start("restart");
     cluster.wait_for_leader();
     for n in 0..20 {
@@ -214,32 +219,35 @@
 }
 
 #[test]
-fn a_replica_whose_disk_fails_is_replaced_as_leader_and_takes_part_again_once_the_disk_is_back() {
+fn a_leader_whose_disk_fails_is_replaced_and_votes_again_after_the_disk_has_recovered() {
     let mut cluster = Cluster::start_with_faults("disk", Some(Faults::none()));
     let failing = cluster.wait_for_leader();
     assert!(cluster.put("a", 1).status.success());
     cluster.fail_disk(failing);
-    assert!(!cluster.put("b", 2).status.success(), "the leader can't persist it");
-    let moved = |status: &Value| status["leader"].as_u64().is_some_and(|leader| leader != failing as u64);
-    cluster.wait_until("another leader", |statuses| statuses.len() == 3 && statuses.iter().all(moved));
-    assert!(cluster.put("c", 3).status.success(), "the two others are a quorum");
+    assert!(!cluster.put("b", 2).status.success(), "committed though the leader can't persist");
+    let has_new_leader =
+        |status: &Value| status["leader"].as_u64().is_some_and(|leader| leader != failing as u64);
+    cluster
+        .wait_until("another leader", |statuses| statuses.len() == 3 && statuses.iter().all(has_new_leader));
+    assert!(cluster.put("c", 3).status.success(), "not committed by the quorum of the two other replicas");
     cluster.wait_until_all_have("c", 3);
-    cluster.wait_for_status(failing, "its error", |status| status["log_error"].is_string());
+    cluster.wait_for_status(failing, "the error of its log", |status| status["log_error"].is_string());
     assert_eq!(cluster.logged(failing, "raft log can't be written").len(), 1);
-    // Restarted while the disk fails, it is there again, and still does not count.
+    // A replica that is restarted while its disk fails answers status queries, but does not count towards a
+    // quorum.
     cluster.kill(failing);
     cluster.start_replica(failing);
-    cluster.wait_for_status(failing, "its error", |status| status["log_error"].is_string());
+    cluster.wait_for_status(failing, "the error of its log", |status| status["log_error"].is_string());
     assert!(cluster.put("d", 4).status.success());
     let other = (1..=3).find(|id| *id != failing).unwrap();
     cluster.kill(other);
-    assert!(!cluster.put("e", 5).status.success(), "one disk of three is no quorum");
+    assert!(!cluster.put("e", 5).status.success(), "committed with one healthy disk of three");
     cluster.faults.as_ref().unwrap().clear();
-    cluster.wait_for_status(failing, "its recovery", |status| status["log_error"].is_null());
+    cluster.wait_for_status(failing, "the recovery of its log", |status| status["log_error"].is_null());
     cluster.wait_for_leader();
     assert!(cluster.put("f", 6).status.success());
     assert_eq!(cluster.logged(failing, "raft log is written again").len(), 1);
-    // What was confirmed by this replica and one other alone is there after a kill of both.
+    // The value that only this replica and one other have confirmed survives a kill of all replicas.
     cluster.start_replica(other);
     (1..=3).for_each(|id| cluster.kill(id));
     (1..=3).for_each(|id| cluster.start_replica(id));
@@ -250,7 +258,7 @@
 }
 
 #[test]
-fn a_data_directory_that_cannot_be_used_is_a_bad_configuration() {
+fn an_unusable_data_directory_is_a_configuration_error() {
     let directory = std::env::temp_dir().join(format!("liftrelay-store-unusable-{}", std::process::id()));
     std::fs::create_dir_all(&directory).unwrap();
     std::fs::write(directory.join("file"), "").unwrap();
@@ -266,7 +274,7 @@
 }
 
 #[test]
-fn a_replica_waits_for_its_address_and_reads_its_log_once_the_last_process_has_ended() {
+fn a_replica_waits_for_its_address_and_only_then_reads_its_log() {
     let mut cluster = Cluster::start("address");
     cluster.wait_for_leader();
     assert!(cluster.put("a", 1).status.success());
@@ -275,14 +283,14 @@
     let config = std::fs::read_to_string(cluster.directory.join("1.toml")).unwrap();
     let config: toml::Table = config.parse().unwrap();
     let holder = TcpListener::bind(config["replica"][0]["address"].as_str().unwrap()).unwrap();
-    // What the last process writes at its end.
+    // The log appears only after the start of the replica, as if the previous process wrote it at its end.
     let [log, later_log] = ["data-1/log", "later"].map(|name| cluster.directory.join(name));
     std::fs::rename(&log, &later_log).unwrap();
     cluster.start_replica(1);
     std::thread::sleep(Duration::from_millis(300));
     std::fs::rename(&later_log, &log).unwrap();
     drop(holder);
-    // The other one has lost its disk: the value is in the first one's log alone.
+    // Replica 2 has lost its disk, so the value is in the log of replica 1 alone.
     std::fs::remove_dir_all(cluster.directory.join("data-2")).unwrap();
     cluster.start_replica(2);
     cluster.wait_until_all_have("a", 1);
