--- a/tests/store_format.rs
+++ b/tests/store_format.rs
@@ -1,5 +1,5 @@
-//! The store's formats, which later versions must keep: the record files under `tests/fixtures/store-v1`,
-//! written by the first version, and the lines between replicas.
+//! Tests of the store's formats, which later versions must keep: the log files under
+//! `tests/fixtures/store-v1`, which the first version wrote, and the lines that replicas exchange.
 
 #![allow(missing_docs)]
 
@@ -14,7 +14,7 @@
 /// Longer than any start or election takes; reached only by a test that fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The snapshot in the fixture, as it is on the disk and between replicas.
+/// The snapshot in the fixture, in the form that it has on the disk and in messages between replicas.
 const SNAPSHOT_TEXT: &str = concat!(
     r#"{"index":513,"term":3,"state":{"settings":{"counter":502,"greeting":"hello there","proxy":{""#,
     r#"kill_after_ms":1500,"zone":"west"},"ratio":0.25},"members":{"rev":42,"all":true,"targets":[{"#,
@@ -24,14 +24,14 @@
     r#"m WHERE id = $1 /* café \"x\" */","types":[0,0,0,23]},{"sql":"SELECT 1","types":[]}]}}"#,
 );
 
-/// A replica that runs on a copy of a fixture's directory.
+/// A replica that runs on a copy of a fixture's log.
 struct Replica {
     directory: PathBuf,
     process: Child,
 }
 
 impl Replica {
-    /// Starts replica 1 at `address`, with these addresses as replicas 2 and up.
+    /// Starts replica 1 at `address`. `peers` are the addresses of replicas 2 and up.
     fn start(fixture: &str, address: SocketAddr, peers: &[SocketAddr]) -> Replica {
         let directory = std::env::temp_dir().join(format!("liftrelay-store-format-{address}"));
         let _ = std::fs::remove_dir_all(&directory);
@@ -46,12 +46,12 @@
         Replica { directory, process }
     }
 
-    /// Runs the store's command line against it.
+    /// Runs the store's command line against the replica.
     fn run(&self, arguments: &[&str]) -> Output {
         command(&self.directory, arguments).output().unwrap()
     }
 
-    /// Its status once it has committed up to `index`.
+    /// Waits until the replica has committed the entry at `index`, and returns its status.
     fn status_once_committed(&self, index: u64) -> Value {
         let start = Instant::now();
         loop {
@@ -64,11 +64,11 @@
         }
     }
 
-    /// What it has appended to the fixture's log.
+    /// Returns the bytes that the replica has appended to the fixture's log.
     fn appended(&self, fixture: &str) -> Vec<u8> {
         let before = std::fs::read(fixture_log(fixture)).unwrap();
         let after = std::fs::read(self.directory.join("data/log")).unwrap();
-        assert_eq!(&after[..before.len()], &before[..], "the records of the first version stay as they are");
+        assert_eq!(&after[..before.len()], &before[..], "the records of the first version were changed");
         after[before.len()..].to_vec()
     }
 }
@@ -92,7 +92,7 @@
     command
 }
 
-/// Listeners at addresses that no other test uses.
+/// Binds listeners to a loopback address that no other test uses.
 fn listeners<const COUNT: usize>(network: u8) -> [TcpListener; COUNT] {
     let pid = std::process::id();
     let host = format!("127.{network}.{}.{}:0", pid >> 8 & 255, pid & 255);
@@ -103,7 +103,7 @@
     listeners::<1>(network)[0].local_addr().unwrap()
 }
 
-/// The values in both fixtures; the snapshot's has two settings more.
+/// The state that both fixtures have in common. The snapshot fixture has two more settings.
 fn expected_state() -> Value {
     json!({
         "settings": {
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn entries_of_the_first_version_are_all_read() {
+fn all_entries_of_the_first_version_are_read() {
     let replica = Replica::start("entries", free_address(91), &[]);
     let status = replica.status_once_committed(11);
     assert_eq!(status["term"], 4, "the fixture ends in term 3");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_snapshot_of_the_first_version_and_the_entries_after_it_are_all_read() {
+fn a_snapshot_of_the_first_version_and_all_entries_after_it_are_read() {
     let replica = Replica::start("snapshot", free_address(92), &[]);
     let status = replica.status_once_committed(533);
     assert_eq!(status["term"], 5, "the fixture ends in term 4");
@@ -156,7 +156,7 @@
     let replica = Replica::start("entries", free_address(93), &[]);
     replica.status_once_committed(11);
     assert!(replica.run(&["put", "greeting", "good bye"]).status.success());
-    // Length and CRC-32 of the text, both big-endian, and the text.
+    // Each record is the length and CRC-32 of the payload, both big-endian, and the payload.
     let records: [&[u8]; 3] = [
         b"\x00\x00\x00\x1c\xe1\x4f\x3b\x93{\"Hard\":{\"term\":4,\"vote\":1}}",
         b"\x00\x00\x00\x2e\x7f\x6e\xe5\x18{\"Entry\":{\"index\":11,\"term\":4,\"command\":null}}",
@@ -186,14 +186,14 @@
     assert_eq!(printed, expected);
 }
 
-/// A replica that the test plays: it reads what it is sent, and sends lines of its own.
+/// Replica 2, as simulated by the test: it reads the lines of replica 1 and sends lines of its own.
 struct MockPeer {
     incoming: BufReader<TcpStream>,
     outgoing: TcpStream,
 }
 
 impl MockPeer {
-    /// Waits until the replica at `address` has connected to `listener`, and connects to it.
+    /// Waits until the replica at `address` has connected to `listener`, and connects to that replica.
     fn connect(listener: &TcpListener, address: SocketAddr) -> MockPeer {
         let (incoming, _) = listener.accept().unwrap();
         incoming.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -207,7 +207,7 @@
         line
     }
 
-    /// Reads up to a line that is exactly this.
+    /// Reads lines up to one that equals `expected`.
     fn expect(&mut self, expected: &str) {
         let start = Instant::now();
         let mut received = Vec::new();
@@ -225,7 +225,7 @@
         self.outgoing.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
-    /// Votes for the replica until it leads, and returns its term.
+    /// Votes for the replica until it is the leader, and returns its term.
     fn elect(&mut self) -> u64 {
         loop {
             let line = self.receive();
@@ -262,7 +262,7 @@
     let mut peer = MockPeer::connect(&peer, address);
     let term = peer.elect();
 
-    // A follower that lacks what the leader's log starts with gets the snapshot.
+    // A follower that lacks the entries compacted from the leader's log gets the snapshot.
     peer.send(&format!(
         r#"{{"Peer":{{"from":2,"term":{term},"say":{{"Appended":{{"ok":false,"index":0}}}}}}}}"#
     ));
@@ -280,12 +280,12 @@
     ));
     peer.expect(&append(term, 533, term, "", 533));
 
-    // A change that a follower's proxy passes on to its leader.
+    // A change that a follower forwards to the leader.
     peer.send(r#"{"Forward":{"Prepared":{"sql":"SELECT 2","types":[]}}}"#);
     let entry = r#"{"index":534,"term":TERM,"command":{"Prepared":{"sql":"SELECT 2","types":[]}}}"#;
     peer.expect(&append(term, 533, term, &entry.replace("TERM", &term.to_string()), 533));
 
-    // Another leader's entry in its place, and a vote in a later term.
+    // An entry of a new leader that replaces the last one, and a vote in a later term.
     let next = term + 1;
     let entry = format!(r#"{{"index":534,"term":{next},"command":{{"Set":["greeting","good bye"]}}}}"#);
     peer.send(&append(next, 533, term, &entry, 533).replace(r#""from":1"#, r#""from":2"#));
