--- a/src/syslog/error.rs
+++ b/src/syslog/error.rs
@@ -5,13 +5,13 @@
 /// Why logging can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum SyslogError {
-    /// The facility does not exist.
+    /// The configured facility is not a syslog facility.
     #[error("syslog facility {0} is over 23")]
     Facility(u8),
-    /// No thread could be started.
+    /// The thread of a sink could not be started.
     #[error(transparent)]
     Thread(std::io::Error),
-    /// No socket for the collector can be bound.
+    /// No UDP socket could be bound.
     #[error(transparent)]
     Socket(std::io::Error),
     /// Logging has been started before.
--- a/src/syslog/format.rs
+++ b/src/syslog/format.rs
@@ -5,25 +5,25 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::{FormatTime, SystemTime};
 
-/// The longest message, in bytes: the length that every receiver should accept.
+/// The longest message, in bytes. RFC 5424 says that every receiver should accept messages of this length.
 pub const MAX_MESSAGE_BYTES: usize = 2048;
-/// The longest structured data, in bytes, which leaves room for the text.
+/// The longest structured data, in bytes. The rest of a message is left for the header and the text.
 pub const MAX_DATA_BYTES: usize = 1024;
-/// From this length on, a value of structured data is cut.
+/// The length, in bytes, from which on a value of structured data is truncated.
 const MAX_VALUE_BYTES: usize = 256;
-/// The longest host name.
+/// The longest host name, in characters.
 const MAX_HOST_CHARS: usize = 255;
-/// The longest message id and parameter name.
+/// The longest message id and parameter name, in characters.
 const MAX_NAME_CHARS: usize = 32;
-/// The highest sequence id; 1 follows it.
+/// The highest sequence id. The next one after it is 1.
 const MAX_SEQUENCE_ID: u64 = 2_147_483_647;
-/// The identifier of this program's own structured data; 32473 is the number reserved for examples, as the
-/// project has none of its own.
+/// The identifier of this program's own structured data. The project has no enterprise number, so the id has
+/// 32473, which is reserved for examples.
 const DATA_ID: &str = "liftrelay@32473";
 const APPLICATION: &str = "liftrelay";
-/// The placeholder for a part of the header without a value.
+/// The value of a header field that has none.
 const NIL: &str = "-";
-/// The number of severities in the priority.
+/// The number of severities. A priority is the facility times this, plus the severity.
 const SEVERITIES: u8 = 8;
 const BYTE_ORDER_MARK: char = '\u{feff}';
 
@@ -50,20 +50,20 @@
 /// A parameter of structured data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameter {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its value.
+    /// The value, not escaped.
     pub value: String,
 }
 
 impl Parameter {
-    /// A parameter of this name and value.
+    /// Creates a parameter.
     pub fn new(name: impl Into<String>, value: impl Into<String>) -> Self {
         Parameter { name: name.into(), value: value.into() }
     }
 }
 
-/// Formats the messages of this process, and numbers them.
+/// Formats and numbers the messages of this process.
 pub struct Formatter {
     host: String,
     facility: u8,
@@ -71,13 +71,13 @@
 }
 
 impl Formatter {
-    /// A formatter for messages of this host and facility.
+    /// Creates a formatter for messages of this host and facility.
     pub fn new(host: &str, facility: u8) -> Self {
         let host = sanitize_name(host.trim(), MAX_HOST_CHARS);
         Formatter { host, facility, sequence: AtomicU64::new(0) }
     }
 
-    /// A complete message. Text and structured data are truncated to fit.
+    /// Returns a complete message. Structured data and text are truncated to their maximum lengths.
     pub fn format(&self, level: Level, message_id: &str, parameters: &[Parameter], text: &str) -> String {
         let priority = self.facility * SEVERITIES + Severity::from(level) as u8;
         let timestamp = timestamp();
@@ -98,7 +98,7 @@
         message
     }
 
-    /// The notice with the number of messages that were dropped before it.
+    /// Returns a notice with the number of messages that were dropped before it.
     pub fn dropped_notice(&self, dropped: u64) -> String {
         let parameters = [Parameter::new("dropped", dropped.to_string())];
         self.format(Level::WARN, "syslog", &parameters, "messages were dropped")
@@ -113,12 +113,12 @@
     }
 }
 
-/// Control characters become blanks.
+/// Replaces a control character by a blank.
 fn blank_control(character: char) -> char {
     if character.is_control() { ' ' } else { character }
 }
 
-/// Shortens a text to at most this many bytes, between two characters.
+/// Truncates a text to at most `max_bytes`, between two characters.
 fn truncate(text: &mut String, max_bytes: usize) {
     if text.len() > max_bytes {
         let end = (0..=max_bytes).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
@@ -126,17 +126,18 @@
     }
 }
 
-/// A name in the form of headers and parameters: printable ASCII without `=`, `]`, quotes and blanks.
+/// Returns a valid name for a header field or a parameter: printable ASCII without `=`, `]`, quotes and
+/// blanks, or `-` if no character is left.
 pub fn sanitize_name(text: &str, max_chars: usize) -> String {
     let allowed = |c: &char| c.is_ascii_graphic() && !matches!(c, '=' | ']' | '"');
     let name: String = text.chars().filter(allowed).take(max_chars).collect();
     if name.is_empty() { NIL.into() } else { name }
 }
 
-/// The parameters as one element, or nothing. A value that does not fit is truncated, a parameter that does
-/// not fit is left out.
+/// Returns the parameters as one element; empty if there are none. Truncates a value that is too long, and
+/// leaves out a parameter that does not fit any more.
 pub fn structured_data(parameters: &[Parameter]) -> String {
-    // The brackets count, too.
+    // The limit includes the 2 brackets.
     let max_bytes = MAX_DATA_BYTES - DATA_ID.len() - 2;
     let mut formatted = String::new();
     for Parameter { name, value } in parameters {
--- a/src/syslog/layer.rs
+++ b/src/syslog/layer.rs
@@ -1,4 +1,4 @@
-//! The tracing layer: formats events, and sends them to all sinks.
+//! The tracing layer: formats events as syslog messages and sends them to all sinks.
 
 use super::format::{Formatter, Parameter};
 use super::sink::Sink;
@@ -8,10 +8,10 @@
 use tracing::{Event, Subscriber};
 use tracing_subscriber::layer::{Context, Layer};
 
-/// The field with an event's text.
+/// The name of the field with an event's text.
 const MESSAGE_FIELD: &str = "message";
 
-/// The layer that writes events as syslog messages.
+/// A tracing layer that writes events as syslog messages.
 pub struct SyslogLayer {
     formatter: Formatter,
     sinks: Vec<Sink>,
@@ -35,8 +35,8 @@
         let mut fields = EventFields::default();
         event.record(&mut fields);
         let metadata = event.metadata();
-        let module = metadata.target().rsplit("::").next().unwrap_or(metadata.target());
-        let message = self.formatter.format(*metadata.level(), module, &fields.parameters, &fields.text);
+        let message_id = metadata.target().rsplit("::").next().unwrap_or(metadata.target());
+        let message = self.formatter.format(*metadata.level(), message_id, &fields.parameters, &fields.text);
         self.send(&message);
     }
 }
--- a/src/syslog/mod.rs
+++ b/src/syslog/mod.rs
@@ -1,5 +1,5 @@
-//! Logging as RFC 5424 syslog with structured data: a tracing layer that writes to standard error and,
-//! if configured in a file, to a collector over TCP (octet counting, RFC 6587) or UDP (RFC 5426).
+//! Logging as RFC 5424 syslog with structured data. A tracing layer writes to standard error and, if a
+//! collector is configured, to that collector over TCP (octet counting, RFC 6587) or UDP (RFC 5426).
 //!
 //! Logging never blocks: each sink has its own thread and bounded queue, and counts the messages it drops.
 
@@ -19,23 +19,23 @@
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::layer::{Layer, SubscriberExt};
 
-/// The facility unless a collector sets another: system daemons.
+/// The facility unless a collector's configuration sets another: system daemons.
 const DEFAULT_FACILITY: u8 = 3;
 /// The highest facility.
 const MAX_FACILITY: u8 = 23;
-/// How long the process waits before it exits for messages that are not written yet.
+/// How long the process waits, before it exits, for queued messages to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
-/// The interval between two checks whether everything is written.
+/// The interval between two checks whether all messages are written.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The file under `deploy/` that names a collector.
+/// The configuration of a collector, a file such as those under `deploy/`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Collector {
-    /// Its address.
+    /// The address of the collector.
     #[serde(rename = "collector")]
     pub address: SocketAddr,
-    /// How it is reached.
+    /// The transport protocol.
     pub protocol: Protocol,
     /// The facility of all messages, 0 to 23.
     #[serde(default = "default_facility")]
@@ -43,7 +43,7 @@
 }
 
 impl Collector {
-    /// Checks that the facility exists.
+    /// Checks that the facility is at most 23.
     pub fn check(&self) -> Result<(), SyslogError> {
         if self.facility > MAX_FACILITY {
             return Err(SyslogError::Facility(self.facility));
@@ -56,23 +56,24 @@
     DEFAULT_FACILITY
 }
 
-/// How a collector is reached.
+/// The transport protocol to a collector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Protocol {
-    /// Over TCP, with octet counting.
+    /// TCP with octet counting.
     Tcp,
-    /// Over UDP, a datagram for each message.
+    /// UDP with one datagram for each message.
     Udp,
 }
 
-/// Kept until the process exits.
+/// The messages that are not written yet. The caller keeps it until the process exits, and then calls
+/// [`FlushGuard::finish`].
 pub struct FlushGuard {
     unwritten: Vec<Unwritten>,
 }
 
 impl FlushGuard {
-    /// Waits for a short time until all messages are written.
+    /// Waits until all messages are written, but for at most 500 ms.
     pub fn finish(self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         while self.unwritten.iter().any(Unwritten::any) && Instant::now() < deadline {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Starts logging for the complete process.
+/// Starts logging for the whole process.
 pub fn start(collector: Option<Collector>) -> Result<FlushGuard, SyslogError> {
     let mut sinks = vec![Sink::start("log-stderr", transport::write_to_stderr)?];
     if let Some(collector) = collector {
--- a/src/syslog/sink.rs
+++ b/src/syslog/sink.rs
@@ -1,4 +1,4 @@
-//! A destination of messages: a bounded queue, and the thread that writes the queued messages.
+//! A destination of messages: a bounded queue, and a thread that writes the queued messages.
 
 use super::SyslogError;
 use crate::threads::spawn;
@@ -6,15 +6,16 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Messages that one sink may have queued.
+/// The most messages in the queue of a sink.
 pub const QUEUE_CAPACITY: usize = 1024;
 
-/// The number of messages of a sink that are queued and not written yet.
+/// The number of messages of a sink that are not written yet: those in its queue and the one that its thread
+/// is writing.
 #[derive(Clone, Default)]
 pub struct Unwritten(Arc<AtomicU64>);
 
 impl Unwritten {
-    /// Whether there are any.
+    /// Returns whether there are any.
     pub fn any(&self) -> bool {
         self.0.load(Ordering::SeqCst) > 0
     }
@@ -36,7 +37,7 @@
 }
 
 impl Sink {
-    /// Starts the thread that writes, with this function.
+    /// Starts the thread, which passes each queued message to `write`.
     pub fn start(name: &str, mut write: impl FnMut(&str) + Send + 'static) -> Result<Sink, SyslogError> {
         let (queue, queued) = bounded::<Arc<str>>(QUEUE_CAPACITY);
         let unwritten = Unwritten::default();
@@ -51,12 +52,12 @@
         Ok(Sink { queue, dropped: Arc::default(), unwritten })
     }
 
-    /// The number of messages that are not written yet.
+    /// Returns the counter of the messages that are not written yet.
     pub fn unwritten(&self) -> Unwritten {
         self.unwritten.clone()
     }
 
-    /// The number of messages that were dropped since the last notice.
+    /// Returns the counter of the messages that were dropped since the last notice.
     #[cfg(test)]
     pub fn dropped(&self) -> Arc<AtomicU64> {
         self.dropped.clone()
@@ -74,7 +75,8 @@
     }
 
     fn try_enqueue(&self, message: Arc<str>) -> bool {
-        // Counted first: the thread may have written it before this returns.
+        // Counts the message before it is queued: the thread may write it and decrease the count before
+        // `try_send` returns, and the count must not fall below 0.
         self.unwritten.add_one();
         let enqueued = self.queue.try_send(message).is_ok();
         if !enqueued {
--- a/src/syslog/tests.rs
+++ b/src/syslog/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn values_are_escaped_and_names_kept_valid() {
+fn values_are_escaped_and_invalid_characters_of_names_removed() {
     let escaped = structured_data(&parameters(&[("a b=c", "x\"y\\z]\n")]));
     assert_eq!(escaped, r#"[liftrelay@32473 abc="x\"y\\z\] "]"#);
     assert_eq!(structured_data(&[]), "");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn messages_keep_the_length_limits_and_stay_utf8() {
+fn messages_are_truncated_to_the_length_limits_between_two_characters() {
     let long = "ä".repeat(4000);
     let fields = parameters(&[("a", &long), ("b", "1")]);
     let text = formatter().format(Level::WARN, "net", &fields, &long);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_blocked_sink_drops_and_counts_messages_and_the_logger_never_waits() {
+fn a_blocked_sink_drops_and_counts_messages_without_blocking_the_logger() {
     let (release, blocked) = bounded::<()>(0);
     let (report, reported) = crossbeam_channel::unbounded();
     let write = move |message: &str| {
@@ -56,7 +56,7 @@
         None => 1u64,
     };
     let written: u64 = reported.iter().map(count).sum();
-    let left = dropped.load(Ordering::Relaxed);
-    assert!(left > 0, "the queue was full");
-    assert_eq!(written + left, sent, "each is written or counted");
+    let unreported = dropped.load(Ordering::Relaxed);
+    assert!(unreported > 0, "no message was dropped");
+    assert_eq!(written + unreported, sent, "messages that are written or counted as dropped");
 }
--- a/src/syslog/transport.rs
+++ b/src/syslog/transport.rs
@@ -6,9 +6,9 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, TcpStream, UdpSocket};
 use std::time::Duration;
 
-/// The timeout of a connection to a collector, and of a write to it.
+/// The timeout of a connection attempt to a collector, and of a write to it.
 const TCP_TIMEOUT: Duration = Duration::from_secs(1);
-/// The delay after a message that could not be written to a collector.
+/// The delay before the next message after one that could not be written to a collector.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// The number of attempts to write a message.
 const ATTEMPTS: usize = 2;
@@ -25,12 +25,12 @@
 }
 
 impl TcpTransport {
-    /// A transport that connects with its first message.
+    /// Creates a transport, which connects when the first message is sent.
     pub fn new(address: SocketAddr) -> Self {
         TcpTransport { address, stream: None }
     }
 
-    /// Writes a message. After a broken connection, it is retried once on a new one.
+    /// Writes a message. If that fails, tries once more on a new connection, and then drops the message.
     pub fn send(&mut self, message: &str) {
         let frame = format!("{} {message}", message.len());
         for _ in 0..ATTEMPTS {
@@ -62,7 +62,7 @@
 }
 
 impl UdpTransport {
-    /// Binds a socket of the collector's address family.
+    /// Binds a socket of the collector's address family to any port.
     pub fn bind(collector: SocketAddr) -> Result<Self, SyslogError> {
         let local = match collector {
             SocketAddr::V4(_) => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
@@ -72,7 +72,7 @@
         Ok(UdpTransport { collector, socket })
     }
 
-    /// Sends a message.
+    /// Sends a message, which is lost if the collector can't be reached.
     pub fn send(&self, message: &str) {
         let _ = self.socket.send_to(message.as_bytes(), self.collector);
     }
