--- a/src/store/log_file.rs
+++ b/src/store/log_file.rs
@@ -39,11 +39,11 @@
     hard_state: HardState,
 }
 
-/// A log file that has been opened, and what it contained.
+/// An opened log file and its contents.
 pub struct OpenedLog<C, S> {
-    /// The file.
+    /// The opened file.
     pub log_file: LogFile,
-    /// Its contents.
+    /// The contents of the file when it was opened.
     pub persisted: PersistedState<C, S>,
     /// The error that keeps the file from being written to but may be transient; `None` for a usable file.
     pub failure: Option<io::Error>,
--- a/src/store/persistent_log.rs
+++ b/src/store/persistent_log.rs
@@ -26,7 +26,7 @@
 
 /// The health of the log.
 enum LogState {
-    /// All that was persisted is on the disk.
+    /// Everything that was passed to the log is on the disk.
     Healthy,
     /// A write or a sync failed. The log has to be replaced.
     Failed(Failure),
--- a/src/store/raft/tests.rs
+++ b/src/store/raft/tests.rs
@@ -74,7 +74,7 @@
     fn leader(&self) -> usize {
         let reachable = (0..3).filter(|replica| !self.partitioned[*replica]);
         let leaders: Vec<_> = reachable.filter(|replica| self.nodes[*replica].is_leader()).collect();
-        assert_eq!(leaders.len(), 1, "one leader");
+        assert_eq!(leaders.len(), 1, "number of reachable leaders");
         leaders[0]
     }
 
--- a/src/store/service/tests.rs
+++ b/src/store/service/tests.rs
@@ -64,7 +64,7 @@
         self.service.step(Input::Tick);
         let (reply, replies) = bounded(1);
         self.service.put(Change::Set(name.into(), value.into()), reply);
-        let confirmed = replies.try_recv().expect("answered at once").put_committed;
+        let confirmed = replies.try_recv().expect("put not answered within its step").put_committed;
         if confirmed {
             self.confirmed.push((name.into(), value));
             self.confirmed_length = self.log().len();
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most statements in the catalogue. Above it, the oldest statements are evicted.
+/// The most statements in the catalogue. A further statement evicts the oldest one.
 const MAX_STATEMENTS: usize = 512;
-/// The most settings. Above it, settings with new names are ignored.
+/// The most settings. A change that would add a further one is ignored.
 const MAX_SETTINGS: usize = 256;
 
 /// A statement that a client prepared.
--- a/src/store/transport/tests.rs
+++ b/src/store/transport/tests.rs
@@ -26,10 +26,10 @@
     let (requests, _inbox) = bounded(1);
     listen(listener, requests).unwrap();
     let mut open: Vec<_> = (0..MAX_CONNECTIONS).map(|_| connect(address)).collect();
-    assert!(is_closed(&connect(address)), "one more than the limit");
+    assert!(is_closed(&connect(address)), "a connection above the limit stays open");
     let last = open.pop().unwrap();
     last.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-    assert!(!is_closed(&last), "the last one within the limit");
+    assert!(!is_closed(&last), "the last connection within the limit is closed");
     drop(last);
     // The thread of the closed connection frees its slot at some later time.
     let start = std::time::Instant::now();
--- a/src/syslog/error.rs
+++ b/src/syslog/error.rs
@@ -5,7 +5,7 @@
 /// Why logging can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum SyslogError {
-    /// The configured facility is not a syslog facility.
+    /// The configured facility is above the highest syslog facility, 23.
     #[error("syslog facility {0} is over 23")]
     Facility(u8),
     /// The thread of a sink could not be started.
--- a/src/syslog/mod.rs
+++ b/src/syslog/mod.rs
@@ -66,8 +66,8 @@
     Udp,
 }
 
-/// The messages that are not written yet. The caller keeps it until the process exits, and then calls
-/// [`FlushGuard::finish`].
+/// Counts the messages that are not written yet. [`FlushGuard::finish`] waits for them before the process
+/// exits.
 pub struct FlushGuard {
     unwritten: Vec<Unwritten>,
 }
