--- a/tests/proxy/operations.rs
+++ b/tests/proxy/operations.rs
@@ -33,8 +33,11 @@
     assert_eq!(counter_value(&pending, "pending"), 1);
     assert_eq!(counter_value(&pending, "upstream_requests"), primary.received().len() as u64);
     drop(gone);
-    // The member sees its connection end once the proxy knows that the client has left.
+    // The proxy aborts the member's connection once it has detected that the client disconnected.
     primary.wait_for(MemberEvent::ConnectionClosed);
+    // The event loop shuts the socket down, and counts the closure only when the connection's worker thread has
+    // reported it, so the member may see the end of the connection before the counter exists.
+    wait_for_counter(&proxy, "member_connections_closed.job_cancelled=");
     insta::assert_snapshot!(proxy.admin_request("GET", "counters").1, @r"
     downstream_requests.own.completed=0
     downstream_requests.own.rejected=0
