--- a/src/sim_adapter/actions.rs
+++ b/src/sim_adapter/actions.rs
@@ -1,14 +1,14 @@
-//! Actions of a router as records.
+//! Encodes the actions of a router as records of the simulator's protocol.
 
 use super::codes::ActionCode;
 use crate::{Action, EndpointId, Micros};
 
-/// The code and the size, which precede the fields of a record.
+/// The size of the code and of the length field, which precede the fields of a record.
 const PREFIX_BYTES: usize = 5;
-/// The argument of `listen` that subscribes.
+/// The field of a `Listen` record that requests a subscription to the endpoint list.
 const SUBSCRIBE: u8 = 1;
 
-/// Appends an action of this instance to a reply.
+/// Appends the record of an action of this instance to a reply.
 pub(super) fn encode_action(instance: u32, action: &Action, reply: &mut Vec<u8>) {
     let start = reply.len();
     reply.extend([0; PREFIX_BYTES]);
@@ -24,12 +24,12 @@
         Action::Send { request, endpoint, timeout, .. } => {
             reply.extend(request.to_be_bytes());
             reply.extend(endpoint_bytes(*endpoint));
-            reply.extend(span_bytes(*timeout));
+            reply.extend(duration_bytes(*timeout));
             ActionCode::Try
         }
         Action::Reject { request, retry_after, .. } => {
             reply.extend(request.to_be_bytes());
-            reply.extend(span_bytes(*retry_after));
+            reply.extend(duration_bytes(*retry_after));
             ActionCode::Reject
         }
         Action::Fail { request, .. } => {
@@ -43,7 +43,7 @@
         }
         Action::SetTimer { token, after } => {
             reply.extend(token.to_be_bytes());
-            reply.extend(span_bytes(*after));
+            reply.extend(duration_bytes(*after));
             ActionCode::Arm
         }
         Action::Probe(endpoint) => {
@@ -68,12 +68,13 @@
     ActionCode::Log
 }
 
-/// The six low bytes, which contain every identity that the simulator assigns.
+/// The id of an endpoint in the protocol: its six low bytes. The ids that the simulator assigns need no more.
 fn endpoint_bytes(endpoint: EndpointId) -> [u8; 6] {
     let [_, _, low @ ..] = endpoint.0.to_be_bytes();
     low
 }
 
-fn span_bytes(span: Micros) -> [u8; 4] {
-    u32::try_from(span).unwrap_or(u32::MAX).to_be_bytes()
+/// A duration in the protocol: 32 bits of microseconds. A longer duration becomes the longest one.
+fn duration_bytes(duration: Micros) -> [u8; 4] {
+    u32::try_from(duration).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/src/sim_adapter/events.rs
+++ b/src/sim_adapter/events.rs
@@ -1,4 +1,4 @@
-//! Records of the simulator as events of a router.
+//! Decodes records of the simulator's protocol into events of a router.
 
 use super::WireError;
 use super::codes::EventCode;
@@ -9,16 +9,16 @@
 };
 use std::collections::BTreeMap;
 
-/// The value of `how` in an update for a failed call for the list.
+/// The value of `how` in an `Update` record that reports a failed poll of the endpoint list.
 const LIST_CALL_FAILED: u8 = 3;
-/// The bit of a request's options that marks a client's retry.
+/// The bit of a request's options that marks the request as a retry by the client.
 const RETRY_OPTION: u16 = 2;
 const STATUS_OK: u16 = 200;
 
-/// Tables of list entries, by number.
+/// The tables of endpoint entries that the simulator has sent, by their number.
 pub(super) type Tables = BTreeMap<u8, Vec<EndpointEntry>>;
 
-/// How to interpret the values of reports and notes, by the settings of an instance.
+/// Decodes the values of load reports and the notes of responses according to the settings of an instance.
 pub(super) struct ValueDecoder {
     position_epoch: Micros,
     load_report_fields: Vec<String>,
@@ -32,6 +32,9 @@
         }
     }
 
+    /// Decodes the values of a load report, which are in the order of the field names in the settings.
+    /// `x0` is the replication position in seconds since `position_epoch`; `x1` is 1 for a primary and 0 for
+    /// a replica.
     fn load_report(&self, values: &[f64]) -> LoadReport {
         let mut report = LoadReport::default();
         for (name, &value) in self.load_report_fields.iter().zip(values) {
@@ -44,7 +47,8 @@
         report
     }
 
-    /// A note encodes the position in milliseconds times 4, plus 1 from a primary and 2 from a replica.
+    /// Decodes a note: 4 times the replication position in milliseconds since `position_epoch`, plus 1 from a
+    /// primary or 2 from a replica. Position 0 means that none is reported.
     fn response_metadata(&self, note: u32) -> ResponseMetadata {
         let role = match note % 4 {
             1 => Some(Role::Primary),
@@ -57,13 +61,13 @@
     }
 }
 
-/// Reads one entry of a table.
+/// Decodes one entry of a table.
 pub(super) fn decode_entry(fields: &mut FieldReader<'_>) -> Result<EndpointEntry, WireError> {
     let state = match fields.u8()? {
         0 => EndpointState::Removed,
         1 => EndpointState::Ready,
         2 => EndpointState::Draining,
-        other => return Err(WireError::Readiness(other)),
+        other => return Err(WireError::UnknownState(other)),
     };
     let _machine_kind = fields.u8()?;
     let primary_hint = fields.f32()? >= 0.5;
@@ -75,7 +79,7 @@
     Ok(EndpointEntry { endpoint, group, zone, state, primary_hint, started_at })
 }
 
-/// Reads the event of a record; none for records that a router does not need.
+/// Decodes the event of a record; `None` for records that a router does not use.
 pub(super) fn decode_event(
     code: EventCode,
     fields: &mut FieldReader<'_>,
@@ -130,7 +134,7 @@
         444 => Outcome::Cancelled,
         409 => Outcome::NeverSent,
         204 => Outcome::NotServable,
-        other => return Err(WireError::Status(other)),
+        other => return Err(WireError::UnknownStatus(other)),
     })
 }
 
--- a/src/sim_adapter/fields.rs
+++ b/src/sim_adapter/fields.rs
@@ -5,7 +5,7 @@
 
 const ENDPOINT_ID_BYTES: usize = 6;
 
-/// The rest of a record.
+/// Reads the fields of a record, or the records of a body, in order.
 pub(super) struct FieldReader<'a> {
     rest: &'a [u8],
 }
@@ -15,14 +15,14 @@
         FieldReader { rest: record }
     }
 
-    /// The number of bytes that are left.
+    /// The number of bytes that have not been read yet.
     pub(super) fn remaining(&self) -> usize {
         self.rest.len()
     }
 
     pub(super) fn bytes(&mut self, count: usize) -> Result<&'a [u8], WireError> {
         let Some((field, rest)) = self.rest.split_at_checked(count) else {
-            return Err(WireError::TruncatedField { wanted: count, left: self.rest.len() });
+            return Err(WireError::TruncatedField { field_size: count, available: self.rest.len() });
         };
         self.rest = rest;
         Ok(field)
@@ -57,7 +57,7 @@
         Ok(EndpointId(self.unsigned(ENDPOINT_ID_BYTES)?))
     }
 
-    /// A count and as many floating-point numbers.
+    /// Reads a count of one byte, and as many floating-point numbers.
     pub(super) fn floats(&mut self) -> Result<Vec<f64>, WireError> {
         let count = self.u8()?;
         (0..count).map(|_| self.f32()).collect()
--- a/src/sim_adapter/frame.rs
+++ b/src/sim_adapter/frame.rs
@@ -1,4 +1,4 @@
-//! Batches and replies as encoded on a stream.
+//! Reads batches from a stream, and writes replies to it.
 
 use super::WireError;
 use crate::Micros;
@@ -8,15 +8,15 @@
 
 /// One batch of records from the simulator.
 pub struct Batch {
-    /// The time on the simulator's clock.
+    /// The time on the simulator's clock, in microseconds.
     pub now: Micros,
     /// The number of records in the body.
     pub records: u32,
-    /// The records, back to back.
+    /// The encoded records, without gaps between them.
     pub body: Vec<u8>,
 }
 
-/// Reads one batch; none if the input ends before it.
+/// Reads one batch; `None` if the input ends before its first byte.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
     let Some(header) = read_header(input)? else { return Ok(None) };
     let word = |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
--- a/src/sim_adapter/host.rs
+++ b/src/sim_adapter/host.rs
@@ -13,12 +13,12 @@
     values: ValueDecoder,
 }
 
-/// Hosts any number of routers that share nothing, and answers one batch at a time.
+/// Hosts any number of routers, which don't influence each other, and handles one batch at a time.
 #[derive(Default)]
 pub struct RouterHost {
     instances: BTreeMap<u32, Instance>,
     tables: Tables,
-    /// The records skipped or dropped since the caller last collected them.
+    /// A message for each record that was skipped or dropped; the caller prints and removes them.
     pub warnings: Vec<String>,
 }
 
--- a/src/sim_adapter/mod.rs
+++ b/src/sim_adapter/mod.rs
@@ -1,4 +1,5 @@
-//! The simulator's protocol: batches of events in, batches of actions out. Translates only, decides nothing.
+//! The simulator's protocol: decodes batches of events for routers, and encodes the actions of the routers.
+//! The adapter makes no routing decisions.
 
 mod actions;
 mod codes;
