--- a/src/config.rs
+++ b/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration: the file that `GW_CONFIG` names, the other variables that override it, and the
-//! TOML files under `deploy/`.
+//! The configuration of the process: the JSON file that `GW_CONFIG` names, the environment variables that
+//! override its values, and the TOML files that the command line names.
 
 use crate::Settings;
 use crate::endpoint_list::EndpointList;
@@ -8,45 +8,45 @@
 use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// Names the configuration file.
+/// The variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
-/// Sets the address of discovery.
+/// The variable with the address of discovery.
 const DISCOVERY_VARIABLE: &str = "GW_DISCOVERY";
-/// Sets the address for clients.
+/// The variable with the address of the clients' listener.
 const LISTEN_VARIABLE: &str = "GW_LISTEN";
-/// Sets the address of the admin listener.
+/// The variable with the address of the admin listener.
 const ADMIN_VARIABLE: &str = "GW_OPS";
-/// Names the descriptor of the clients' listening socket.
+/// The variable with the number of the inherited descriptor of the clients' listening socket.
 pub const LISTEN_FD_VARIABLE: &str = "GW_LISTEN_FD";
-/// Sets the proxy's name.
+/// The variable with the name of the proxy.
 const NAME_VARIABLE: &str = "GW_NAME";
 
-/// The highest number of descriptors used, whatever the limit.
+/// The upper bound of the number of descriptors that the process uses; higher limits have no effect.
 const MAX_DESCRIPTORS: usize = 1024;
-/// The least and the most memory used, in MB, whatever the limit.
+/// The bounds of `memory_mb`, in MiB; a value outside of them is replaced by the nearer one.
 const MIN_MEMORY_MB: f64 = 16.0;
 const MAX_MEMORY_MB: f64 = 1024.0;
-/// Descriptor numbers are below this.
-const DESCRIPTOR_NUMBERS: i32 = 1 << 20;
+/// The exclusive upper bound of a descriptor's number.
+const DESCRIPTOR_NUMBER_BOUND: i32 = 1 << 20;
 
 /// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A variable that must be set is not.
-    #[error("{0} is not set")]
+    /// A required environment variable is not set.
+    #[error("the environment variable {0} is not set")]
     VariableNotSet(&'static str),
-    /// The value of a variable is not an address.
-    #[error("{variable} is no address: {value}")]
+    /// The value of an environment variable is not an address.
+    #[error("{variable}: expected an IP address and a port, got {value}")]
     Address {
         /// The variable.
         variable: &'static str,
         /// Its value.
         value: String,
-        /// Why it is not an address.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// The value of a variable is not a descriptor.
-    #[error("{variable} is no descriptor: {value}")]
+    /// The value of an environment variable is not the number of a descriptor.
+    #[error("{variable}: expected the number of a descriptor, got {value}")]
     Descriptor {
         /// The variable.
         variable: &'static str,
@@ -58,32 +58,32 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the file system.
         source: std::io::Error,
     },
-    /// A file is not JSON of the right form.
+    /// A file is not JSON, or its values are not those that the configuration has.
     #[error("{}: {source}", path.display())]
     Json {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// A file is not TOML of the right form.
+    /// A file is not TOML, or its values are not those that the configuration has.
     #[error("{}: {}", path.display(), source.message())]
     Toml {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The parser's error.
         source: toml::de::Error,
     },
-    /// The parts of the configuration contradict each other, or a value is out of range.
+    /// Parts of the configuration contradict each other, or a value is out of range.
     #[error(transparent)]
     Invalid(Box<dyn Error + Send + Sync>),
 }
 
 impl ConfigError {
-    /// Wraps the error of a check of values that were read.
+    /// Wraps an error that a check of the parsed values has returned.
     pub fn invalid(error: impl Into<Box<dyn Error + Send + Sync>>) -> Self {
         ConfigError::Invalid(error.into())
     }
@@ -92,10 +92,10 @@
 /// The configuration of one proxy.
 #[derive(Debug, Deserialize)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The name of the proxy, which stays the same after a restart.
     #[serde(default)]
     pub name: String,
-    /// The address for clients.
+    /// The address of the clients' listener.
     pub listen: SocketAddr,
     /// The address of the admin listener, if there is one.
     #[serde(default, rename = "ops")]
@@ -105,23 +105,23 @@
     pub listen_fd: Option<i32>,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of the random numbers.
+    /// The seed of the random number generators.
     #[serde(default, deserialize_with = "hexadecimal")]
     pub seed: u64,
     #[serde(default)]
     limits: Limits,
-    /// The most descriptors that the process may use.
+    /// The maximum number of descriptors that the process may use.
     #[serde(skip)]
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may use.
+    /// The memory that the process may use, in bytes.
     #[serde(skip)]
     pub memory_bytes: usize,
-    /// The endpoint list of this proxy's last run.
+    /// The endpoint list that this proxy had in its previous run.
     #[serde(default, rename = "known")]
     pub known_endpoints: EndpointList,
     /// The settings of the policy.
     pub settings: Settings,
-    /// The settings as written, for the store.
+    /// The settings as JSON, unparsed, which the proxy writes to the store.
     #[serde(skip)]
     pub raw_settings: serde_json::Value,
 }
@@ -145,7 +145,7 @@
 }
 
 impl Config {
-    /// Reads the file that `GW_CONFIG` names; the other variables take precedence over it.
+    /// Reads the file that `GW_CONFIG` names. The other `GW_` variables take precedence over its values.
     pub fn from_env() -> Result<Config, ConfigError> {
         let mut config = Config::from_file()?;
         if let Some(address) = address_variable(DISCOVERY_VARIABLE)? {
@@ -154,7 +154,8 @@
         Ok(config)
     }
 
-    /// Reads the configuration again after the file was replaced: discovery is taken from the file alone.
+    /// Like [`Config::from_env`], but ignores `GW_DISCOVERY`. A reload uses this function: the address of
+    /// discovery in the replaced file applies.
     pub fn from_file() -> Result<Config, ConfigError> {
         let path = std::env::var(CONFIG_VARIABLE)
             .map(PathBuf::from)
@@ -184,8 +185,9 @@
         Ok(())
     }
 
-    /// The system's limit of descriptors applies if it is lower: the shares of clients and members must
-    /// leave enough for the proxy itself, above all for the connection to discovery.
+    /// Sets the limits that apply. The system's limit of descriptors replaces a higher configured one: the
+    /// quotas of clients and members are computed from the limit, and must leave enough descriptors for the
+    /// proxy's other sockets and files, above all for the connection to discovery.
     fn apply_limits(&mut self) {
         let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let allowed = allowed.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(MAX_DESCRIPTORS);
@@ -198,7 +200,7 @@
     serde_json::from_slice(text).map_err(|source| ConfigError::Json { path: path.into(), source })
 }
 
-/// The address in a variable; `None` if the variable is not set.
+/// Parses the address in an environment variable; `None` if the variable is not set.
 fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(value) = std::env::var(variable) else { return Ok(None) };
     match value.parse() {
@@ -207,16 +209,16 @@
     }
 }
 
-/// The descriptor in a variable; `None` if the variable is not set.
+/// Parses the descriptor number in an environment variable; `None` if the variable is not set.
 fn descriptor_variable(variable: &'static str) -> Result<Option<i32>, ConfigError> {
     let Ok(value) = std::env::var(variable) else { return Ok(None) };
     match value.parse() {
-        Ok(descriptor) if (0..DESCRIPTOR_NUMBERS).contains(&descriptor) => Ok(Some(descriptor)),
+        Ok(descriptor) if (0..DESCRIPTOR_NUMBER_BOUND).contains(&descriptor) => Ok(Some(descriptor)),
         _ => Err(ConfigError::Descriptor { variable, value }),
     }
 }
 
-/// Reads a TOML file under `deploy/`.
+/// Reads a TOML file, such as those under `deploy/`.
 pub fn from_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
     let text =
         std::fs::read_to_string(path).map_err(|source| ConfigError::Read { path: path.into(), source })?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! liftrelay's command line: runs the sub-commands, and turns their errors into one line and an exit code.
+//! The command line of liftrelay: runs the subcommands, and reports an error as one line and an exit code.
 
 #![deny(clippy::too_many_lines, clippy::unwrap_used)]
 
@@ -19,22 +19,22 @@
 /// The exit code for every other failure.
 const EXIT_FAILURE: u8 = 1;
 
-/// Why a sub-command failed.
+/// Why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     /// The configuration can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// There is no listening socket for clients.
+    /// The listening socket for clients can't be opened, or the inherited one can't be used.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// Logging could not be started.
+    /// Logging can't be started.
     #[error(transparent)]
     Syslog(#[from] SyslogError),
-    /// The store could not be started, read or changed.
+    /// The store can't be started, read or changed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// It failed while it ran.
+    /// The subcommand failed while it was running.
     #[error(transparent)]
     Run(#[from] std::io::Error),
 }
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// The complete configuration of the proxy.
+/// The configuration of the proxy and of its optional parts.
 struct Deployment {
     config: Config,
     postgres: Option<ExtendedListenerConfig>,
