--- a/tests/fault_injection/src/injector.rs
+++ b/tests/fault_injection/src/injector.rs
@@ -1,4 +1,4 @@
-//! The current script, and which calls it affects.
+//! Decides which calls the current script affects.
 
 use crate::raw::{self, FileVersion};
 use crate::script::{self, Call, Effect, Rule};
@@ -11,10 +11,10 @@
 
 /// The environment variable with the path of the script.
 const SCRIPT_VARIABLE: &str = "FAULT_SCRIPT";
-/// Added to the path of the script for that of the report.
+/// The path of the report is that of the script with this suffix.
 const REPORT_SUFFIX: &str = ".report";
 
-/// A rule, and how often it has matched and been applied.
+/// A rule, with the number of calls that it has matched and affected since the script was read.
 struct ActiveRule {
     rule: Rule,
     matched: u64,
@@ -22,7 +22,7 @@
 }
 
 impl ActiveRule {
-    /// Counts a call, and tells whether it is affected.
+    /// Whether the rule affects this call. Counts the call if it matches.
     fn applies(&mut self, call: Call, subject: &Subject<'_>, since_loaded: Duration) -> bool {
         if self.rule.call != call || !subject.matches(&self.rule.filter) {
             return false;
@@ -37,7 +37,7 @@
     }
 }
 
-/// The rules of the version of the script that was read last.
+/// The rules of the script, in the version that was read last.
 struct Rules {
     version: Option<FileVersion>,
     loaded_at: Duration,
@@ -51,7 +51,7 @@
 }
 
 impl Injector {
-    /// The injector of this process; `None` without a script's path.
+    /// The injector of this process; `None` if no variable names a script.
     fn get() -> Option<&'static Injector> {
         static INJECTOR: OnceLock<Option<Injector>> = OnceLock::new();
         INJECTOR.get_or_init(|| std::env::var_os(SCRIPT_VARIABLE).map(|path| Injector::new(&path))).as_ref()
@@ -104,20 +104,21 @@
 }
 
 thread_local! {
-    /// Whether this thread is deciding already. A signal handler that interrupts a decision makes its calls as
-    /// usual: it could not take the lock.
+    /// Whether this thread is executing [`decide`]. A signal handler that interrupts it makes its calls as
+    /// usual: it would deadlock on the lock that its own thread holds.
     static DECIDING: Cell<bool> = const { Cell::new(false) };
 }
 
-/// What happens to a call, by the current script. A delay is over when this returns.
+/// Returns the effect that the current script has on a call; `None` if the call is to be made as usual. A
+/// delay takes place in this function, which then returns `None`.
 pub fn decide(call: Call, subject: &Subject<'_>) -> Option<Effect> {
     if DECIDING.replace(true) {
         return None;
     }
-    // SAFETY: the location is that of this thread.
+    // SAFETY: the pointer is valid, and refers to the error number of this thread.
     let errno = unsafe { *libc::__errno_location() };
     let effect = Injector::get().and_then(|injector| injector.decide(call, subject));
-    // The caller's error number must survive the library's own calls.
+    // Restores the error number of the program, which the library's own system calls may have changed.
     // SAFETY: as above.
     unsafe { *libc::__errno_location() = errno };
     DECIDING.set(false);
--- a/tests/fault_injection/src/interpose.rs
+++ b/tests/fault_injection/src/interpose.rs
@@ -1,6 +1,6 @@
-//! The functions that stand between the program and the C library: each asks the script, and makes the system
-//! call itself. Their signatures are those of the C library; those with variable arguments are declared with
-//! the one argument of an integer's or a pointer's size that they take at most here.
+//! The interposed functions of the C library. Each applies the effect that the script has on the call, and
+//! makes the system call itself. The signatures are those of the C library. Variadic functions are declared
+//! with one argument of the size of an integer or a pointer: programs pass at most one.
 
 use crate::injector::decide;
 use crate::script::{Call, Effect};
@@ -9,27 +9,28 @@
 use std::os::raw::{c_char, c_int, c_long, c_uint, c_ulong, c_void};
 use std::sync::OnceLock;
 
-/// What the functions return on an error.
+/// The return value of a call that fails.
 const FAILED: c_int = -1;
 
-/// Makes a system call, unless the script has it fail.
+/// Makes a system call, or fails without making it if the script says so.
 macro_rules! call_or_fail {
     ($call:expr, $subject:expr, $result:ty, $number:expr $(, $argument:expr)*) => {
         match decide($call, &$subject) {
             Some(Effect::Error(errno)) => fail(errno) as $result,
-            // SAFETY: the arguments are those that the caller gave for this call.
+            // SAFETY: the arguments are those that the caller passed for this call.
             _ => unsafe { libc::syscall($number $(, $argument)*) as $result },
         }
     };
 }
 
 fn fail(errno: c_int) -> c_int {
-    // SAFETY: the location is that of this thread.
+    // SAFETY: the pointer is valid, and refers to the error number of this thread.
     unsafe { *libc::__errno_location() = errno };
     FAILED
 }
 
-/// Transfers bytes: all of the length, as many as the script allows, or none if it has the call fail.
+/// Makes a system call that transfers bytes, with the length that the script allows, or fails without making
+/// the call if the script says so.
 fn transfer(
     call: Call,
     descriptor: c_int,
@@ -57,7 +58,7 @@
     address: *const libc::sockaddr,
     length: libc::socklen_t,
 ) -> c_int {
-    // SAFETY: the caller gives an address of this length.
+    // SAFETY: the caller passes an address of this length.
     let peer = unsafe { socket_address(address, length) };
     let subject = Subject::Connecting { descriptor, peer };
     call_or_fail!(Call::Connect, subject, c_int, libc::SYS_connect, descriptor, address, length)
@@ -95,7 +96,7 @@
     capacity: c_int,
     timeout_ms: c_int,
 ) -> c_int {
-    let no_signals: *const libc::sigset_t = std::ptr::null();
+    let unchanged_mask: *const libc::sigset_t = std::ptr::null();
     call_or_fail!(
         Call::EpollWait,
         Subject::Nothing,
@@ -105,14 +106,14 @@
         events,
         capacity,
         timeout_ms,
-        no_signals,
+        unchanged_mask,
         0_usize
     )
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn poll(descriptors: *mut libc::pollfd, count: libc::nfds_t, timeout_ms: c_int) -> c_int {
-    // SAFETY: the caller gives so many descriptors.
+    // SAFETY: the caller passes an array of `count` descriptors.
     let first = (count > 0).then(|| unsafe { (*descriptors).fd });
     let subject = first.map_or(Subject::Nothing, Subject::Descriptor);
     match decide(Call::Poll, &subject) {
@@ -122,9 +123,11 @@
             let timeout =
                 libc::timespec { tv_sec: milliseconds / 1000, tv_nsec: milliseconds % 1000 * 1_000_000 };
             let limit = if timeout_ms < 0 { std::ptr::null() } else { &raw const timeout };
-            let no_signals: *const libc::sigset_t = std::ptr::null();
-            // SAFETY: the arguments are those that the caller gave, and a time that outlives the call.
-            unsafe { libc::syscall(libc::SYS_ppoll, descriptors, count, limit, no_signals, 0_usize) as c_int }
+            let unchanged_mask: *const libc::sigset_t = std::ptr::null();
+            // SAFETY: the arguments are those that the caller passed, and a timeout that outlives the call.
+            unsafe {
+                libc::syscall(libc::SYS_ppoll, descriptors, count, limit, unchanged_mask, 0_usize) as c_int
+            }
         }
     }
 }
@@ -132,7 +135,7 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: usize) -> isize {
     transfer(Call::Read, descriptor, length, |length| {
-        // SAFETY: the buffer is at least as long.
+        // SAFETY: the caller's buffer has at least this length.
         unsafe { libc::syscall(libc::SYS_read, descriptor, buffer, length) }
     })
 }
@@ -142,7 +145,7 @@
     let no_address: *mut libc::sockaddr = std::ptr::null_mut();
     let no_length: *mut libc::socklen_t = std::ptr::null_mut();
     transfer(Call::Read, descriptor, length, |length| {
-        // SAFETY: the buffer is at least as long.
+        // SAFETY: the caller's buffer has at least this length.
         unsafe { libc::syscall(libc::SYS_recvfrom, descriptor, buffer, length, flags, no_address, no_length) }
     })
 }
@@ -150,14 +153,14 @@
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: usize) -> isize {
     transfer(Call::Write, descriptor, length, |length| {
-        // SAFETY: the buffer is at least as long.
+        // SAFETY: the caller's buffer has at least this length.
         unsafe { libc::syscall(libc::SYS_write, descriptor, buffer, length) }
     })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(descriptor: c_int, buffer: *const c_void, length: usize, flags: c_int) -> isize {
-    // SAFETY: the caller's buffer is as long as stated.
+    // SAFETY: the caller's buffer has this length.
     unsafe { sendto(descriptor, buffer, length, flags, std::ptr::null(), 0) }
 }
 
@@ -171,7 +174,7 @@
     address_length: libc::socklen_t,
 ) -> isize {
     transfer(Call::Write, descriptor, length, |length| {
-        // SAFETY: the buffer is at least as long, and the address is the caller's.
+        // SAFETY: the caller's buffer has at least this length, and the caller passes a valid address.
         unsafe { libc::syscall(libc::SYS_sendto, descriptor, buffer, length, flags, address, address_length) }
     })
 }
@@ -181,21 +184,21 @@
     match decide(Call::Write, &Subject::Descriptor(descriptor)) {
         Some(Effect::Error(errno)) => fail(errno) as isize,
         Some(Effect::Short(most)) => {
-            // SAFETY: the caller gives so many parts.
+            // SAFETY: the caller passes an array of `count` parts.
             let parts = unsafe { std::slice::from_raw_parts(parts, usize::try_from(count).unwrap_or(0)) };
             let Some(first) = parts.iter().find(|part| part.iov_len > 0) else { return 0 };
             let length = first.iov_len.min(most);
-            // SAFETY: the part is at least as long.
+            // SAFETY: the part has at least this length.
             unsafe { libc::syscall(libc::SYS_write, descriptor, first.iov_base, length) as isize }
         }
-        // SAFETY: the arguments are those that the caller gave.
+        // SAFETY: the arguments are those that the caller passed.
         _ => unsafe { libc::syscall(libc::SYS_writev, descriptor, parts, count) as isize },
     }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open(path: *const c_char, flags: c_int, mode: c_uint) -> c_int {
-    // SAFETY: the caller gives a C string.
+    // SAFETY: the caller passes a C string.
     let paths = [unsafe { CStr::from_ptr(path) }];
     let subject = Subject::Paths(&paths);
     call_or_fail!(Call::Open, subject, c_int, libc::SYS_openat, libc::AT_FDCWD, path, flags, mode)
@@ -203,13 +206,14 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: c_uint) -> c_int {
-    // SAFETY: the same arguments; files are never limited in size on the systems that this is built for.
+    // SAFETY: the caller passes the arguments of `open`. On 64-bit systems, the only ones that this library
+    // is built for, `open` does not limit the size of files.
     unsafe { open(path, flags, mode) }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    // SAFETY: the caller gives C strings.
+    // SAFETY: the caller passes C strings.
     let paths = unsafe { [CStr::from_ptr(from), CStr::from_ptr(to)] };
     let directory = libc::AT_FDCWD;
     let subject = Subject::Paths(&paths);
@@ -282,7 +286,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
-    // SAFETY: the arguments are those that the caller gave.
+    // SAFETY: the arguments are those that the caller passed.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int };
     let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
     if result == 0
@@ -295,7 +299,7 @@
     result
 }
 
-/// `pthread_create` of the C library, which is no system call.
+/// The type of `pthread_create` of the C library, which is called instead of a system call.
 type PthreadCreate = unsafe extern "C" fn(
     *mut libc::pthread_t,
     *const libc::pthread_attr_t,
@@ -311,16 +315,16 @@
     argument: *mut c_void,
 ) -> c_int {
     static NEXT: OnceLock<Option<PthreadCreate>> = OnceLock::new();
-    // Unlike the others it returns its error number.
+    // Unlike the other functions, `pthread_create` returns the error number.
     if let Some(Effect::Error(errno)) = decide(Call::PthreadCreate, &Subject::Nothing) {
         return errno;
     }
     let next = NEXT.get_or_init(|| {
         // SAFETY: the name is a C string.
         let symbol = unsafe { libc::dlsym(libc::RTLD_NEXT, c"pthread_create".as_ptr()) };
-        // SAFETY: the C library's function has this signature; a null pointer is none.
+        // SAFETY: the C library's function has this signature, and a null pointer becomes `None`.
         unsafe { std::mem::transmute::<*mut c_void, Option<PthreadCreate>>(symbol) }
     });
-    // SAFETY: the arguments are those that the caller gave.
+    // SAFETY: the arguments are those that the caller passed.
     next.map_or(libc::EAGAIN, |next| unsafe { next(thread, attributes, start, argument) })
 }
--- a/tests/fault_injection/src/raw.rs
+++ b/tests/fault_injection/src/raw.rs
@@ -1,14 +1,14 @@
-//! System calls that the library makes itself, past its own interposed functions.
+//! System calls for the library's own use, which bypass the interposed functions.
 
 use std::ffi::CStr;
 use std::mem::MaybeUninit;
 use std::os::raw::{c_int, c_long, c_void};
 use std::time::Duration;
 
-/// The bytes that are read at once.
+/// The number of bytes that one call reads from a file.
 const READ_BYTES: usize = 4096;
 
-/// Tells two versions of a file apart.
+/// Identifies a version of a file: it differs after the file was replaced or changed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct FileVersion {
     inode: u64,
@@ -17,14 +17,14 @@
     bytes: i64,
 }
 
-/// The version of the file; `None` without one.
+/// The version of the file; `None` if the file does not exist.
 pub fn file_version(path: &CStr) -> Option<FileVersion> {
     let mut status = MaybeUninit::<libc::stat>::zeroed();
     // SAFETY: the path is a C string and the buffer is large enough for the result.
     let result = unsafe {
         libc::syscall(libc::SYS_newfstatat, libc::AT_FDCWD, path.as_ptr(), status.as_mut_ptr(), 0 as c_int)
     };
-    // SAFETY: zeroed and then filled in; all bit patterns are valid.
+    // SAFETY: the buffer was zeroed and then filled in; all its bit patterns are valid.
     let status = unsafe { status.assume_init() };
     (result == 0).then_some(FileVersion {
         inode: status.st_ino,
@@ -52,7 +52,7 @@
     contents
 }
 
-/// Appends a line to a file, which is created if there is none.
+/// Appends a line to a file, which is created if it does not exist.
 pub fn append_line(path: &CStr, line: &str) {
     let flags = libc::O_WRONLY | libc::O_APPEND | libc::O_CREAT | libc::O_CLOEXEC;
     let Some(descriptor) = open(path, flags) else { return };
@@ -78,7 +78,7 @@
     unsafe { libc::syscall(libc::SYS_close, descriptor) };
 }
 
-/// The monotonic clock.
+/// The time on the monotonic clock.
 pub fn monotonic() -> Duration {
     let mut now = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: the buffer is large enough for the result.
@@ -86,17 +86,16 @@
     Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec as u32)
 }
 
-/// Waits.
 pub fn sleep(duration: Duration) {
     let wait = libc::timespec {
         tv_sec: duration.as_secs() as i64,
         tv_nsec: c_long::from(duration.subsec_nanos() as i32),
     };
-    // SAFETY: the time is valid, and no remaining time is asked for.
+    // SAFETY: the duration is valid, and the pointer for the remaining time may be null.
     unsafe { libc::syscall(libc::SYS_nanosleep, &raw const wait, std::ptr::null_mut::<c_void>()) };
 }
 
-/// An integer option of a socket; `None` if the descriptor is none.
+/// The value of an integer option of a socket; `None` if the descriptor is not a socket.
 pub fn socket_option(descriptor: c_int, option: c_int) -> Option<c_int> {
     let mut value: c_int = 0;
     let mut length = size_of::<c_int>() as libc::socklen_t;
@@ -114,7 +113,7 @@
     (result == 0).then_some(value)
 }
 
-/// Ends the program with a line on standard error.
+/// Writes the reason as a line to standard error, and aborts the program.
 pub fn abort(reason: &str) -> ! {
     write(libc::STDERR_FILENO, &format!("fault_injection: {reason}\n"));
     std::process::abort()
--- a/tests/fault_injection/src/script.rs
+++ b/tests/fault_injection/src/script.rs
@@ -1,4 +1,4 @@
-//! The script's rules and their parser. The format is documented with the crate.
+//! The rules of a script, and their parser. The documentation of the crate describes the format.
 
 use std::fmt::{Display, Formatter};
 use std::net::SocketAddr;
@@ -87,13 +87,13 @@
     Listener,
     /// A connection that was accepted.
     Accepted,
-    /// An internet socket that is neither.
+    /// An internet socket that neither listens nor was accepted.
     Connected,
     /// A regular file.
     File,
 }
 
-/// What a call is made on; `None` matches all.
+/// The conditions on the subject of a call; a condition that is `None` always holds.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
     pub kind: Option<Kind>,
@@ -103,7 +103,7 @@
     pub descriptor: Option<c_int>,
 }
 
-/// Which of the matching calls are affected.
+/// Determines which of the matching calls are affected.
 #[derive(Clone, Copy, Debug)]
 pub struct Schedule {
     pub skip: u64,
@@ -112,7 +112,7 @@
     pub period: Duration,
 }
 
-/// What happens to a call.
+/// The effect of a rule on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Error(c_int),
@@ -121,25 +121,25 @@
     ClockOffset { seconds: i64 },
 }
 
-/// A rule.
+/// A rule of the script.
 #[derive(Clone, Debug)]
 pub struct Rule {
     pub call: Call,
     pub filter: Filter,
     pub schedule: Schedule,
     pub effect: Effect,
-    /// The call and the effect as the script has them.
+    /// The call and the effect, as written in the script; the line for the report.
     pub description: String,
 }
 
-/// Why a script can't be used; the text that is at fault.
+/// Why a script can't be parsed, with the part of its text that is invalid.
 #[derive(Debug)]
 pub enum ScriptError {
     NotText,
     UnknownCall(String),
     UnknownKey(String),
     BadValue(String),
-    /// A rule has no effect, several of them, or one that its call can't have.
+    /// A rule has no effect, several effects, or one that its call does not support.
     BadEffect(String),
 }
 
@@ -149,9 +149,9 @@
             ScriptError::NotText => formatter.write_str("the script is not UTF-8"),
             ScriptError::UnknownCall(name) => write!(formatter, "unknown call: {name}"),
             ScriptError::UnknownKey(word) => write!(formatter, "unknown key: {word}"),
-            ScriptError::BadValue(word) => write!(formatter, "bad value: {word}"),
+            ScriptError::BadValue(word) => write!(formatter, "invalid value: {word}"),
             ScriptError::BadEffect(rule) => {
-                write!(formatter, "not exactly one effect that it can have: {rule}")
+                write!(formatter, "expected exactly one effect that the call supports: {rule}")
             }
         }
     }
@@ -168,29 +168,29 @@
 fn parse_rule(text: &str) -> Result<Rule, ScriptError> {
     let mut words = text.split_whitespace();
     let name = words.next().unwrap_or_default();
-    let call = named(&CALLS, name).ok_or_else(|| ScriptError::UnknownCall(name.into()))?;
+    let call = find_by_name(&CALLS, name).ok_or_else(|| ScriptError::UnknownCall(name.into()))?;
     let mut filter = Filter::default();
     let mut schedule = Schedule { skip: 0, every: 1, count: u64::MAX, period: Duration::MAX };
     let mut effects = Vec::new();
     for word in words {
         let (key, value) = word.split_once('=').ok_or_else(|| ScriptError::UnknownKey(word.into()))?;
-        let is_known = parse_filter(&mut filter, key, value)
+        let parsed = parse_filter(&mut filter, key, value)
             .or_else(|| parse_schedule(&mut schedule, key, value))
             .or_else(|| {
                 parse_effect(key, value).map(|effect| effect.map(|effect| effects.push((word, effect))))
             })
             .ok_or_else(|| ScriptError::UnknownKey(word.into()))?;
-        is_known.ok_or_else(|| ScriptError::BadValue(word.into()))?;
+        parsed.ok_or_else(|| ScriptError::BadValue(word.into()))?;
     }
     let [(word, effect)] = effects[..] else { return Err(ScriptError::BadEffect(text.into())) };
-    if !can_have(call, effect) {
+    if !is_supported(call, effect) {
         return Err(ScriptError::BadEffect(text.into()));
     }
     Ok(Rule { call, filter, schedule, effect, description: format!("{name} {word}") })
 }
 
-/// Whether an effect is possible at a call.
-fn can_have(call: Call, effect: Effect) -> bool {
+/// Whether a call supports an effect.
+fn is_supported(call: Call, effect: Effect) -> bool {
     match effect {
         Effect::Error(_) | Effect::Delay(_) => call != Call::ClockGettime,
         Effect::Short(_) => matches!(call, Call::Read | Call::Write),
@@ -198,11 +198,12 @@
     }
 }
 
-fn named<T: Copy>(table: &[(&str, T)], name: &str) -> Option<T> {
+fn find_by_name<T: Copy>(table: &[(&str, T)], name: &str) -> Option<T> {
     table.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
 }
 
-/// `None` for a key of something else, `Some(None)` for a bad value; so do the next two.
+/// Parses a key of the filter. Returns `None` for any other key, and `Some(None)` for an invalid value, as
+/// [`parse_schedule`] and [`parse_effect`] do for their keys.
 fn parse_filter(filter: &mut Filter, key: &str, value: &str) -> Option<Option<()>> {
     const KINDS: [(&str, Kind); 4] = [
         ("listener", Kind::Listener),
@@ -211,7 +212,7 @@
         ("file", Kind::File),
     ];
     Some(match key {
-        "on" => named(&KINDS, value).map(|kind| filter.kind = Some(kind)),
+        "on" => find_by_name(&KINDS, value).map(|kind| filter.kind = Some(kind)),
         "peer" => value.parse().ok().map(|peer| filter.peer = Some(peer)),
         "local" => value.parse().ok().map(|local| filter.local = Some(local)),
         "fd" => value.parse().ok().map(|descriptor| filter.descriptor = Some(descriptor)),
@@ -236,8 +237,8 @@
 
 fn parse_effect(key: &str, value: &str) -> Option<Option<Effect>> {
     Some(match key {
-        "error" => named(&ERRORS, value).map(Effect::Error),
-        // A short count of none would be the end of the stream.
+        "error" => find_by_name(&ERRORS, value).map(Effect::Error),
+        // A transfer of no bytes would be taken for the end of the stream.
         "short" => value.parse().ok().filter(|bytes| *bytes > 0).map(Effect::Short),
         "delay_ms" => value.parse().ok().map(Duration::from_millis).map(Effect::Delay),
         "offset_s" => value.parse().ok().map(|seconds| Effect::ClockOffset { seconds }),
--- a/tests/fault_injection/src/subject.rs
+++ b/tests/fault_injection/src/subject.rs
@@ -1,4 +1,4 @@
-//! What a call is made on, and whether a rule's filter matches it.
+//! The subject of a call (a descriptor, an address or paths), and whether a rule's filter matches it.
 
 use crate::raw::socket_option;
 use crate::script::{Filter, Kind};
@@ -8,33 +8,33 @@
 use std::os::raw::{c_char, c_int, c_long};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Descriptors up to this one are tracked.
+/// Descriptors with numbers below this one are tracked.
 const MAX_DESCRIPTORS: usize = 65_536;
 
-/// The descriptors that came from `accept4`.
+/// Whether a descriptor was returned by `accept4`, by the descriptor's number.
 static ACCEPTED: [AtomicBool; MAX_DESCRIPTORS] = [const { AtomicBool::new(false) }; MAX_DESCRIPTORS];
 
-/// Records that a descriptor was accepted, or that it is a new socket.
+/// Records for the descriptor of a new socket whether it was accepted.
 pub fn track(descriptor: c_int, is_accepted: bool) {
     if let Some(accepted) = usize::try_from(descriptor).ok().and_then(|index| ACCEPTED.get(index)) {
         accepted.store(is_accepted, Ordering::SeqCst);
     }
 }
 
-/// What a call is made on.
+/// The subject of a call.
 pub enum Subject<'a> {
-    /// Nothing that a filter could name.
+    /// The call has no subject that a filter could match.
     Nothing,
-    /// A descriptor.
+    /// The call uses a descriptor.
     Descriptor(c_int),
-    /// A socket that is to be connected to an address.
+    /// The call connects a socket to an address.
     Connecting { descriptor: c_int, peer: Option<SocketAddr> },
-    /// Paths.
+    /// The call names paths.
     Paths(&'a [&'a CStr]),
 }
 
 impl Subject<'_> {
-    /// Whether the filter matches.
+    /// Whether all conditions of the filter hold.
     pub fn matches(&self, filter: &Filter) -> bool {
         filter.kind.is_none_or(|kind| self.kind() == Some(kind))
             && filter.peer.is_none_or(|peer| self.peer() == Some(peer))
@@ -76,6 +76,7 @@
         address_of(libc::SYS_getsockname, self.descriptor()?)
     }
 
+    /// Whether a path of the call, or the path of its descriptor, starts with this prefix.
     fn has_path(&self, prefix: &[u8]) -> bool {
         match self {
             Subject::Paths(paths) => paths.iter().any(|path| path.to_bytes().starts_with(prefix)),
@@ -88,7 +89,7 @@
     let mut status = MaybeUninit::<libc::stat>::zeroed();
     // SAFETY: the buffer is large enough for the result.
     let result = unsafe { libc::syscall(libc::SYS_fstat, descriptor, status.as_mut_ptr()) };
-    // SAFETY: zeroed and then filled in; all bit patterns are valid.
+    // SAFETY: the buffer was zeroed and then filled in; all its bit patterns are valid.
     let status = unsafe { status.assume_init() };
     result == 0 && status.st_mode & libc::S_IFMT == libc::S_IFREG
 }
@@ -111,7 +112,7 @@
     Some(path)
 }
 
-/// The address that `getsockname` or `getpeername` returns.
+/// The address of a socket; `call` is the number of `getsockname` or `getpeername`.
 fn address_of(call: c_long, descriptor: c_int) -> Option<SocketAddr> {
     let mut storage = MaybeUninit::<libc::sockaddr_storage>::zeroed();
     let mut length = size_of::<libc::sockaddr_storage>() as libc::socklen_t;
@@ -120,11 +121,11 @@
     if result != 0 {
         return None;
     }
-    // SAFETY: the system has filled in an address of this length.
+    // SAFETY: the call has filled in an address of this length.
     unsafe { socket_address(storage.as_ptr().cast(), length) }
 }
 
-/// The address at this place, if it is one of the internet.
+/// Converts a socket address; `None` if its family is neither IPv4 nor IPv6.
 ///
 /// # Safety
 ///
@@ -134,16 +135,16 @@
     if address.is_null() || length < size_of::<libc::sa_family_t>() {
         return None;
     }
-    // SAFETY: the family comes first in all addresses.
+    // SAFETY: every socket address starts with its family, and the length includes the family.
     let family = c_int::from(unsafe { address.cast::<libc::sa_family_t>().read_unaligned() });
     if family == libc::AF_INET && length >= size_of::<libc::sockaddr_in>() {
-        // SAFETY: the family and the length are checked.
+        // SAFETY: the family and the length have been checked.
         let v4 = unsafe { address.cast::<libc::sockaddr_in>().read_unaligned() };
         let ip = Ipv4Addr::from(u32::from_be(v4.sin_addr.s_addr));
         return Some(SocketAddr::from((ip, u16::from_be(v4.sin_port))));
     }
     if family == libc::AF_INET6 && length >= size_of::<libc::sockaddr_in6>() {
-        // SAFETY: the family and the length are checked.
+        // SAFETY: the family and the length have been checked.
         let v6 = unsafe { address.cast::<libc::sockaddr_in6>().read_unaligned() };
         let ip = Ipv6Addr::from(v6.sin6_addr.s6_addr);
         return Some(SocketAddr::from((ip, u16::from_be(v6.sin6_port))));
