--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -96,8 +96,8 @@
     let output = run_adapter(&batch(2, &body));
     assert!(output.status.success());
     assert_eq!(output.stdout, [0, 0, 0, 0]);
-    let warnings = String::from_utf8(output.stderr).unwrap();
-    assert!(warnings.contains("unknown code 99") && warnings.contains("instance 5"), "{warnings}");
+    let printed = String::from_utf8(output.stderr).unwrap();
+    assert!(printed.contains("unknown code 99") && printed.contains("instance 5"), "{printed}");
 }
 
 #[test]
