--- a/benches/fleet_cost.rs
+++ b/benches/fleet_cost.rs
@@ -1,5 +1,6 @@
-//! What a proxy needs in a fleet of sixteen times the members, beside the limit for each row: the real program
-//! between the tests' stand-ins, the same traffic at both sizes. `make fleet-cost` runs it.
+//! Measures what a proxy needs in a fleet of the usual size and in one with sixteen times the members, under
+//! the same traffic, and compares the costs with their limits. The proxy is the real program, between the
+//! mock members and the mock discovery of the tests. `make fleet-cost` runs this bench.
 
 #![allow(missing_docs)]
 
@@ -14,15 +15,16 @@
 const USUAL_MEMBERS: usize = 200;
 const LARGE_MEMBERS: usize = 3200;
 const LARGE_PROXIES: usize = 900;
-/// Members and proxies grow alike.
+/// Both fleets have the same ratio of members to proxies.
 const USUAL_PROXIES: usize = LARGE_PROXIES * USUAL_MEMBERS / LARGE_MEMBERS;
 const REQUESTS: u32 = 600;
 const DURATION: Duration = Duration::from_secs(30);
 
 fn main() -> ExitCode {
-    let play = |members, proxies| Fleet { members, proxies, requests: REQUESTS, duration: DURATION }.play();
-    let usual = play(USUAL_MEMBERS, USUAL_PROXIES);
-    let large = play(LARGE_MEMBERS, LARGE_PROXIES);
+    let measure =
+        |members, proxies| Fleet { members, proxies, requests: REQUESTS, duration: DURATION }.play();
+    let usual = measure(USUAL_MEMBERS, USUAL_PROXIES);
+    let large = measure(LARGE_MEMBERS, LARGE_PROXIES);
     println!("{REQUESTS} requests in {} s; one in twelve members is replaced", DURATION.as_secs());
     println!("{:34} {USUAL_MEMBERS:>9} {LARGE_MEMBERS:>9} {:>9}", "members", "limit");
     let mut all_hold = true;
--- a/tests/proxy/fault_injection.rs
+++ b/tests/proxy/fault_injection.rs
@@ -1,11 +1,12 @@
-//! The library that makes system calls fail, preloaded into programs whose calls are known, and into the proxy.
+//! Tests of the fault injection library, preloaded into programs whose system calls are known, and into the
+//! proxy.
 
 use crate::support::*;
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Command, Output, Stdio};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Runs a program with these faults; returns what it prints, and the faults.
+/// Runs a program with this fault script. Returns its output, and the faults that were injected.
 fn run(script: &str, program: &str, arguments: &[&str]) -> (Output, Vec<String>) {
     let faults = Faults::scripted(script);
     let mut command = Command::new(program);
@@ -43,7 +44,7 @@
 fn only_the_calls_that_are_due_are_affected() {
     let path = env!("CARGO_MANIFEST_PATH");
     let text = std::fs::read(path).unwrap();
-    // So short that it takes more reads than the rule affects.
+    // Reads of 3 bytes at most, so that `cat` makes more reads than the first rule affects.
     let script = format!("read path={path} skip=1 every=2 count=2 short=1; read path={path} short=3");
     let (output, injected) = run(&script, "cat", &[path]);
     assert_eq!(output.stdout, text);
@@ -97,10 +98,10 @@
     }
 }
 
-/// Shows that the calls of the proxy, of its libraries too, go through the preloaded functions, and that kinds
-/// of sockets and their addresses are told apart.
+/// The calls of the proxy and of its libraries must go through the preloaded functions, and rules must tell
+/// kinds and addresses of sockets apart: otherwise tests of the proxy would run without their faults.
 #[test]
-fn calls_of_the_proxy_are_reached() {
+fn calls_of_the_proxy_are_interposed() {
     let primary = MockMember::start(true);
     let member = primary.address;
     let calls_to_member = [
@@ -138,7 +139,7 @@
     assert!(faults.injected().is_empty());
 }
 
-/// A script that has each of these calls injected once, with no effect but its report.
+/// A script that delays each of these calls once by 0 ms: the only effect is a line in the report.
 fn once_each(calls: &[String]) -> String {
     calls.iter().map(|call| format!("{call} count=1 delay_ms=0\n")).collect()
 }
