--- a/tests/proxy/system_calls.rs
+++ b/tests/proxy/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls of the proxy that fail for a moment, as Linux documents them.
+//! The proxy while its system calls fail temporarily, with errors that Linux documents for them.
 
 use crate::support::*;
 use std::net::SocketAddr;
@@ -9,21 +9,22 @@
     vec![MockMember::start(true), MockMember::start(false), MockMember::start(false)]
 }
 
-/// The program in front of these members, with no probes and no faults yet.
+/// Starts the proxy in front of these members, without health checks.
 fn start_proxy(members: &[MockMember], faults: &Faults) -> Proxy {
     Proxy::start_with_faults(&members.iter().collect::<Vec<_>>(), &shell_without_probes(""), faults)
 }
 
-/// A script with this rule for each member.
+/// A script with one rule for each member: this call to the member has this effect.
 fn for_each_member(members: &[MockMember], call: &str, effect: &str) -> String {
     members.iter().map(|member| format!("{call} peer={} {effect}\n", member.address)).collect()
 }
 
-/// Reads and writes that arrive while each attempt fails by this script; returns their replies once the faults
-/// have ended.
+/// Sends several reads and a write while the script makes every attempt fail. Returns their replies, which
+/// are read after the faults have ended.
 fn replies_to_requests_during_faults(proxy: &Proxy, faults: &Faults, script: &str) -> Vec<String> {
     const READS: u32 = 5;
-    /// More than each request is sent at first: all of them wait, and are tried again.
+    /// More faults than the first attempts of all requests: the requests are waiting, and are being retried,
+    /// when the faults end.
     const FAULTS: usize = 24;
     let mut clients: Vec<_> = (0..=READS).map(|_| proxy.connect()).collect();
     faults.set(script);
@@ -34,16 +35,17 @@
     }
     faults.wait_for_injected(FAULTS);
     faults.clear();
-    // No busy loop.
+    // A busy loop of retries would make more attempts.
     let attempts_per_ms = faults.injected().len() as f64 / start.elapsed().as_millis().max(10) as f64;
-    assert!(attempts_per_ms < 3.0, "{attempts_per_ms} attempts a millisecond");
+    assert!(attempts_per_ms < 3.0, "{attempts_per_ms} attempts per millisecond");
     clients.iter_mut().map(Client::read_reply).collect()
 }
 
-/// Guards against errors of this machine that count as the members': requests were rejected at once, or held
-/// until members that were never at fault were tried again, seconds later.
+/// A connect error that this machine causes must not count as a failure of the member. Otherwise members that
+/// have no fault are ejected, and requests are rejected immediately, or held until an ejected member is tried
+/// again seconds later.
 #[test]
-fn error_of_this_machine_while_connecting_costs_no_request_and_ejects_nobody() {
+fn local_connect_errors_fail_no_request_and_eject_no_member() {
     let errors = [
         "EADDRNOTAVAIL",
         "ENETUNREACH",
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn lack_of_sockets_or_threads_costs_no_request_and_ejects_nobody() {
+fn lack_of_sockets_or_threads_fails_no_request_and_ejects_no_member() {
     for script in ["socket error=ENOBUFS", "socket error=ENFILE", "pthread_create error=EAGAIN"] {
         let (members, faults) = (start_members(), Faults::none());
         let proxy = start_proxy(&members, &faults);
@@ -82,9 +84,10 @@
     wait_for_counter(proxy, "members_unavailable=0\n");
 }
 
-/// An error of this machine that lasts ends each request at its deadline, as one that was not executed.
+/// While a connect error that this machine causes persists, each request is rejected by its deadline, because
+/// no member has executed it.
 #[test]
-fn lasting_error_of_this_machine_is_a_rejection_by_the_deadline() {
+fn lasting_local_connect_error_rejects_requests_by_their_deadline() {
     let (members, faults) = (start_members(), Faults::none());
     let proxy = start_proxy(&members, &faults);
     faults.set(&for_each_member(&members, "connect", "error=EADDRNOTAVAIL"));
@@ -95,11 +98,12 @@
     }
     assert_eq!(members.iter().map(MockMember::executed_count).sum::<usize>(), 0);
     faults.clear();
-    assert_eq!(proxy.connect().query(&read_query(3)), SERVED, "nobody is ejected");
+    assert_eq!(proxy.connect().query(&read_query(3)), SERVED, "no member is ejected");
 }
 
-/// Guards against an outage that lasts seconds longer than its cause, though nobody else tells whether a member is
-/// back: no probes are allowed.
+/// Guards against an outage that lasts seconds longer than its cause, because members that refused
+/// connections are not tried again. Health checks are disabled, so only attempts show that a member accepts
+/// connections.
 #[test]
 fn members_that_refused_connections_are_soon_used_again() {
     let (members, faults) = (start_members(), Faults::none());
@@ -126,10 +130,10 @@
     assert!(start.elapsed() < Duration::from_millis(3500), "{:?}", start.elapsed());
 }
 
-/// Guards against a connection that is dropped unread, or is never read or written to again, as a call on it failed
-/// for a moment: its first request may be in it.
+/// A temporary error of a call on a client connection must not close the connection, and must not end reading
+/// from it or writing to it: the client may already have sent its first request.
 #[test]
-fn client_whose_connection_meets_errors_of_this_machine_gets_its_answers() {
+fn clients_get_their_answers_despite_temporary_errors_on_their_connections() {
     let (members, faults) = (start_members(), Faults::none());
     let proxy = start_proxy(&members, &faults);
     let (platform, extended) = (proxy.address, proxy.extended_address.unwrap());
@@ -166,7 +170,7 @@
     assert!(extended.read_reply().contains("D(value)"), "{rule}");
 }
 
-/// Guards against an error that ends or stalls accepting.
+/// A temporary error of `accept4` or `epoll_ctl` on a listener must not leave clients waiting in its backlog.
 #[test]
 fn errors_of_accept_neither_end_nor_stall_accepting() {
     let (members, faults) = (start_members(), Faults::none());
@@ -183,9 +187,10 @@
     }
 }
 
-/// Short transfers and errors that leave a connection as it was cost nothing, at members and at discovery.
+/// A short transfer, or an error that leaves the connection usable, must not end a connection to a member or
+/// to discovery, and must not cause a second execution of a request.
 #[test]
-fn member_connection_survives_short_transfers_and_momentary_errors() {
+fn member_connection_survives_short_transfers_and_temporary_errors() {
     let primary = MockMember::start(true);
     let faults = Faults::none();
     let proxy = start_proxy(std::slice::from_ref(&primary), &faults);
@@ -194,7 +199,7 @@
     let mut executed = 1;
     for effect in ["short=1", "every=2 error=EINTR", "every=2 error=ENOMEM", "every=2 error=ENOBUFS"] {
         for call in ["read", "write"] {
-            // The first read is the check of the idle connection.
+            // Skips the first read, which checks the idle connection.
             faults.set(&format!("{call} peer={member} skip=1 {effect}"));
             assert_eq!(proxy.connect().query(&write_query(2, 900)), SERVED, "{call} {effect}");
             executed += 1;
@@ -206,10 +211,11 @@
     assert_eq!(primary.executed_count(), executed);
 }
 
-/// A connection that breaks shows as a timeout or as a host that can't be reached, too: before the last byte is
-/// written nothing was executed, and afterwards a write may have been.
+/// A broken connection can also show as a timeout or as an unreachable host. Whatever the error: before the
+/// last byte of a write is sent, the write has not been executed and is retried; afterwards it may have been
+/// executed, and the client gets an error that says so.
 #[test]
-fn broken_member_connection_is_told_by_when_it_broke_and_not_by_its_error() {
+fn broken_member_connection_is_classified_by_the_time_of_the_error_and_not_by_its_code() {
     for error in ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "EPIPE", "EIO"] {
         let primary = MockMember::start(true);
         let faults = Faults::none();
@@ -218,7 +224,7 @@
         assert_eq!(client.query(&write_query(1, 900)), SERVED);
         faults.set(&format!("write peer={} count=1 error={error}", primary.address));
         assert_eq!(client.query(&write_query(2, 900)), SERVED, "{error}");
-        // The first read is the check of the idle connection.
+        // Skips the first read, which checks the idle connection.
         faults.set(&format!("read peer={} skip=1 count=1 error={error}", primary.address));
         assert_eq!(client.query(&write_query(3, 900)), "E(08007) Z", "{error}");
         assert_eq!(client.query(&write_query(4, 900)), SERVED, "{error}");
@@ -226,15 +232,16 @@
     }
 }
 
-/// Operators are answered though there is no thread for them, or a call on their connection fails for a moment.
+/// Admin requests are answered although no thread can be created for them, or a call on their connection
+/// fails temporarily.
 #[test]
-fn operators_are_answered_during_errors_of_this_machine() {
+fn admin_requests_are_answered_during_local_errors() {
     let (members, faults) = (start_members(), Faults::none());
     let proxy = start_proxy(&members, &faults);
     let local = proxy.admin_address.unwrap();
     for rule in [
-        // First: after an answer its connection sets a time limit once more, which would count as the one to
-        // skip.
+        // This rule comes first: after an answer, the connection of an earlier request sets a timeout once
+        // more, which would count as the call to skip.
         format!("setsockopt local={local} on=accepted skip=1 error=ENOBUFS"),
         "pthread_create error=EAGAIN".to_string(),
         format!("read local={local} on=accepted every=2 error=ENOMEM"),
@@ -247,14 +254,15 @@
     }
 }
 
-/// Guards against a signal thread that ends with the first error of its wait: SIGTERM would have no effect.
+/// The signal thread must not end when its wait for a signal fails. Otherwise SIGTERM has no effect
+/// afterwards.
 #[test]
-fn signals_are_heeded_after_errors_of_this_machine() {
+fn signals_are_handled_after_local_errors() {
     let (members, faults) = (start_members(), Faults::none());
     let mut proxy = start_proxy(&members, &faults);
     faults.set("read error=ENOMEM");
     proxy.signal("-HUP");
-    // The configuration, and the wait for the next signal.
+    // The faults affect the reads of the configuration file and the wait for the next signal.
     faults.wait_for_injected(3);
     faults.clear();
     assert_eq!(proxy.connect().query(&read_query(1)), SERVED);
