--- a/tests/proxy/daemon.rs
+++ b/tests/proxy/daemon.rs
@@ -1,4 +1,4 @@
-//! The log and the store of the process.
+//! The proxy's log at syslog collectors, and its store.
 
 use crate::support::*;
 use serde_json::Value;
@@ -8,14 +8,16 @@
 use std::process::{Command, Output};
 use std::time::Instant;
 
-/// The message without its time, host, process and sequence number.
+/// Removes the time, the host, the process id and the sequence number from a syslog message, and the port of
+/// a listener.
 fn normalize_message(message: &str) -> String {
     let words: Vec<_> = message.split(' ').collect();
     assert!(words[1].ends_with('Z') && words[4].parse::<u32>().is_ok(), "{message}");
     let rest = message.split_once("\"]").unwrap().1;
-    let rest = rest.split_once(" listen=\"127.0.0.1:").map_or(rest.to_string(), |(a, b)| {
-        format!("{a} listen=...{}", b.trim_start_matches(|c: char| c.is_ascii_digit()))
-    });
+    let rest =
+        rest.split_once(" listen=\"127.0.0.1:").map_or(rest.to_string(), |(before, port_and_after)| {
+            format!("{before} listen=...{}", port_and_after.trim_start_matches(|c: char| c.is_ascii_digit()))
+        });
     format!("{} {} {}{rest}", words[0], words[3], words[5])
 }
 
@@ -30,16 +32,16 @@
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).unwrap();
     assert!(proxy.child.wait().unwrap().success());
-    let (mut rest, mut all) = (&bytes[..], Vec::new());
-    while let Some(blank) = rest.iter().position(|b| *b == b' ') {
-        let length: usize = std::str::from_utf8(&rest[..blank]).unwrap().parse().unwrap();
-        let message = &rest[blank + 1..blank + 1 + length];
-        all.push(normalize_message(std::str::from_utf8(message).unwrap()));
-        rest = &rest[blank + 1 + length..];
+    let (mut rest, mut messages) = (&bytes[..], Vec::new());
+    while let Some(space) = rest.iter().position(|byte| *byte == b' ') {
+        let length: usize = std::str::from_utf8(&rest[..space]).unwrap().parse().unwrap();
+        let message = &rest[space + 1..space + 1 + length];
+        messages.push(normalize_message(std::str::from_utf8(message).unwrap()));
+        rest = &rest[space + 1 + length..];
     }
     assert!(rest.is_empty());
-    all.retain(|m| !m.contains("store"));
-    insta::assert_snapshot!(all.join("\n"), @r#"
+    messages.retain(|normalized| !normalized.contains("store"));
+    insta::assert_snapshot!(messages.join("\n"), @r#"
     <30>1 liftrelay net[liftrelay@32473 list_revision="0" complete="true" source="configuration" entries="0" changes="0" known="0"] endpoint list applied
     <30>1 liftrelay net[liftrelay@32473 name="n0" listen=..."] serving
     <30>1 liftrelay net[liftrelay@32473 list_revision="1" complete="true" source="discovery" watch="0" entries="1" changes="1" known="1"] endpoint list applied
@@ -63,22 +65,23 @@
         normalize_message(std::str::from_utf8(&datagram[..length]).unwrap()).starts_with("<134>1 liftrelay ")
     );
     drop((proxy, collector));
-    let away = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let away = format!("collector = \"{away}\"\nprotocol = \"tcp\"\n");
-    let proxy = Proxy::start_with_shell(&[&primary], "exec \"$0\" serve --syslog \"$2\"", &away);
+    let absent = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let absent = format!("collector = \"{absent}\"\nprotocol = \"tcp\"\n");
+    let proxy = Proxy::start_with_shell(&[&primary], "exec \"$0\" serve --syslog \"$2\"", &absent);
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
 }
 
-/// A store of one replica on the disk.
+/// The deploy file and the data directory of a store with one replica on disk.
 struct StoreFile {
     data: PathBuf,
-    /// The deploy file.
+    /// The text of the deploy file.
     text: String,
 }
 
 impl StoreFile {
     fn new(network: u8) -> StoreFile {
-        // No other process uses this address, so the port stays free until the replica binds it.
+        // The host address contains the process id. No other process uses it, so the port stays free until
+        // the replica binds it.
         let pid = std::process::id();
         let host = format!("127.{network}.{}.{}:0", pid >> 8 & 255, pid & 255);
         let free = TcpListener::bind(host).unwrap().local_addr().unwrap();
@@ -94,7 +97,7 @@
     }
 }
 
-/// What the store's command line prints for the replica of a proxy.
+/// Runs `liftrelay store` with the deploy file of a proxy's store.
 fn run_store(proxy: &Proxy, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_liftrelay"));
     command.args(["store", "--file"]).arg(proxy.file()).args(arguments).output().unwrap()
@@ -129,7 +132,7 @@
             state["statements"][0]["sql"].as_str().is_some_and(|s| s.starts_with("SELECT payload"));
         listed && configured && prepared
     });
-    // Killed and restarted while discovery is down, it still knows its members.
+    // The proxy is killed, and restarted while discovery is down. The members are in the store.
     drop(proxy);
     let proxy = Proxy::start_with_shell(&[], shell, &store.text);
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
@@ -149,7 +152,8 @@
     assert!(start.elapsed() < TEST_TIMEOUT);
     wait_for_store_status(&proxy, |status| status["log_error"].is_string());
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
-    // Killed and restarted on the same disk while discovery is down, it still knows its members.
+    // The proxy is killed, and restarted on the same disk while discovery is down. The members are in the
+    // store.
     drop(proxy);
     let proxy = Proxy::start_with_shell(&[], &shell, &store.text);
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
--- a/tests/proxy/operations.rs
+++ b/tests/proxy/operations.rs
@@ -1,4 +1,4 @@
-//! Admin requests, draining and upgrades.
+//! Admin requests, taking the proxy out of service, and upgrades without rejected clients.
 
 use crate::support::*;
 use std::io::{Read, Write};
@@ -25,18 +25,18 @@
     primary.plan(&[MemberBehavior::ServeError("XX000")]);
     assert_eq!(client.query(&write_query(4, 900)), "E(08007) Z");
     primary.plan(&[MemberBehavior::HangOn(b'Q'), MemberBehavior::Serve]);
-    let mut gone = proxy.connect();
-    gone.send(&simple_query(&write_query(5, 3000)));
+    let mut disconnecting = proxy.connect();
+    disconnecting.send(&simple_query(&write_query(5, 3000)));
     primary.wait_for(MemberEvent::Hanging);
     assert_eq!(client.query(&write_query(6, 3000)), SERVED);
-    let pending = proxy.admin_request("GET", "counters").1;
-    assert_eq!(counter_value(&pending, "pending"), 1);
-    assert_eq!(counter_value(&pending, "upstream_requests"), primary.received().len() as u64);
-    drop(gone);
+    let counters = proxy.admin_request("GET", "counters").1;
+    assert_eq!(counter_value(&counters, "pending"), 1);
+    assert_eq!(counter_value(&counters, "upstream_requests"), primary.received().len() as u64);
+    drop(disconnecting);
     // The proxy aborts the member's connection once it has detected that the client disconnected.
     primary.wait_for(MemberEvent::ConnectionClosed);
-    // The event loop shuts the socket down, and counts the closure only when the connection's worker thread has
-    // reported it, so the member may see the end of the connection before the counter exists.
+    // The event loop shuts the socket down, and counts the closure only when the connection's worker thread
+    // has reported it, so the member may see the end of the connection before the counter exists.
     wait_for_counter(&proxy, "member_connections_closed.job_cancelled=");
     insta::assert_snapshot!(proxy.admin_request("GET", "counters").1, @r"
     downstream_requests.own.completed=0
@@ -115,7 +115,7 @@
     let new = start();
     assert_eq!(old.address, new.address);
     old.signal("-TERM");
-    // One after the other until the old one has ended; each is accepted by whichever comes first.
+    // Connects repeatedly until the old process has exited. Either process may accept each connection.
     let mut id = 10;
     while old.child.try_wait().unwrap().is_none() {
         assert_eq!(new.connect().query(&read_query(id)), SERVED);
@@ -132,15 +132,15 @@
     let discovery = MockDiscovery::start(String::new());
     std::fs::write(&file, configuration(&discovery)).unwrap();
     for number in ["0", "77", "three"] {
-        let out = std::process::Command::new(env!("CARGO_BIN_EXE_liftrelay"))
+        let output = std::process::Command::new(env!("CARGO_BIN_EXE_liftrelay"))
             .arg("serve")
             .env("GW_CONFIG", &file)
             .env("GW_LISTEN_FD", number)
             .stdin(Stdio::null())
             .output()
             .unwrap();
-        let stderr = String::from_utf8(out.stderr).unwrap();
-        assert_eq!(out.status.code(), Some(2), "{stderr}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
     std::fs::remove_file(file).unwrap();
