--- a/tests/proxy/random_faults/mod.rs
+++ b/tests/proxy/random_faults/mod.rs
@@ -1,40 +1,42 @@
-//! Requests under random faults of the program's system calls: what holds for every request, whatever fails.
+//! Requests under random faults of the proxy's system calls, and the rules that hold for every request,
+//! whatever call fails.
 
 mod requests;
 mod script;
 
 use crate::support::*;
 use requests::{Ending, Exchange, Request, Session};
-use script::Draws;
+use script::SeededRandom;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
 use std::time::Instant;
 
-/// The seeds that are played, and how many of them at a time.
+/// The seeds that the test runs, and how many of them run at the same time.
 const SEEDS: std::ops::Range<u64> = 0..32;
-const SEEDS_AT_A_TIME: usize = 4;
-/// The variable that names the only seed to play, to look into its failure.
+const CONCURRENT_SEEDS: usize = 4;
+/// The environment variable with the only seed to run, to investigate a failure.
 const SEED_VARIABLE: &str = "RANDOM_FAULTS_SEED";
-/// Clients that wait for each answer, and how many requests each sends before the last one.
+/// The number of clients that wait for each answer, and the number of requests that each of them sends before
+/// the request that is pending at the shutdown.
 const WAITING_CLIENTS: u32 = 4;
-const REQUESTS_EACH: u32 = 12;
-/// Requests whose clients disconnect at once.
+const REQUESTS_PER_CLIENT: u32 = 12;
+/// The number of requests whose clients disconnect without waiting for an answer.
 const ABANDONED_REQUESTS: u32 = 6;
-/// How long clients wait.
+/// The deadline of a request whose client waits.
 const TIMEOUT_MS: u32 = 500;
-/// How long those that disconnect would have waited: longer than faults last.
+/// The deadline of a request whose client disconnects. It is later than the end of all faults.
 const ABANDONED_TIMEOUT_MS: u32 = 3000;
-/// The second script replaces the first one after so many answers.
+/// The number of answers after which the second script replaces the first one.
 const ANSWERS_UNDER_FIRST_SCRIPT: usize = 24;
-/// Edits the configuration: classes have short deadlines, and so the shutdown is short.
+/// A sed command on the configuration that shortens the deadlines of all classes, and with them the shutdown.
 const SHORT_DEADLINES: &str = "s/\"deadline_us\":[0-9]*/\"deadline_us\":800000/g";
-/// More replies than a member holds.
+/// More replies than members hold back.
 const MANY_REPLIES: usize = 100;
 
-/// Guards against combinations of faults that no other test names.
+/// Guards against wrong or missing answers under combinations of faults that no other test contains.
 #[test]
-fn every_request_gets_one_true_answer_whatever_system_calls_fail() {
+fn every_request_gets_exactly_one_correct_answer_whatever_system_calls_fail() {
     let seeds = match std::env::var(SEED_VARIABLE) {
         Ok(seed) => seed.parse().map(|seed| seed..seed + 1).unwrap(),
         Err(_) => SEEDS,
@@ -42,23 +44,24 @@
     let seeds = Mutex::new(seeds);
     let next_seed = || seeds.lock().unwrap().next();
     std::thread::scope(|scope| {
-        for _ in 0..SEEDS_AT_A_TIME {
-            scope.spawn(|| std::iter::from_fn(next_seed).for_each(|seed| Play::start(seed).run()));
+        for _ in 0..CONCURRENT_SEEDS {
+            scope.spawn(|| std::iter::from_fn(next_seed).for_each(|seed| Scenario::start(seed).run()));
         }
     });
 }
 
-/// The program between its stand-ins, with the faults and requests of one seed. Prints its scripts if it fails.
-struct Play {
+/// A proxy between mock members and mock discovery, with the faults and requests of one seed. Prints the
+/// scripts if the test fails.
+struct Scenario {
     seed: u64,
     scripts: [String; 2],
-    draws: Draws,
+    random: SeededRandom,
     members: Vec<MockMember>,
     faults: Faults,
     proxy: Proxy,
 }
 
-impl Drop for Play {
+impl Drop for Scenario {
     fn drop(&mut self) {
         if std::thread::panicking() {
             let scripts = self.scripts.join("replaced by\n");
@@ -67,35 +70,35 @@
     }
 }
 
-impl Play {
-    fn start(seed: u64) -> Play {
-        let mut draws = Draws::new(seed);
+impl Scenario {
+    fn start(seed: u64) -> Scenario {
+        let mut random = SeededRandom::new(seed);
         let members = vec![MockMember::start(true), MockMember::start(false), MockMember::start(false)];
         let faults = Faults::none();
         let listed: Vec<_> = members.iter().collect();
         let proxy = Proxy::start_with_faults(&listed, &shell_without_probes(SHORT_DEADLINES), &faults);
-        let scripts = [(); 2].map(|()| draws.script(&members, &proxy));
-        Play { seed, scripts, draws, members, faults, proxy }
+        let scripts = [(); 2].map(|()| random.script(&members, &proxy));
+        Scenario { seed, scripts, random, members, faults, proxy }
     }
 
-    /// Plays the requests and the shutdown, and checks all answers.
+    /// Sends the requests, shuts the proxy down, and checks all answers.
     fn run(mut self) {
         let mut sessions: Vec<_> =
             (0..WAITING_CLIENTS).map(|number| Session::connect(&self.proxy, number)).collect();
-        let mut exchanges = self.play_traffic(&mut sessions);
+        let mut exchanges = self.run_traffic(&mut sessions);
         wait_for_counter(&self.proxy, "pending=0\n");
         exchanges.extend(self.shut_down_while_requests_are_pending(sessions));
         let executions: Vec<_> = self.members.iter().flat_map(MockMember::executions).collect();
         exchanges.iter().for_each(|exchange| exchange.check(&executions));
-        assert!(exchanges.iter().any(|exchange| exchange.ending == Ending::Served), "nothing is served");
+        assert!(exchanges.iter().any(|exchange| exchange.ending == Ending::Served), "no request was served");
     }
 
-    /// All clients send their requests, under the first script and then the second one.
-    fn play_traffic(&mut self, sessions: &mut [Session]) -> Vec<Exchange> {
+    /// Sends the requests of all clients, under the first script and then under the second one.
+    fn run_traffic(&mut self, sessions: &mut [Session]) -> Vec<Exchange> {
         let requests: Vec<_> = (0..WAITING_CLIENTS)
-            .map(|client| self.draw_requests(client, REQUESTS_EACH, TIMEOUT_MS))
+            .map(|client| self.random_requests(client, REQUESTS_PER_CLIENT, TIMEOUT_MS))
             .collect();
-        let to_abandon = self.draw_requests(WAITING_CLIENTS, ABANDONED_REQUESTS, ABANDONED_TIMEOUT_MS);
+        let to_abandon = self.random_requests(WAITING_CLIENTS, ABANDONED_REQUESTS, ABANDONED_TIMEOUT_MS);
         let (sender, answered) = channel();
         self.faults.set(&self.scripts[0]);
         std::thread::scope(|scope| {
@@ -114,9 +117,10 @@
         })
     }
 
-    /// SIGTERM comes once the last request of each client has been read, and members reply after that.
+    /// Sends SIGTERM after the proxy has read the last request of each client. Members reply after the
+    /// signal.
     fn shut_down_while_requests_are_pending(&mut self, mut sessions: Vec<Session>) -> Vec<Exchange> {
-        let requests = self.draw_requests(WAITING_CLIENTS + 1, WAITING_CLIENTS, TIMEOUT_MS);
+        let requests = self.random_requests(WAITING_CLIENTS + 1, WAITING_CLIENTS, TIMEOUT_MS);
         let hold_replies = [MemberBehavior::HoldReply("value"); MANY_REPLIES];
         self.members.iter().for_each(|member| member.plan(&hold_replies));
         let answered = &AtomicUsize::new(0);
@@ -141,22 +145,23 @@
     /// Waits until the request of each client is pending or answered.
     fn wait_until_read(&self, answered: &AtomicUsize) {
         let start = Instant::now();
-        // Looked at in this order, no request counts twice.
+        // The number of answers is read first: a request that is answered between the two reads counts as
+        // neither answered nor pending, and never as both.
         while answered.load(Ordering::SeqCst) + self.pending() < WAITING_CLIENTS as usize {
             assert!(start.elapsed() < TEST_TIMEOUT, "a request is never read");
         }
     }
 
-    /// The number of requests that the program has read and not answered.
+    /// The number of requests that the proxy has read and not answered.
     fn pending(&self) -> usize {
         let counters = self.proxy.admin_request("GET", "counters").1;
         let pending = counters.lines().find_map(|line| line.strip_prefix("pending="));
         pending.map_or(0, |count| count.parse().unwrap())
     }
 
-    /// So many requests; each group has ids of its own.
-    fn draw_requests(&mut self, group: u32, count: u32, timeout_ms: u32) -> Vec<Request> {
+    /// Creates random requests. Groups have distinct ids.
+    fn random_requests(&mut self, group: u32, count: u32, timeout_ms: u32) -> Vec<Request> {
         let ids = (0..count).map(|number| (group + 1) * 1000 + number);
-        ids.map(|id| Request::draw(&mut self.draws, id, timeout_ms)).collect()
+        ids.map(|id| Request::generate(&mut self.random, id, timeout_ms)).collect()
     }
 }
--- a/tests/proxy/random_faults/requests.rs
+++ b/tests/proxy/random_faults/requests.rs
@@ -1,42 +1,42 @@
-//! Clients, their requests, and what holds for each answer.
+//! Clients, their requests, and the rules that hold for each answer.
 
-use super::script::Draws;
+use super::script::SeededRandom;
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// An answer may come so long after its deadline: a busy machine holds up threads for a second.
+/// How long after its deadline an answer may arrive: a busy machine delays threads by a second.
 const ANSWER_TOLERANCE: Duration = Duration::from_secs(2);
-/// A member may execute a request so long after its client disconnected.
+/// How long after its client disconnected a member may still execute a request.
 const DISCONNECT_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// A request in one of the classes of the test configuration.
 #[derive(Clone, Debug)]
 pub struct Request {
     id: u32,
-    /// It must not be executed twice.
-    writes: bool,
+    /// Whether the request writes, and so must not be executed twice.
+    is_write: bool,
     statement: String,
     timeout: Duration,
 }
 
 impl Request {
-    /// A request with this id, whose client waits for so long.
-    pub fn draw(draws: &mut Draws, id: u32, timeout_ms: u32) -> Request {
+    /// A random request with this id and deadline.
+    pub fn generate(random: &mut SeededRandom, id: u32, timeout_ms: u32) -> Request {
         let read = read_query(id).replace("d=900", &format!("d={timeout_ms}"));
-        let statement = match draws.below(3) {
+        let statement = match random.below(3) {
             0 => write_query(id, timeout_ms),
             1 => read,
             _ => read.replace("c=any", "c=own"),
         };
         Request {
             id,
-            writes: statement.starts_with("INSERT"),
+            is_write: statement.starts_with("INSERT"),
             statement,
             timeout: Duration::from_millis(timeout_ms.into()),
         }
     }
 
-    /// The messages of an extended query, with the first literal as a parameter.
+    /// The request as messages of an extended query, with the first literal as a parameter.
     fn extended(&self) -> Vec<u8> {
         let literal = self.statement.split('\'').nth(1).unwrap();
         let statement = self.statement.replacen(&format!("'{literal}'"), "$1", 1);
@@ -48,16 +48,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
     Served,
-    /// The client may repeat it: it has not been executed, or is safe to execute again, as reads are.
+    /// The request was not executed, or is idempotent, as reads are: the client may retry it.
     Rejected,
-    /// It may have been executed.
+    /// The request may have been executed.
     Failed,
-    /// The client disconnected, and got no answer.
+    /// The client disconnected without waiting for an answer.
     Abandoned,
 }
 
 impl Ending {
-    /// The one final answer in a reply, as [`Client::read_reply`] describes it.
+    /// The ending that the only final answer in a reply stands for; the reply is as [`Client::read_reply`]
+    /// describes it.
     fn of_reply(reply: &str) -> Ending {
         let answers: Vec<_> =
             reply.split(' ').filter(|message| *message == "C" || message.starts_with("E(")).collect();
@@ -80,21 +81,21 @@
 }
 
 impl Exchange {
-    /// Checks how the request ended against all that members have executed.
+    /// Checks the ending of the request against all statements that members have executed.
     pub fn check(&self, executions: &[Execution]) {
         let id = format!("id={:x},", self.request.id);
         let executions: Vec<_> =
             executions.iter().filter(|execution| execution.statement.contains(&id)).collect();
         let deadline = self.sent_at + self.request.timeout;
-        let latest = self.ended_at + DISCONNECT_TOLERANCE;
-        let holds = match self.ending {
+        let latest_execution = self.ended_at + DISCONNECT_TOLERANCE;
+        let is_consistent = match self.ending {
             Ending::Served => !executions.is_empty(),
-            Ending::Rejected => !self.request.writes || executions.is_empty(),
+            Ending::Rejected => !self.request.is_write || executions.is_empty(),
             Ending::Failed => true,
-            Ending::Abandoned => executions.iter().all(|execution| execution.at < latest),
+            Ending::Abandoned => executions.iter().all(|execution| execution.at < latest_execution),
         };
-        assert!(holds, "{self:?} was executed: {executions:?}");
-        assert!(!self.request.writes || executions.len() <= 1, "{self:?} twice: {executions:?}");
+        assert!(is_consistent, "{self:?} contradicts its executions: {executions:?}");
+        assert!(!self.request.is_write || executions.len() <= 1, "{self:?} executed twice: {executions:?}");
         assert!(self.ended_at < deadline + ANSWER_TOLERANCE, "late: {self:?}");
     }
 }
@@ -102,20 +103,24 @@
 /// A client of either listener.
 pub struct Session {
     client: Client,
-    extended: bool,
+    is_extended: bool,
 }
 
 impl Session {
-    /// Odd sessions are those of the extended listener.
+    /// Connects to the extended listener if the number is odd, and to the platform's listener otherwise.
     pub fn connect(proxy: &Proxy, number: u32) -> Session {
-        let extended = number % 2 == 1;
-        let client = if extended { proxy.connect_extended() } else { proxy.connect() };
-        Session { client, extended }
+        let is_extended = number % 2 == 1;
+        let client = if is_extended { proxy.connect_extended() } else { proxy.connect() };
+        Session { client, is_extended }
     }
 
     fn send(&mut self, request: &Request) -> Instant {
         let sent_at = Instant::now();
-        self.client.send(&if self.extended { request.extended() } else { simple_query(&request.statement) });
+        self.client.send(&if self.is_extended {
+            request.extended()
+        } else {
+            simple_query(&request.statement)
+        });
         sent_at
     }
 
@@ -126,15 +131,15 @@
         Exchange { request, ending, sent_at, ended_at: Instant::now() }
     }
 
-    /// Sends a request, and disconnects at once.
+    /// Sends a request, and disconnects without waiting for its answer.
     pub fn abandon(mut self, request: Request) -> Exchange {
         let sent_at = self.send(&request);
         drop(self.client);
         Exchange { request, ending: Ending::Abandoned, sent_at, ended_at: Instant::now() }
     }
 
-    /// Asserts that the stream ends, with no message more.
+    /// Asserts that the stream ends without a further message.
     pub fn assert_end(mut self) {
-        assert_eq!(self.client.read_reply(), "end", "a message behind the last answer");
+        assert_eq!(self.client.read_reply(), "end", "a message after the last answer");
     }
 }
