--- a/soak/src/actions.rs
+++ b/soak/src/actions.rs
@@ -3,7 +3,7 @@
 use crate::discovery::{Agent, AgentMode, ListedMember};
 use crate::history::{MS, Micros, SECOND};
 use crate::member::{Member, MemberFault};
-use crate::run::{FRONT_DELAY, Followup, Run};
+use crate::run::{Followup, ROTATION_DELAY, Run};
 use crate::scenario::Action;
 use rustix::process::Signal;
 use std::sync::Arc;
@@ -11,30 +11,30 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The old address of discovery closes its calls this long after a reload.
-const OLD_ADDRESS_TIME: Micros = 1500 * MS;
+const OLD_AGENT_LIFETIME: Micros = 1500 * MS;
 /// How long the planted stop of a process lasts.
 const PLANTED_STOP: Micros = 4 * SECOND;
 
 impl Run<'_> {
     /// Does what the scenario drew.
-    pub(crate) fn act(&mut self, now: Micros, action: Action) -> std::io::Result<()> {
+    pub(crate) fn perform(&mut self, now: Micros, action: Action) -> std::io::Result<()> {
         match action {
             Action::Agent { proxy, mode } => self.agents[proxy].set_mode(mode),
             Action::SilenceWatches { proxy } => self.agents[proxy].silence_watches(),
             Action::Drain { member } => {
-                self.hand_over(now, member);
+                self.move_primary_from(now, member);
                 self.members[member].draining.store(true, Ordering::SeqCst);
                 self.change(now, member, |listed| listed.state = "DRAINING");
             }
             Action::Remove { member } => {
-                self.hand_over(now, member);
+                self.move_primary_from(now, member);
                 self.members[member].draining.store(true, Ordering::SeqCst);
                 self.change(now, member, |listed| listed.state = "DELETED");
             }
             Action::Return { member } => {
                 self.members[member].draining.store(false, Ordering::SeqCst);
                 self.history.member_starts.lock().unwrap().push((now, member));
-                self.members[member].cold_since.store(now, Ordering::SeqCst);
+                self.members[member].warming_since.store(now, Ordering::SeqCst);
                 let boot_ms = unix_ms();
                 self.change(now, member, |listed| {
                     listed.state = "SERVING";
@@ -43,11 +43,11 @@
             }
             Action::Fault { member, fault } => {
                 if fault == MemberFault::Down {
-                    self.hand_over(now, member);
+                    self.move_primary_from(now, member);
                 }
                 self.members[member].set_fault(fault);
             }
-            Action::ChangePrimary { group } => self.hand_over(now, self.primary_of(group)),
+            Action::ChangePrimary { group } => self.move_primary_from(now, self.primary_of(group)),
             Action::Lag { group, lag } => {
                 let members = self.members.iter().filter(|member| member.group == group);
                 members.for_each(|member| member.lag.store(lag, Ordering::SeqCst));
@@ -62,9 +62,11 @@
                 self.proxies[proxy].signal(Signal::STOP);
                 self.followups.push((now + pause, Followup::Continue(proxy)));
             }
-            Action::Crowd { proxy } => {
+            Action::FillDescriptors { proxy } => {
                 let (clients, connections) = (self.clients.clone(), self.scenario.sockets);
-                self.spawn(move || clients.iter().for_each(|clients| clients.run_crowd(proxy, connections)));
+                self.spawn(move || {
+                    clients.iter().for_each(|clients| clients.hold_idle_connections(proxy, connections))
+                });
             }
             Action::PlantSwallowedChanges => {
                 let swallows = |agent: &Arc<Agent>| agent.swallows_changes.store(true, Ordering::SeqCst);
@@ -92,16 +94,16 @@
     }
 
     /// Another member becomes primary, if this one is.
-    fn hand_over(&self, now: Micros, from: usize) {
+    fn move_primary_from(&self, now: Micros, from: usize) {
         let member = &self.members[from];
         if !member.primary.load(Ordering::SeqCst) {
             return;
         }
-        let can_lead = |other: &&Arc<Member>| {
+        let is_eligible = |other: &&Arc<Member>| {
             let usable = !other.draining.load(Ordering::SeqCst) && other.fault() == MemberFault::None;
             other.group == member.group && other.index != from && usable
         };
-        let Some(next) = self.members.iter().rev().find(can_lead) else { return };
+        let Some(next) = self.members.iter().rev().find(is_eligible) else { return };
         member.primary.store(false, Ordering::SeqCst);
         next.primary.store(true, Ordering::SeqCst);
         self.change(now, from, |listed| listed.primary = false);
@@ -114,7 +116,7 @@
         self.agents[proxy] = self.new_agent(proxy)?;
         self.agents[proxy].set_mode(mode);
         old.set_mode(if mode.is_up() { AgentMode::Closing } else { AgentMode::Gone });
-        self.followups.push((now + OLD_ADDRESS_TIME, Followup::EndAgent(old)));
+        self.followups.push((now + OLD_AGENT_LIFETIME, Followup::EndAgent(old)));
         self.proxies[proxy].write_configuration(&self.configuration(proxy))?;
         self.notices.reloaded(now, proxy);
         if self.proxies[proxy].check_running() {
@@ -129,7 +131,7 @@
             return;
         }
         process.signal(Signal::TERM);
-        self.followups.push((now + FRONT_DELAY, Followup::CloseFront(proxy)));
+        self.followups.push((now + ROTATION_DELAY, Followup::LeaveRotation(proxy)));
         self.followups.push((now + self.scenario.kill_after(), Followup::KillAndStart(proxy)));
     }
 }
--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -3,9 +3,10 @@
 use crate::client::LATE_LIMIT;
 use crate::discovery::member_name;
 use crate::history::{AttemptEnd, AttemptRecord, History, MS, Micros, RequestEnd, RequestRecord, SECOND};
-use crate::member::{CAPACITY, warmth};
+use crate::member::{CAPACITY, capacity_share};
 use crate::scenario::{
-    CLASSES, COLD_TIME, ClassKind, FALL_MULTIPLE, FALL_WINDOW, SOCKET_SLACK, STALENESS_BOUND, Scenario,
+    CLASSES, ClassKind, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, SLOW_START_DURATION, SOCKET_SLACK,
+    STALENESS_BOUND, Scenario,
 };
 use std::collections::{BTreeMap, HashMap};
 
@@ -47,13 +48,13 @@
     }
 
     /// The limit of this rule was passed by so much.
-    fn beyond(self, excess: Micros) -> Finding {
+    fn exceeding_by(self, excess: Micros) -> Finding {
         Finding { excess: Some(excess), ..self }
     }
 }
 
 /// The records of a run, sorted for the rules.
-struct Evidence {
+struct IndexedRecords {
     requests: Vec<RequestRecord>,
     attempts: BTreeMap<u64, Vec<AttemptRecord>>,
 }
@@ -61,7 +62,7 @@
 /// Checks all rules; the findings are in order of time.
 pub fn check(scenario: &Scenario, history: &History) -> Vec<Finding> {
     let mut evidence =
-        Evidence { requests: history.requests.lock().unwrap().clone(), attempts: BTreeMap::new() };
+        IndexedRecords { requests: history.requests.lock().unwrap().clone(), attempts: BTreeMap::new() };
     for attempt in history.attempts.lock().unwrap().iter() {
         evidence.attempts.entry(attempt.id).or_default().push(attempt.clone());
     }
@@ -124,14 +125,16 @@
     let limit = LEFT_LIMIT + EMULATOR_SLACK;
     if request.end == RequestEnd::Left && left_for > limit {
         let text = format!("an attempt began {} ms after its client left", left_for / MS);
-        return Some(Finding::of_request("left", attempt.at, request.id, text).beyond(left_for - limit));
+        return Some(
+            Finding::of_request("left", attempt.at, request.id, text).exceeding_by(left_for - limit),
+        );
     }
     let time_left = (request.sent_at + request.wait).saturating_sub(attempt.at);
     let limit = time_left + TOLD_WAIT_SLACK + EMULATOR_SLACK;
     if attempt.told_wait > limit {
         let text = format!("told {} ms with {} ms left", attempt.told_wait / MS, time_left / MS);
         let excess = attempt.told_wait - limit;
-        return Some(Finding::of_request("told wait", attempt.at, request.id, text).beyond(excess));
+        return Some(Finding::of_request("told wait", attempt.at, request.id, text).exceeding_by(excess));
     }
     None
 }
@@ -187,7 +190,7 @@
                 (attempt.at - told) / MS,
                 attempt.proxy
             );
-            findings.push(Finding::of_request("drain", attempt.at, attempt.id, text).beyond(at - from));
+            findings.push(Finding::of_request("drain", attempt.at, attempt.id, text).exceeding_by(at - from));
         }
     }
 }
@@ -197,14 +200,15 @@
     let attempts = history.attempts.lock().unwrap();
     for &(started, member) in history.member_starts.lock().unwrap().iter() {
         let is_warming = |attempt: &&AttemptRecord| {
-            attempt.member == member && attempt.at >= started && attempt.at < started + COLD_TIME
+            attempt.member == member && attempt.at >= started && attempt.at < started + SLOW_START_DURATION
         };
         let mut times: Vec<Micros> = attempts.iter().filter(is_warming).map(|attempt| attempt.at).collect();
         times.sort_unstable();
         for (last, at) in times.iter().enumerate() {
-            let first = times.partition_point(|time| time + FALL_WINDOW <= *at);
+            let first = times.partition_point(|time| time + OVERLOAD_WINDOW <= *at);
             let allowed =
-                FALL_MULTIPLE * CAPACITY * warmth(at - started) * FALL_WINDOW as f64 / SECOND as f64;
+                OVERLOAD_MULTIPLE * CAPACITY * capacity_share(at - started) * OVERLOAD_WINDOW as f64
+                    / SECOND as f64;
             let slack =
                 if allowed < MANY_REQUESTS { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
             let count = last + 1 - first;
@@ -225,7 +229,7 @@
     let requests = history.requests.lock().unwrap();
     let count = |is: fn(&RequestEnd) -> bool| requests.iter().filter(|request| is(&request.end)).count();
     let attempts = history.attempts.lock().unwrap();
-    let turned_away = attempts.iter().filter(|attempt| attempt.end == AttemptEnd::TurnedAway);
+    let turned_away = attempts.iter().filter(|attempt| attempt.end == AttemptEnd::Rejected);
     format!(
         "{} requests: {} served, {} errors, {} left, {} excused; {} attempts, {} turned away",
         requests.len(),
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -14,13 +14,13 @@
 /// A request has to have its answer this long after its time.
 pub const LATE_LIMIT: Micros = SECOND / 2;
 /// A client sends a request again on a new connection this often, if closes crossed it.
-const MAX_CROSSINGS: u32 = 4;
+const MAX_RESENDS: u32 = 4;
 /// The class of pipelined requests: reads from any member.
 const PIPELINED_CLASS: usize = 1;
 /// How long a client waits before it looks for an open front again.
-const FRONT_STEP: Duration = Duration::from_millis(20);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 /// A bad client has to get an error or a close within this.
-const BAD_CLIENT_LIMIT: Duration = Duration::from_millis(3300);
+const FAULTY_CLIENT_LIMIT: Duration = Duration::from_millis(3300);
 
 /// What all clients of a run share.
 pub struct Clients {
@@ -52,7 +52,7 @@
 }
 
 /// A request that is being made.
-struct Attempted {
+struct ClientRequest {
     id: u64,
     class: usize,
     wait: Micros,
@@ -77,7 +77,7 @@
         }
     }
 
-    fn draw_request(&self, draws: &mut Draws, session: u64, last_write_ms: u64) -> Attempted {
+    fn draw_request(&self, draws: &mut Draws, session: u64, last_write_ms: u64) -> ClientRequest {
         let class = draws.pick(&[0, 0, 1, 1, 1, 2, 2, 3, 4]);
         self.draw_request_of(draws, class, session, last_write_ms)
     }
@@ -88,7 +88,7 @@
         class: usize,
         session: u64,
         last_write_ms: u64,
-    ) -> Attempted {
+    ) -> ClientRequest {
         let kind = CLASSES[class].kind;
         let id = (self.seed << 32) | self.last_id.fetch_add(1, Ordering::SeqCst);
         let deadline = CLASSES[class].deadline * self.deadline_percent / 100;
@@ -107,21 +107,21 @@
             ),
             false => format!("SELECT payload FROM entries WHERE ref = 'k{session}' /* {comment} */"),
         };
-        Attempted { id, class, wait, text }
+        ClientRequest { id, class, wait, text }
     }
 
     /// Makes a request; whether it was served.
     fn make_request(
         &self,
         proxy_index: usize,
-        request: Attempted,
+        request: ClientRequest,
         slot: &mut Option<Connection>,
         draws: &mut Draws,
     ) -> bool {
         let proxy = &self.proxies[proxy_index];
-        for crossings in 0..=MAX_CROSSINGS {
+        for resends in 0..=MAX_RESENDS {
             let Some(mut connection) = slot.take().or_else(|| self.connect(proxy)) else {
-                std::thread::sleep(FRONT_STEP);
+                std::thread::sleep(RECONNECT_PAUSE);
                 return false;
             };
             let generation = connection.generation;
@@ -144,7 +144,7 @@
                 }
                 // The close crossed a request that was not read: it is sent once more.
                 RequestEnd::Closed
-                    if crossings < MAX_CROSSINGS && (was_used || !self.was_forwarded(request.id)) =>
+                    if resends < MAX_RESENDS && (was_used || !self.was_forwarded(request.id)) =>
                 {
                     if self.was_forwarded(request.id) {
                         self.record(&request, proxy_index, sent_at, RequestEnd::Closed);
@@ -173,7 +173,7 @@
     }
 
     fn connect(&self, proxy: &Proxy) -> Option<Connection> {
-        if !proxy.is_open.load(Ordering::SeqCst) {
+        if !proxy.is_in_rotation.load(Ordering::SeqCst) {
             return None;
         }
         let generation = proxy.generation.load(Ordering::SeqCst);
@@ -205,9 +205,9 @@
         }
     }
 
-    fn record(&self, request: &Attempted, proxy: usize, sent_at: Micros, end: RequestEnd) {
+    fn record(&self, request: &ClientRequest, proxy: usize, sent_at: Micros, end: RequestEnd) {
         let ended_at = self.clock.now();
-        let Attempted { id, class, wait, .. } = *request;
+        let ClientRequest { id, class, wait, .. } = *request;
         let record = RequestRecord { id, proxy, class, sent_at, wait, ended_at, end };
         self.history.requests.lock().unwrap().push(record);
     }
@@ -219,7 +219,7 @@
             std::thread::sleep(Duration::from_millis(draws.between(100, 700)));
             let proxy = &self.proxies[proxy_index];
             let Some(mut connection) = self.connect(proxy) else { continue };
-            let requests: Vec<Attempted> = (0..draws.between(2, 6))
+            let requests: Vec<ClientRequest> = (0..draws.between(2, 6))
                 .map(|_| self.draw_request_of(&mut draws, PIPELINED_CLASS, number, 0))
                 .collect();
             let bytes: Vec<u8> = requests.iter().flat_map(|request| query(&request.text)).collect();
@@ -245,7 +245,7 @@
     }
 
     /// Runs a client that sends what can't be used, or stops within a message, and stays.
-    pub fn run_bad_client(&self, number: u64, proxy_index: usize) {
+    pub fn run_faulty_client(&self, number: u64, proxy_index: usize) {
         let mut draws = Draws::new(self.seed, 5000 + number);
         while !self.is_over.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(draws.between(100, 900)));
@@ -261,7 +261,7 @@
             if connection.stream.write_all(&bytes).is_err() {
                 continue;
             }
-            let _ = connection.stream.set_read_timeout(Some(BAD_CLIENT_LIMIT));
+            let _ = connection.stream.set_read_timeout(Some(FAULTY_CLIENT_LIMIT));
             let reply = read_reply(&mut connection.stream);
             let is_same = proxy.generation.load(Ordering::SeqCst) == connection.generation;
             let timed_out =
@@ -275,7 +275,7 @@
     }
 
     /// Opens idle connections that use up the proxy's descriptors, for as long as the run lasts.
-    pub fn run_crowd(&self, proxy: usize, connections: usize) {
+    pub fn hold_idle_connections(&self, proxy: usize, connections: usize) {
         let mut held = Vec::new();
         while !self.is_over.load(Ordering::SeqCst) {
             if held.len() < connections
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -22,7 +22,7 @@
     /// It answers at once.
     Up,
     /// It answers with messages cut into pieces.
-    Pieces,
+    Fragmented,
     /// It answers calls late, as a crowded service does.
     Slow,
     /// It takes no new calls; open ones go on.
@@ -30,7 +30,7 @@
     /// It accepts calls and is silent; it learns nothing.
     Silent,
     /// It is silent, and calls that were made meanwhile are never answered.
-    Forgetful,
+    DropsCalls,
     /// It resets all calls.
     Resetting,
     /// It answers 503.
@@ -42,7 +42,7 @@
 impl AgentMode {
     /// Whether it learns what discovery has.
     pub fn is_up(self) -> bool {
-        matches!(self, AgentMode::Up | AgentMode::Pieces | AgentMode::Slow | AgentMode::Closing)
+        matches!(self, AgentMode::Up | AgentMode::Fragmented | AgentMode::Slow | AgentMode::Closing)
     }
 }
 
@@ -149,7 +149,7 @@
     pub clock: RunClock,
     mode: Mutex<AgentMode>,
     /// The revision that it has; it learns no more while it is down.
-    held: Mutex<u64>,
+    synced_revision: Mutex<u64>,
     /// Watches opened before this fall silent.
     silenced_before: Mutex<Micros>,
     /// A planted fault: changes are counted as told and not sent.
@@ -173,7 +173,7 @@
             address: listener.local_addr()?,
             proxy,
             members,
-            held: Mutex::new(directory.revision()),
+            synced_revision: Mutex::new(directory.revision()),
             directory,
             history,
             clock,
@@ -208,17 +208,17 @@
     }
 
     /// The revision that it has.
-    pub fn held(&self) -> u64 {
-        *self.held.lock().unwrap()
+    pub fn synced_revision(&self) -> u64 {
+        *self.synced_revision.lock().unwrap()
     }
 
     /// Learns what discovery has, if it is up. Returns the revision if that is news.
-    pub fn learn(&self) -> Option<u64> {
-        let mut held = self.held.lock().unwrap();
+    pub fn sync(&self) -> Option<u64> {
+        let mut synced = self.synced_revision.lock().unwrap();
         let revision = self.directory.revision();
-        let is_news = self.mode().is_up() && revision > *held;
+        let is_news = self.mode().is_up() && revision > *synced;
         if is_news {
-            *held = revision;
+            *synced = revision;
         }
         is_news.then_some(revision)
     }
@@ -250,7 +250,7 @@
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_nodelay(true);
         let opened_at = self.clock.now();
-        let born_in = self.mode();
+        let mode_at_open = self.mode();
         let Some(index) = read_request(&stream) else { return };
         loop {
             match self.mode() {
@@ -259,7 +259,7 @@
                     let _ = (&stream).write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
                     return;
                 }
-                mode if mode.is_up() && born_in != AgentMode::Forgetful => break,
+                mode if mode.is_up() && mode_at_open != AgentMode::DropsCalls => break,
                 _ if self.ended() || is_closed(&stream) => return,
                 _ => std::thread::sleep(AGENT_STEP),
             }
@@ -279,11 +279,11 @@
     }
 
     fn send_list(&self, stream: &TcpStream) {
-        self.learn();
+        self.sync();
         let (revision, text) = self.directory.text(None, &self.host_of());
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
         if self.write(stream, format!("{head}{text}").as_bytes()).is_ok() {
-            self.told(revision);
+            self.record_notice(revision);
         }
     }
 
@@ -294,7 +294,7 @@
         while !self.ended() && !is_closed(stream) {
             let mode = self.mode();
             if !mode.is_up() {
-                if matches!(mode, AgentMode::Silent | AgentMode::Forgetful) {
+                if matches!(mode, AgentMode::Silent | AgentMode::DropsCalls) {
                     std::thread::sleep(AGENT_STEP);
                     continue;
                 }
@@ -304,14 +304,14 @@
                 std::thread::sleep(AGENT_STEP);
                 continue;
             }
-            self.learn();
+            self.sync();
             let now = self.clock.now();
             if self.directory.revision() > sent && !self.swallows_changes.load(Ordering::SeqCst) {
                 let (revision, text) = self.directory.text(Some(sent), &self.host_of());
                 if self.write(stream, chunk(&text).as_bytes()).is_err() {
                     return;
                 }
-                self.told(revision);
+                self.record_notice(revision);
                 (sent, last_line) = (revision, now);
             } else if now >= last_line + HEARTBEAT {
                 if self.write(stream, b"1\r\n\n\r\n").is_err() {
@@ -324,13 +324,13 @@
     }
 
     /// The proxy has been told this revision, or counts as told.
-    pub fn told(&self, revision: u64) {
+    pub fn record_notice(&self, revision: u64) {
         let notice = Notice { at: self.clock.now(), proxy: self.proxy, revision };
         self.history.notices.lock().unwrap().push(notice);
     }
 
     fn write(&self, mut stream: &TcpStream, bytes: &[u8]) -> std::io::Result<()> {
-        if self.mode() != AgentMode::Pieces {
+        if self.mode() != AgentMode::Fragmented {
             return stream.write_all(bytes);
         }
         for piece in bytes.chunks(bytes.len() / 4 + 1) {
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -86,7 +86,7 @@
     /// With an error, after it ran.
     Error,
     /// Turned away: the member drains.
-    TurnedAway,
+    Rejected,
     /// Not at all: the member hung, or closed the connection.
     NoAnswer,
 }
--- a/soak/src/member.rs
+++ b/soak/src/member.rs
@@ -2,7 +2,7 @@
 
 use crate::history::{AttemptEnd, AttemptRecord, MS, Micros, RunContext, SECOND};
 use crate::random::Draws;
-use crate::scenario::{COLD_FROM, COLD_TIME, KEY_WINDOW};
+use crate::scenario::{KEY_WINDOW, SLOW_START_CAPACITY, SLOW_START_DURATION};
 use crate::wire::{MemberReply, message, read_body, read_message};
 use std::collections::HashMap;
 use std::io::Write;
@@ -27,8 +27,8 @@
 pub const CAPACITY: f64 = 2.0 * CORES as f64 * SECOND as f64 / (MIN_WORK + MAX_WORK) as f64;
 
 /// The share of its capacity that a member has this long after its start.
-pub fn warmth(age: Micros) -> f64 {
-    (COLD_FROM + (1.0 - COLD_FROM) * age as f64 / COLD_TIME as f64).min(1.0)
+pub fn capacity_share(age: Micros) -> f64 {
+    (SLOW_START_CAPACITY + (1.0 - SLOW_START_CAPACITY) * age as f64 / SLOW_START_DURATION as f64).min(1.0)
 }
 
 /// What a member does wrong.
@@ -67,7 +67,7 @@
     /// A planted fault: it answers with another request's value.
     pub mixes_values: AtomicBool,
     /// When it last started and was cold; 0 for long ago.
-    pub cold_since: AtomicU64,
+    pub warming_since: AtomicU64,
     position: AtomicU64,
     busy_cores: Mutex<u32>,
     core_free: Condvar,
@@ -98,7 +98,7 @@
             lag: AtomicU64::new(5 * MS),
             rejects_stale,
             mixes_values: AtomicBool::new(false),
-            cold_since: AtomicU64::new(0),
+            warming_since: AtomicU64::new(0),
             position: AtomicU64::new(0),
             busy_cores: Mutex::new(0),
             core_free: Condvar::new(),
@@ -194,17 +194,17 @@
         }
         *busy += 1;
         drop(busy);
-        let work = draws.between(MIN_WORK, MAX_WORK) as f64 / self.warmth();
+        let work = draws.between(MIN_WORK, MAX_WORK) as f64 / self.capacity_share();
         std::thread::sleep(Duration::from_micros(work as u64));
         *self.busy_cores.lock().unwrap() -= 1;
         self.core_free.notify_one();
     }
 
     /// The share of its capacity that it has now.
-    fn warmth(&self) -> f64 {
-        match self.cold_since.load(Ordering::SeqCst) {
+    fn capacity_share(&self) -> f64 {
+        match self.warming_since.load(Ordering::SeqCst) {
             0 => 1.0,
-            started => warmth(self.run.clock.now().saturating_sub(started)),
+            started => capacity_share(self.run.clock.now().saturating_sub(started)),
         }
     }
 
@@ -275,7 +275,7 @@
                 reply(Err(if text.starts_with("INSERT") { "25006" } else { "72000" })).write(stream)?;
             }
             AttemptEnd::Error => reply(Err("XX000")).write(stream)?,
-            AttemptEnd::TurnedAway => reply(Err("53300")).write(stream)?,
+            AttemptEnd::Rejected => reply(Err("53300")).write(stream)?,
             AttemptEnd::NoAnswer if fault == MemberFault::Hangs => {
                 let _ = std::io::Read::read(stream, &mut [0]);
                 return Ok(false);
@@ -298,7 +298,7 @@
         draws: &mut Draws,
     ) -> (AttemptEnd, bool) {
         if self.draining.load(Ordering::SeqCst) {
-            return (AttemptEnd::TurnedAway, false);
+            return (AttemptEnd::Rejected, false);
         }
         match fault {
             MemberFault::Hangs => return (AttemptEnd::NoAnswer, true),
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -11,24 +11,24 @@
 const LATEST: Micros = 6 * SECOND;
 
 /// The clauses, for all proxies.
-pub struct Notices {
+pub struct NoticeSchedule {
     on_request: bool,
     reloaded_at: HashMap<usize, Micros>,
     /// Since when an agent is up, and the revision that counts as told.
     up_since: HashMap<usize, Micros>,
-    told: HashMap<usize, u64>,
+    notified_revisions: HashMap<usize, u64>,
     /// Revisions that count as told at a later time.
     pending: Vec<(Micros, usize, u64)>,
 }
 
-impl Notices {
+impl NoticeSchedule {
     /// For the kind of discovery of this scenario.
-    pub fn new(scenario: &Scenario) -> Notices {
-        Notices {
+    pub fn new(scenario: &Scenario) -> NoticeSchedule {
+        NoticeSchedule {
             on_request: scenario.on_request,
             reloaded_at: HashMap::new(),
             up_since: HashMap::new(),
-            told: HashMap::new(),
+            notified_revisions: HashMap::new(),
             pending: Vec::new(),
         }
     }
@@ -42,10 +42,10 @@
     pub fn process_started(&mut self, now: Micros, agent: &Agent) {
         self.reloaded_at.remove(&agent.proxy);
         if agent.mode().is_up() && !self.on_request {
-            agent.learn();
-            self.pending.push((now, agent.proxy, agent.held()));
+            agent.sync();
+            self.pending.push((now, agent.proxy, agent.synced_revision()));
         }
-        self.told.insert(agent.proxy, agent.held());
+        self.notified_revisions.insert(agent.proxy, agent.synced_revision());
     }
 
     /// Lets an agent learn, and notes what counts as told now.
@@ -55,20 +55,20 @@
             self.up_since.remove(&proxy);
         } else {
             let up_since = *self.up_since.entry(proxy).or_insert(now);
-            agent.learn();
-            let held = agent.held();
-            if self.told.insert(proxy, held) != Some(held) || up_since == now {
-                self.pending.push((self.told_at(now, agent), proxy, held));
+            agent.sync();
+            let synced = agent.synced_revision();
+            if self.notified_revisions.insert(proxy, synced) != Some(synced) || up_since == now {
+                self.pending.push((self.notified_at(now, agent), proxy, synced));
             }
         }
         let is_due = |(at, of, _): &mut (Micros, usize, u64)| *of == proxy && *at <= now;
         for (_, _, revision) in self.pending.extract_if(.., is_due).collect::<Vec<_>>() {
-            agent.told(revision);
+            agent.record_notice(revision);
         }
     }
 
     /// When what the agent has learned now counts as told.
-    fn told_at(&self, now: Micros, agent: &Agent) -> Micros {
+    fn notified_at(&self, now: Micros, agent: &Agent) -> Micros {
         let mut at = if self.on_request { now + LATEST } else { now };
         if let Some(reloaded) = self.reloaded_at.get(&agent.proxy) {
             at = at.max(reloaded + RELOAD_TIME);
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -29,7 +29,7 @@
     directory: PathBuf,
     child: Mutex<Option<Child>>,
     /// The front sends clients to it.
-    pub is_open: AtomicBool,
+    pub is_in_rotation: AtomicBool,
     /// When the present process was started; a process that ended has none.
     pub started_at: AtomicU64,
     /// Starts so far: a connection belongs to one of them.
@@ -63,7 +63,7 @@
             program: program.into(),
             directory,
             child: Mutex::new(None),
-            is_open: AtomicBool::new(false),
+            is_in_rotation: AtomicBool::new(false),
             started_at: AtomicU64::new(0),
             generation: AtomicU64::new(0),
             may_exit: AtomicBool::new(false),
@@ -124,7 +124,7 @@
         }
         let after = (self.clock.now() - started_at) / 1000;
         self.history.note(self.clock.now(), format!("n{} ready after {after} ms", self.index));
-        self.is_open.store(true, Ordering::SeqCst);
+        self.is_in_rotation.store(true, Ordering::SeqCst);
     }
 
     fn is_ready(&self) -> bool {
@@ -165,7 +165,7 @@
         let Ok(Some(status)) = child.try_wait() else { return true };
         *slot = None;
         drop(slot);
-        self.is_open.store(false, Ordering::SeqCst);
+        self.is_in_rotation.store(false, Ordering::SeqCst);
         let expected = self.may_exit.load(Ordering::SeqCst) && (status.success() || self.was_killed());
         if !expected {
             self.history.incident(
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -4,7 +4,7 @@
 use crate::discovery::{Agent, AgentMode, EndpointDirectory, ListedMember};
 use crate::history::{History, MS, Micros, RunClock, RunContext, watch_for_stalls};
 use crate::member::{Member, SeenKeys};
-use crate::notices::Notices;
+use crate::notices::NoticeSchedule;
 use crate::process::Proxy;
 use crate::scenario::Scenario;
 use rustix::process::Signal;
@@ -21,7 +21,7 @@
 /// The memory of a proxy.
 const MEMORY_MB: u64 = 192;
 /// New connections go on coming this long after SIGTERM.
-pub(crate) const FRONT_DELAY: Micros = 300 * MS;
+pub(crate) const ROTATION_DELAY: Micros = 300 * MS;
 /// The mean pause of a client between two requests.
 const THINK_TIME: Micros = 90 * MS;
 /// The first octets of addresses, so that runs side by side have their own.
@@ -34,7 +34,7 @@
 
 /// Something to do later, in place of what the scenario drew.
 pub(crate) enum Followup {
-    CloseFront(usize),
+    LeaveRotation(usize),
     KillAndStart(usize),
     Start(usize),
     Continue(usize),
@@ -52,7 +52,7 @@
     pub(crate) member_addresses: Vec<Vec<SocketAddr>>,
     pub(crate) proxies: Vec<Arc<Proxy>>,
     pub(crate) agents: Vec<Arc<Agent>>,
-    pub(crate) notices: Notices,
+    pub(crate) notices: NoticeSchedule,
     pub(crate) followups: Vec<(Micros, Followup)>,
     pub(crate) agents_made: u8,
     pub(crate) clients: Option<Arc<Clients>>,
@@ -110,7 +110,7 @@
             member_addresses: Vec::new(),
             proxies: Vec::new(),
             agents: Vec::new(),
-            notices: Notices::new(scenario),
+            notices: NoticeSchedule::new(scenario),
             followups: Vec::new(),
             agents_made: 0,
             clients: None,
@@ -175,13 +175,13 @@
                 let (clients, number) = (clients.clone(), (proxy * 1000 + client) as u64);
                 self.spawn(move || clients.run_client(number, proxy, THINK_TIME));
             }
-            if self.scenario.pipelines {
+            if self.scenario.has_pipelining_client {
                 let (clients, number) = (clients.clone(), proxy as u64);
                 self.spawn(move || clients.run_pipelining_client(number, proxy));
             }
-            for client in 0..self.scenario.bad_clients {
+            for client in 0..self.scenario.faulty_clients {
                 let (clients, number) = (clients.clone(), (proxy * 1000 + client) as u64);
-                self.spawn(move || clients.run_bad_client(number, proxy));
+                self.spawn(move || clients.run_faulty_client(number, proxy));
             }
         }
         let context = self.context();
@@ -228,7 +228,7 @@
                 && *at <= now
             {
                 self.history.note(now, format!("{action:?}"));
-                self.act(now, *action)?;
+                self.perform(now, *action)?;
                 next += 1;
             }
             self.do_followups(now)?;
@@ -245,7 +245,9 @@
     fn do_followups(&mut self, now: Micros) -> std::io::Result<()> {
         while let Some(index) = self.followups.iter().position(|(at, _)| *at <= now) {
             match self.followups.swap_remove(index).1 {
-                Followup::CloseFront(proxy) => self.proxies[proxy].is_open.store(false, Ordering::SeqCst),
+                Followup::LeaveRotation(proxy) => {
+                    self.proxies[proxy].is_in_rotation.store(false, Ordering::SeqCst)
+                }
                 Followup::KillAndStart(proxy) => {
                     if self.proxies[proxy].check_running() {
                         self.proxies[proxy].kill();
@@ -282,9 +284,9 @@
         let kill_at = now + self.scenario.kill_after();
         let mut fronts_open = true;
         while self.clock.now() < kill_at && self.proxies.iter().any(|proxy| proxy.check_running()) {
-            if fronts_open && self.clock.now() > now + FRONT_DELAY {
+            if fronts_open && self.clock.now() > now + ROTATION_DELAY {
                 fronts_open = false;
-                self.proxies.iter().for_each(|proxy| proxy.is_open.store(false, Ordering::SeqCst));
+                self.proxies.iter().for_each(|proxy| proxy.is_in_rotation.store(false, Ordering::SeqCst));
             }
             self.agents.iter().for_each(|agent| self.notices.update(self.clock.now(), agent));
             std::thread::sleep(STEP);
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -85,7 +85,7 @@
     /// A process is paused with SIGSTOP, and continues after `pause`.
     PauseProcess { proxy: usize, pause: Micros },
     /// Clients fill the proxy's descriptors.
-    Crowd { proxy: usize },
+    FillDescriptors { proxy: usize },
     /// Planted: the agent swallows changes that count as told.
     PlantSwallowedChanges,
     /// Planted: a member answers with values of other requests.
@@ -119,9 +119,9 @@
     /// Clients of each proxy.
     pub clients: usize,
     /// Bad clients of each proxy.
-    pub bad_clients: usize,
+    pub faulty_clients: usize,
     /// A client of each proxy sends several requests at once.
-    pub pipelines: bool,
+    pub has_pipelining_client: bool,
     /// One of so many requests is left early; 0 for none.
     pub leave_one_in: u64,
     /// How long it lasts.
@@ -145,8 +145,8 @@
             rejects_stale: !draws.once_in(3),
             sockets: draws.pick(&[256, 512, 1024]) as usize,
             clients: draws.between(12, 24) as usize,
-            bad_clients: draws.below(3) as usize,
-            pipelines: seed.is_multiple_of(2),
+            faulty_clients: draws.below(3) as usize,
+            has_pipelining_client: seed.is_multiple_of(2),
             leave_one_in: draws.pick(&[0, 12, 40]),
             duration: 0,
             actions: Vec::new(),
@@ -188,7 +188,7 @@
         }
         if draws.once_in(5) {
             let proxy = self.draw_proxy(draws);
-            self.actions.push((2 * SECOND, Action::Crowd { proxy }));
+            self.actions.push((2 * SECOND, Action::FillDescriptors { proxy }));
         }
         self.duration = back_at + draws.between(4, 7) * SECOND;
         self.actions.sort_by_key(|(at, _)| *at);
@@ -202,15 +202,18 @@
 
     /// Discovery is away for all proxies, in one way or in several that follow each other.
     fn draw_outage(&mut self, draws: &mut Draws, from: Micros, to: Micros) {
-        use AgentMode::{Busy, Forgetful, Gone, Pieces, Resetting, Silent, Slow, Up};
+        use AgentMode::{Busy, DropsCalls, Fragmented, Gone, Resetting, Silent, Slow, Up};
         let parts = draws.pick(&[1, 1, 2, 3]);
-        let back =
-            if self.on_request { draws.pick(&[Up, Pieces, Slow]) } else { draws.pick(&[Up, Up, Pieces]) };
+        let back = if self.on_request {
+            draws.pick(&[Up, Fragmented, Slow])
+        } else {
+            draws.pick(&[Up, Up, Fragmented])
+        };
         let silences = draws.once_in(4);
         for proxy in 0..self.proxies {
             for part in 0..parts {
                 let at = from + (to - from) * part / parts;
-                let mode = draws.pick(&[Silent, Silent, Silent, Forgetful, Resetting, Busy, Gone]);
+                let mode = draws.pick(&[Silent, Silent, Silent, DropsCalls, Resetting, Busy, Gone]);
                 self.actions.push((at, Action::Agent { proxy, mode }));
             }
             self.actions.push((to, Action::Agent { proxy, mode: back }));
@@ -324,8 +327,8 @@
             "class_bound_us":[0,0,0,{STALENESS_BOUND},0],"counted_from_us":0,"catch_up_wait_us":50000}},
             "limits":{{"max_attempts":8,"probes":true,"cancel":true}},"resolution_us":5000,
             "stats":{{"fields":["x0","x1"],"how":"pull"}},
-            "contract":{{"cold_from":{COLD_FROM},"cold_us":{COLD_TIME},"fall_multiple":{FALL_MULTIPLE},
-            "fall_us":{FALL_WINDOW},"stop_sending_within_us":{}}}}}"#,
+            "contract":{{"cold_from":{SLOW_START_CAPACITY},"cold_us":{SLOW_START_DURATION},"fall_multiple":{OVERLOAD_MULTIPLE},
+            "fall_us":{OVERLOAD_WINDOW},"stop_sending_within_us":{}}}}}"#,
             self.proxies,
             classes.join(","),
             self.drain_grace
@@ -334,10 +337,10 @@
 }
 
 /// The share of its capacity with which a member starts.
-pub const COLD_FROM: f64 = 0.2;
+pub const SLOW_START_CAPACITY: f64 = 0.2;
 /// A member is warm this long after its start.
-pub const COLD_TIME: Micros = 6 * SECOND;
+pub const SLOW_START_DURATION: Micros = 6 * SECOND;
 /// A cold member falls when it is sent more than this multiple of what it can do ...
-pub const FALL_MULTIPLE: f64 = 2.5;
+pub const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// ... for this long.
-pub const FALL_WINDOW: Micros = SECOND;
+pub const OVERLOAD_WINDOW: Micros = SECOND;
