--- a/soak/src/actions.rs
+++ b/soak/src/actions.rs
@@ -1,4 +1,4 @@
-//! What the actions of a scenario do to processes, members and discovery.
+//! Applies the actions of a scenario to processes, members and discovery.
 
 use crate::discovery::{Agent, AgentMode, ListedMember};
 use crate::history::{MS, Micros, SECOND};
@@ -10,13 +10,13 @@
 use std::sync::atomic::Ordering;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The old address of discovery closes its calls this long after a reload.
+/// Time from a reload until the agent at the old discovery address resets its open calls.
 const OLD_AGENT_LIFETIME: Micros = 1500 * MS;
-/// How long the planted stop of a process lasts.
+/// Time between SIGSTOP and SIGCONT of the planted long stop.
 const PLANTED_STOP: Micros = 4 * SECOND;
 
 impl Run<'_> {
-    /// Does what the scenario drew.
+    /// Performs an action of the scenario.
     pub(crate) fn perform(&mut self, now: Micros, action: Action) -> std::io::Result<()> {
         match action {
             Action::Agent { proxy, mode } => self.agents[proxy].set_mode(mode),
@@ -24,19 +24,19 @@
             Action::Drain { member } => {
                 self.move_primary_from(now, member);
                 self.members[member].draining.store(true, Ordering::SeqCst);
-                self.change(now, member, |listed| listed.state = "DRAINING");
+                self.change_listed(now, member, |listed| listed.state = "DRAINING");
             }
             Action::Remove { member } => {
                 self.move_primary_from(now, member);
                 self.members[member].draining.store(true, Ordering::SeqCst);
-                self.change(now, member, |listed| listed.state = "DELETED");
+                self.change_listed(now, member, |listed| listed.state = "DELETED");
             }
             Action::Return { member } => {
                 self.members[member].draining.store(false, Ordering::SeqCst);
                 self.history.member_starts.lock().unwrap().push((now, member));
                 self.members[member].warming_since.store(now, Ordering::SeqCst);
                 let boot_ms = unix_ms();
-                self.change(now, member, |listed| {
+                self.change_listed(now, member, |listed| {
                     listed.state = "SERVING";
                     listed.boot_ms = boot_ms;
                 });
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    fn change(&self, now: Micros, member: usize, change: impl FnOnce(&mut ListedMember)) {
+    fn change_listed(&self, now: Micros, member: usize, change: impl FnOnce(&mut ListedMember)) {
         self.directory.change(now, &self.history, member, change);
     }
 
@@ -93,7 +93,8 @@
         members.find(is_primary).map_or(group * self.scenario.group_size, |member| member.index)
     }
 
-    /// Another member becomes primary, if this one is.
+    /// If `from` is primary, makes another member of its group primary that neither drains nor has a fault. Without
+    /// such a member, `from` stays primary.
     fn move_primary_from(&self, now: Micros, from: usize) {
         let member = &self.members[from];
         if !member.primary.load(Ordering::SeqCst) {
@@ -106,8 +107,8 @@
         let Some(next) = self.members.iter().rev().find(is_eligible) else { return };
         member.primary.store(false, Ordering::SeqCst);
         next.primary.store(true, Ordering::SeqCst);
-        self.change(now, from, |listed| listed.primary = false);
-        self.change(now, next.index, |listed| listed.primary = true);
+        self.change_listed(now, from, |listed| listed.primary = false);
+        self.change_listed(now, next.index, |listed| listed.primary = true);
     }
 
     fn reload(&mut self, now: Micros, proxy: usize) -> std::io::Result<()> {
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -31,14 +31,19 @@
     plant: Option<Action>,
 }
 
-/// When a planted fault is done.
+/// Time in the run at which a planted fault is injected.
 const PLANT_AT: u64 = 2 * SECOND;
 
 fn parse_seeds(text: &str) -> Result<(u64, u64), String> {
     let (first, last) = text.split_once("..").unwrap_or((text, text));
-    let number = |text: &str| text.parse().map_err(|_| format!("{text:?} is no seed"));
+    let number =
+        |text: &str| text.parse().map_err(|_| format!("expected a seed (an unsigned integer), got {text:?}"));
     let (first, last) = (number(first)?, number(last)?);
-    if first <= last { Ok((first, last)) } else { Err("the first seed is above the last one".into()) }
+    if first <= last {
+        Ok((first, last))
+    } else {
+        Err("expected FIRST..LAST with FIRST not above LAST".into())
+    }
 }
 
 fn parse_plant(text: &str) -> Result<Action, String> {
@@ -47,7 +52,7 @@
         "mixed-values" => Ok(Action::PlantMixedValues),
         "long-stop" => Ok(Action::PlantLongStop),
         "crash" => Ok(Action::PlantCrash),
-        _ => Err(format!("no fault is called {text:?}")),
+        _ => Err(format!("expected swallowed-changes, mixed-values, long-stop or crash, got {text:?}")),
     }
 }
 
@@ -77,7 +82,8 @@
     if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Plays a seed; whether no rule was broken.
+/// Plays the run of a seed and prints its summary and findings. Returns `true` if the run could be played and no
+/// finding is certain; findings marked `unclear` don't count.
 fn play_seed(arguments: &Arguments, seed: u64) -> bool {
     let mut scenario = Scenario::draw(seed);
     if let Some(plant) = arguments.plant {
