--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -19,8 +19,8 @@
 /// Ratio of the longest stall that any emulator thread may have met to the stall that the watching thread
 /// measured. A finding whose excess is within this multiple of the measured stall is unclear.
 const STALL_FACTOR: Micros = 2;
-/// From this many allowed requests on, the slow start rule allows for chance 2 square roots of the allowed number
-/// and 2 requests; below it, 3 square roots and 3 requests.
+/// From this many allowed requests on, the slow start rule allows for chance 2 square roots of the allowed
+/// number and 2 requests; below it, 3 square roots and 3 requests.
 const MANY_REQUESTS: f64 = 30.0;
 
 /// A violation of a rule.
@@ -87,8 +87,9 @@
     findings
 }
 
-/// Checks the rules on one request: it is answered, a rejected write did not run, no write runs twice, a value
-/// comes from one of its attempts, the data is not too old, and the times of its attempts are within their limits.
+/// Checks the rules on one request: it is answered, a rejected write did not run, no write runs twice, a
+/// value comes from one of its attempts, the data is not too old, and the times of its attempts are within
+/// their limits.
 fn check_request(
     request: &RequestRecord,
     attempts: &[AttemptRecord],
@@ -131,8 +132,8 @@
     }
 }
 
-/// Checks that an attempt does not begin long after its client left, and that the wait announced to the member
-/// does not exceed the time left to the client.
+/// Checks that an attempt does not begin long after its client left, and that the wait announced to the
+/// member does not exceed the time left to the client.
 fn check_attempt_times(request: &RequestRecord, attempt: &AttemptRecord) -> Option<Finding> {
     let since_left = attempt.at.saturating_sub(request.ended_at);
     let limit = LEFT_LIMIT + EMULATOR_SLACK;
@@ -164,8 +165,9 @@
     code == "53300" || code == "57P03"
 }
 
-/// Checks the age of the data in a reply at the time the attempt arrived at the member. The rule applies to reads
-/// with a staleness bound that a replica served, in runs whose members serve stale reads instead of rejecting them.
+/// Checks the age of the data in a reply at the time the attempt arrived at the member. The rule applies to
+/// reads with a staleness bound that a replica served, in runs whose members serve stale reads instead of
+/// rejecting them.
 fn check_age(
     kind: ClassKind,
     scenario: &Scenario,
@@ -182,8 +184,8 @@
     }
 }
 
-/// Checks that a proxy sends no new attempt to a member that drains or is removed. The rule holds from one drain
-/// grace after the proxy counts as notified until the member serves again.
+/// Checks that a proxy sends no new attempt to a member that drains or is removed. The rule holds from one
+/// drain grace after the proxy counts as notified until the member serves again.
 fn check_drains(scenario: &Scenario, history: &History, findings: &mut Vec<Finding>) {
     let changes = history.changes.lock().unwrap();
     let notices = history.notices.lock().unwrap();
@@ -211,7 +213,7 @@
         if let Some((from, _)) = spans.iter().find(|(from, until)| at > *from && attempt.at < *until) {
             let notified_at = from - scenario.drain_grace - SOCKET_SLACK;
             let text = format!(
-                "expected no new attempt after the drain grace, but {} got one {} ms after n{} was notified that it drains or is removed",
+                "expected no attempt to a draining or removed member: {} got one {} ms after n{} was notified",
                 member_name(attempt.member),
                 (attempt.at - notified_at) / MS,
                 attempt.proxy
@@ -241,7 +243,7 @@
             let count = last + 1 - first;
             if count as f64 > allowed + slack {
                 let text = format!(
-                    "expected {} to get about {allowed:.0} requests at most in an overload window of its warm-up, got {count}",
+                    "expected {} to get at most about {allowed:.0} requests while it warms up, got {count}",
                     member_name(member)
                 );
                 findings.push(Finding::new("slow start", *at, text));
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: each keeps a connection, sends requests one after the other, and records how they end.
+//! Emulated clients. A client keeps one connection to a proxy, sends its requests one after the other, and
+//! records how each of them ends.
 
 use crate::history::{History, MS, Micros, RequestEnd, RequestRecord, RunClock, SECOND};
 use crate::process::Proxy;
@@ -11,47 +12,50 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A request has to have its answer this long after its time.
+/// Time after the client's deadline within which a request must be answered.
 pub const LATE_LIMIT: Micros = SECOND / 2;
-/// A client sends a request again on a new connection this often, if closes crossed it.
+/// How often a client resends a request on a new connection after the proxy closed the old one without
+/// reading the request.
 const MAX_RESENDS: u32 = 4;
-/// The class of pipelined requests: reads from any member.
+/// The class of pipelined requests, `any`: reads from any member.
 const PIPELINED_CLASS: usize = 1;
-/// How long a client waits before it looks for an open front again.
+/// Pause of a client that could not connect to its proxy.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// A bad client has to get an error or a close within this.
+/// Time within which a faulty client must get an error or a close.
 const FAULTY_CLIENT_LIMIT: Duration = Duration::from_millis(3300);
 
-/// What all clients of a run share.
+/// The state that all clients of a run share.
 pub struct Clients {
-    /// The proxies.
+    /// The proxies, by index.
     pub proxies: Vec<Arc<Proxy>>,
-    /// The records.
+    /// Where the clients record their requests.
     pub history: Arc<History>,
-    /// The clock.
+    /// The clock of the run.
     pub clock: RunClock,
-    /// The run is over.
+    /// Set at the end of the run; the clients' threads end when they see it.
     pub is_over: Arc<AtomicBool>,
-    /// The groups of members.
+    /// The number of groups of members.
     pub groups: usize,
     /// The seed of the run.
     pub seed: u64,
-    /// The part of the classes' deadlines that clients wait at most.
+    /// The longest time that clients wait, in percent of their classes' deadlines.
     pub deadline_percent: u64,
-    /// One of so many requests is left early; 0 for none.
+    /// Clients leave one in this many requests before its answer; 0 for none.
     pub leave_one_in: u64,
-    /// The next id.
-    pub last_id: AtomicU64,
+    /// The low 32 bits of the next request id; the seed is above them.
+    pub next_id: AtomicU64,
 }
 
-/// A connection of a client, to one process of a proxy.
+/// A connection of a client to one process of a proxy.
 struct Connection {
     stream: TcpStream,
+    /// The proxy's start that this connection belongs to.
     generation: u64,
+    /// Whether a request was sent on this connection before.
     has_requested: bool,
 }
 
-/// A request that is being made.
+/// A request that a client sends.
 struct ClientRequest {
     id: u64,
     class: usize,
@@ -60,7 +64,7 @@
 }
 
 impl Clients {
-    /// Runs one client until the run is over.
+    /// Runs one client until the end of the run. `think` is the mean pause between two requests.
     pub fn run_client(&self, number: u64, proxy: usize, think: Micros) {
         let mut draws = Draws::new(self.seed, 1000 + number);
         let mut connection = None;
@@ -90,7 +94,7 @@
         last_write_ms: u64,
     ) -> ClientRequest {
         let kind = CLASSES[class].kind;
-        let id = (self.seed << 32) | self.last_id.fetch_add(1, Ordering::SeqCst);
+        let id = (self.seed << 32) | self.next_id.fetch_add(1, Ordering::SeqCst);
         let deadline = CLASSES[class].deadline * self.deadline_percent / 100;
         let wait = draws.between(deadline * 2 / 5, deadline) / MS * MS;
         let group = session % self.groups as u64;
@@ -110,7 +114,8 @@
         ClientRequest { id, class, wait, text }
     }
 
-    /// Makes a request; whether it was served.
+    /// Sends a request on the connection in `slot`, or on a new one, and records how it ends. Returns whether
+    /// it was served. The connection goes back to `slot` if it can be used again.
     fn make_request(
         &self,
         proxy_index: usize,
@@ -137,12 +142,13 @@
                 return false;
             }
             let end = self.await_reply(&mut connection, sent_at + request.wait + LATE_LIMIT);
-            let gone = proxy.was_killed_unwarned(generation);
+            let was_killed = proxy.was_killed_unwarned(generation);
             match end {
-                RequestEnd::Closed if gone => {
+                RequestEnd::Closed if was_killed => {
                     self.record(&request, proxy_index, sent_at, RequestEnd::Excused)
                 }
-                // The close crossed a request that was not read: it is sent once more.
+                // The proxy may have closed the connection while the request was on its way. A request that
+                // reached no member is resent.
                 RequestEnd::Closed
                     if resends < MAX_RESENDS && (was_used || !self.was_forwarded(request.id)) =>
                 {
@@ -168,10 +174,12 @@
         false
     }
 
+    /// Returns whether an attempt of the request has reached a member.
     fn was_forwarded(&self, id: u64) -> bool {
         self.history.attempts.lock().unwrap().iter().rev().any(|attempt| attempt.id == id)
     }
 
+    /// Connects to a proxy that is in rotation and waits for ReadyForQuery.
     fn connect(&self, proxy: &Proxy) -> Option<Connection> {
         if !proxy.is_in_rotation.load(Ordering::SeqCst) {
             return None;
@@ -190,7 +198,7 @@
         }
     }
 
-    /// Waits for the reply, until `deadline` at most.
+    /// Waits for the reply until `deadline`, a time of the run.
     fn await_reply(&self, connection: &mut Connection, deadline: Micros) -> RequestEnd {
         let left = Duration::from_micros(deadline.saturating_sub(self.clock.now()).max(1));
         let _ = connection.stream.set_read_timeout(Some(left));
@@ -212,7 +220,8 @@
         self.history.requests.lock().unwrap().push(record);
     }
 
-    /// Runs a client that sends several reads at once: the replies have to come in their order.
+    /// Runs a client that pipelines several reads on one connection. The replies must come in the order of
+    /// the requests.
     pub fn run_pipelining_client(&self, number: u64, proxy_index: usize) {
         let mut draws = Draws::new(self.seed, 9000 + number);
         while !self.is_over.load(Ordering::SeqCst) {
@@ -230,64 +239,68 @@
             for request in &requests {
                 let end = self.await_reply(&mut connection, sent_at + request.wait + LATE_LIMIT);
                 let is_closed = end == RequestEnd::Closed;
-                // A close that crossed the commands, or a process that was killed.
+                // The process was killed, or the proxy closed the connection before it read the request.
                 let is_excused = proxy.was_killed_unwarned(connection.generation);
                 if is_closed && (is_excused || !self.was_forwarded(request.id)) {
                     break;
                 }
-                let may_follow = !is_closed && end != RequestEnd::Silent;
+                let is_usable = !is_closed && end != RequestEnd::Silent;
                 self.record(request, proxy_index, sent_at, end);
-                if !may_follow {
+                if !is_usable {
                     break;
                 }
             }
         }
     }
 
-    /// Runs a client that sends what can't be used, or stops within a message, and stays.
+    /// Runs a client that sends malformed or incomplete messages, or a statement with an invalid comment, and
+    /// then waits. The proxy must answer with an error or close the connection.
     pub fn run_faulty_client(&self, number: u64, proxy_index: usize) {
         let mut draws = Draws::new(self.seed, 5000 + number);
         while !self.is_over.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(draws.between(100, 900)));
             let proxy = &self.proxies[proxy_index];
             let Some(mut connection) = self.connect(proxy) else { continue };
-            let whole = query("SELECT 1 /* id=1,c=none,d=x */");
+            let complete = query("SELECT 1 /* id=1,c=none,d=x */");
             let bytes = match draws.below(4) {
-                0 => whole[..whole.len() / 2].to_vec(),
+                0 => complete[..complete.len() / 2].to_vec(),
                 1 => b"Q\xff\xff\xff\xffnoise".to_vec(),
                 2 => b"\0\x01\x02garbage that is no message".to_vec(),
-                _ => whole,
+                _ => complete,
             };
             if connection.stream.write_all(&bytes).is_err() {
                 continue;
             }
             let _ = connection.stream.set_read_timeout(Some(FAULTY_CLIENT_LIMIT));
             let reply = read_reply(&mut connection.stream);
-            let is_same = proxy.generation.load(Ordering::SeqCst) == connection.generation;
+            let is_same_process = proxy.generation.load(Ordering::SeqCst) == connection.generation;
             let timed_out =
                 |error: &std::io::Error| matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-            if reply.is_err_and(|error| timed_out(&error)) && is_same && !self.is_over.load(Ordering::SeqCst)
+            if reply.is_err_and(|error| timed_out(&error))
+                && is_same_process
+                && !self.is_over.load(Ordering::SeqCst)
             {
-                let text = "bad client: neither an error nor a close within 3 s";
+                let text = "faulty client: expected an error or a close within 3 s, got neither";
                 self.history.incident(self.clock.now(), proxy_index, text);
             }
         }
     }
 
-    /// Opens idle connections that use up the proxy's descriptors, for as long as the run lasts.
+    /// Holds up to `connections` idle connections to a proxy until the end of the run, to exhaust its file
+    /// descriptors. Connections that the proxy closes are replaced.
     pub fn hold_idle_connections(&self, proxy: usize, connections: usize) {
-        let mut held = Vec::new();
+        let mut streams = Vec::new();
         while !self.is_over.load(Ordering::SeqCst) {
-            if held.len() < connections
+            if streams.len() < connections
                 && let Ok(stream) =
                     TcpStream::connect_timeout(&self.proxies[proxy].address, Duration::from_secs(1))
             {
                 let _ = (&stream).write_all(&startup_message());
                 let _ = stream.set_nonblocking(true);
-                held.push(stream);
+                streams.push(stream);
             }
-            held.retain(|stream| !matches!(stream.peek(&mut [0]), Ok(0)));
-            std::thread::sleep(Duration::from_millis(if held.len() < connections { 1 } else { 50 }));
+            streams.retain(|stream| !matches!(stream.peek(&mut [0]), Ok(0)));
+            std::thread::sleep(Duration::from_millis(if streams.len() < connections { 1 } else { 50 }));
         }
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,7 +1,7 @@
 //! The soak test: runs real liftrelay processes on loopback between emulated clients, members and discovery.
-//! A seed determines the settings, the injected faults, the signals and the changes of the endpoint list. The
-//! rules of the protocol documentation are checked on what clients, members and discovery recorded. A violation
-//! is reported with its seed and the events of one affected request.
+//! A seed determines the settings, the injected faults, the signals and the changes of the endpoint list.
+//! The rules of the protocol documentation are checked on what clients, members and discovery recorded. A
+//! violation is reported with its seed and the events of one affected request.
 
 mod actions;
 pub mod checker;
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -168,7 +168,7 @@
             seed: self.scenario.seed,
             deadline_percent: self.scenario.deadline_percent,
             leave_one_in: self.scenario.leave_one_in,
-            last_id: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
         });
         for proxy in 0..self.proxies.len() {
             for client in 0..self.scenario.clients {
