--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: one list for all proxies, and an agent for each proxy that tells it.
+//! Emulated discovery: one endpoint list for all proxies, and an agent for each proxy that serves it the list.
 
 use crate::history::{History, ListChange, MS, Micros, Notice, RunClock};
 use crate::random::Draws;
@@ -9,38 +9,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often an agent looks for something to send.
+/// Interval at which an agent polls for connections, changes of its mode, and changes of the list.
 const AGENT_STEP: Duration = Duration::from_millis(4);
-/// The time between two empty lines on a watch.
+/// Time without an event on a watch after which the agent sends an empty line.
 const HEARTBEAT: Micros = 2_000 * MS;
-/// The pause between two pieces of a message that comes in pieces.
+/// Pause between two fragments of a message in [`AgentMode::Fragmented`].
 const PIECE_PAUSE: Duration = Duration::from_millis(6);
 
-/// What an agent does.
+/// How an agent answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentMode {
-    /// It answers at once.
+    /// Answers without delay.
     Up,
-    /// It answers with messages cut into pieces.
+    /// Answers without delay, but writes each message in up to 4 fragments with pauses.
     Fragmented,
-    /// It answers calls late, as a crowded service does.
+    /// Starts to answer each call 100 to 1800 ms late, as an overloaded service does.
     Slow,
-    /// It takes no new calls; open ones go on.
+    /// Accepts no new calls; open calls continue.
     Closing,
-    /// It accepts calls and is silent; it learns nothing.
+    /// Accepts calls but sends nothing, and does not follow the list. The calls are answered when the agent is
+    /// up again.
     Silent,
-    /// It is silent, and calls that were made meanwhile are never answered.
+    /// Like [`AgentMode::Silent`], but calls that were opened in this mode are never answered.
     DropsCalls,
-    /// It resets all calls.
+    /// Accepts calls and resets them, open ones included.
     Resetting,
-    /// It answers 503.
+    /// Answers calls with status 503 and resets watches that have begun.
     Busy,
-    /// Nothing listens.
+    /// Closes its listener and resets open calls.
     Gone,
 }
 
 impl AgentMode {
-    /// Whether it learns what discovery has.
+    /// Returns whether the agent follows the list and serves open calls.
     pub fn is_up(self) -> bool {
         matches!(self, AgentMode::Up | AgentMode::Fragmented | AgentMode::Slow | AgentMode::Closing)
     }
@@ -49,19 +50,19 @@
 /// A member in the list.
 #[derive(Clone, Debug)]
 pub struct ListedMember {
-    /// Its index.
+    /// The member's index.
     pub index: usize,
-    /// The group.
+    /// The index of its group.
     pub group: usize,
-    /// The state in the list.
+    /// The `state` in the list: `SERVING`, `DRAINING` or `DELETED`.
     pub state: &'static str,
-    /// It is primary.
+    /// Whether the list calls it primary (`recovery` is `off`).
     pub primary: bool,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// The time of its last start, in Unix milliseconds; 0 if that was long ago.
     pub boot_ms: u64,
 }
 
-/// The list, with its changes by revision.
+/// The endpoint list, with the revision and member of each change.
 pub struct EndpointDirectory {
     members: Mutex<Vec<ListedMember>>,
     changes: Mutex<Vec<(u64, usize)>>,
@@ -69,7 +70,7 @@
 }
 
 impl EndpointDirectory {
-    /// A list of these members.
+    /// Creates a list of these members, without changes.
     pub fn new(members: Vec<ListedMember>) -> EndpointDirectory {
         EndpointDirectory {
             members: Mutex::new(members),
@@ -78,12 +79,12 @@
         }
     }
 
-    /// The revision now.
+    /// Returns the current revision.
     pub fn revision(&self) -> u64 {
         *self.revision.lock().unwrap()
     }
 
-    /// Changes a member.
+    /// Changes a member, which makes a new revision, and records the change at `at`.
     pub fn change(
         &self,
         at: Micros,
@@ -101,7 +102,8 @@
         history.changes.lock().unwrap().push(change);
     }
 
-    /// The whole list, or the changes after a revision, as a proxy sees it.
+    /// Returns the revision, and the JSON text of the complete list or of the members changed after a
+    /// revision. `proxy_host` gives the address at which the proxy reaches a member.
     pub fn text(&self, after: Option<u64>, proxy_host: &dyn Fn(usize) -> SocketAddr) -> (u64, String) {
         let members = self.members.lock().unwrap();
         let revision = *self.revision.lock().unwrap();
@@ -128,37 +130,38 @@
     }
 }
 
-/// The name of a member in the list.
+/// Returns the `uid` of a member in the list.
 pub fn member_name(index: usize) -> String {
     format!("s-{index:02}")
 }
 
-/// The agent of one proxy at one address.
+/// The agent that serves one proxy at one address.
 pub struct Agent {
-    /// Its address.
+    /// The address at which it accepts calls.
     pub address: SocketAddr,
-    /// The proxy.
+    /// The index of the proxy.
     pub proxy: usize,
-    /// Where the proxy reaches the members.
+    /// The addresses at which the proxy reaches the members, by the members' index.
     pub members: Vec<SocketAddr>,
-    /// The list.
+    /// The list that it serves.
     pub directory: Arc<EndpointDirectory>,
-    /// The records.
+    /// Where it records notices.
     pub history: Arc<History>,
-    /// The clock.
+    /// The clock of the run.
     pub clock: RunClock,
     mode: Mutex<AgentMode>,
-    /// The revision that it has; it learns no more while it is down.
+    /// The last revision of the list that the agent has seen; it does not change while the agent is not up.
     synced_revision: Mutex<u64>,
-    /// Watches opened before this fall silent.
+    /// Watches opened before this time send nothing more.
     silenced_before: Mutex<Micros>,
-    /// A planted fault: changes are counted as told and not sent.
+    /// A planted fault: changes count as notified, but are not sent on watches.
     pub swallows_changes: AtomicBool,
     is_over: Arc<AtomicBool>,
 }
 
 impl Agent {
-    /// Starts an agent.
+    /// Starts an agent in mode [`AgentMode::Up`]; port 0 chooses a free port. Returns an error if the address
+    /// can't be bound.
     pub fn start(
         address: SocketAddr,
         proxy: usize,
@@ -187,48 +190,50 @@
         Ok(agent)
     }
 
-    /// What it does now.
+    /// Returns the current mode.
     pub fn mode(&self) -> AgentMode {
         *self.mode.lock().unwrap()
     }
 
-    /// Changes what it does from now on. What it learns at a return counts as told at once.
+    /// Changes the mode, also for open calls. Revisions that the agent sees when it is up again are recorded
+    /// as notified by [`NoticeSchedule::update`](crate::notices::NoticeSchedule::update).
     pub fn set_mode(&self, mode: AgentMode) {
         *self.mode.lock().unwrap() = mode;
     }
 
-    /// Watches that are open now fall silent.
+    /// Silences the watches that are open now: they stay open, but send nothing more.
     pub fn silence_watches(&self) {
         *self.silenced_before.lock().unwrap() = self.clock.now();
     }
 
-    /// When the watches that were open fell silent.
+    /// Returns the time of the last [`Agent::silence_watches`]; 0 if there was none.
     pub fn silenced_at(&self) -> Micros {
         *self.silenced_before.lock().unwrap()
     }
 
-    /// The revision that it has.
+    /// Returns the last revision of the list that the agent has seen.
     pub fn synced_revision(&self) -> u64 {
         *self.synced_revision.lock().unwrap()
     }
 
-    /// Learns what discovery has, if it is up. Returns the revision if that is news.
+    /// Updates the agent to the current revision of the list, if it is up. Returns the revision if it is new to
+    /// the agent.
     pub fn sync(&self) -> Option<u64> {
         let mut synced = self.synced_revision.lock().unwrap();
         let revision = self.directory.revision();
-        let is_news = self.mode().is_up() && revision > *synced;
-        if is_news {
+        let is_newer = self.mode().is_up() && revision > *synced;
+        if is_newer {
             *synced = revision;
         }
-        is_news.then_some(revision)
+        is_newer.then_some(revision)
     }
 
-    fn ended(&self) -> bool {
+    fn has_ended(&self) -> bool {
         self.is_over.load(Ordering::SeqCst)
     }
 
     fn accept(self: Arc<Self>, mut listener: Option<TcpListener>) {
-        while !self.ended() {
+        while !self.has_ended() {
             if matches!(self.mode(), AgentMode::Gone | AgentMode::Closing) {
                 listener = None;
             } else if listener.is_none() {
@@ -245,7 +250,8 @@
         }
     }
 
-    /// Serves one call; the connection ends with it.
+    /// Serves one call. A call that arrives while the agent is not up waits until the agent is up again, or
+    /// ends as the mode demands. The connection is closed afterwards.
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_nodelay(true);
@@ -260,13 +266,13 @@
                     return;
                 }
                 mode if mode.is_up() && mode_at_open != AgentMode::DropsCalls => break,
-                _ if self.ended() || is_closed(&stream) => return,
+                _ if self.has_ended() || is_closed(&stream) => return,
                 _ => std::thread::sleep(AGENT_STEP),
             }
         }
         if self.mode() == AgentMode::Slow {
-            let late = Draws::new(opened_at, 3).between(100, 1800);
-            std::thread::sleep(Duration::from_millis(late));
+            let delay_ms = Draws::new(opened_at, 3).between(100, 1800);
+            std::thread::sleep(Duration::from_millis(delay_ms));
         }
         match index {
             None => self.send_list(&stream),
@@ -278,6 +284,7 @@
         |index| self.members[index]
     }
 
+    /// Answers a call for the complete list.
     fn send_list(&self, stream: &TcpStream) {
         self.sync();
         let (revision, text) = self.directory.text(None, &self.host_of());
@@ -287,11 +294,12 @@
         }
     }
 
+    /// Answers a watch: sends the changes after revision `index` as they come, and a heartbeat in between.
     fn send_changes(&self, stream: &TcpStream, index: u64, opened_at: Micros) {
         let _ = (&*stream).write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let mut sent = index;
         let mut last_line = self.clock.now();
-        while !self.ended() && !is_closed(stream) {
+        while !self.has_ended() && !is_closed(stream) {
             let mode = self.mode();
             if !mode.is_up() {
                 if matches!(mode, AgentMode::Silent | AgentMode::DropsCalls) {
@@ -323,12 +331,13 @@
         }
     }
 
-    /// The proxy has been told this revision, or counts as told.
+    /// Records that the proxy has been notified of this revision, or counts as notified from now on.
     pub fn record_notice(&self, revision: u64) {
         let notice = Notice { at: self.clock.now(), proxy: self.proxy, revision };
         self.history.notices.lock().unwrap().push(notice);
     }
 
+    /// Writes bytes, in fragments with pauses if the mode is [`AgentMode::Fragmented`].
     fn write(&self, mut stream: &TcpStream, bytes: &[u8]) -> std::io::Result<()> {
         if self.mode() != AgentMode::Fragmented {
             return stream.write_all(bytes);
@@ -341,11 +350,13 @@
     }
 }
 
+/// Encodes a text and a line end as a chunk of HTTP's chunked transfer coding.
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
 }
 
-/// The index that a watch asks for; `Some(None)` for the whole list.
+/// Reads the head of a call. Returns the revision after which a watch asks for changes, `Some(None)` for a
+/// call for the complete list, and `None` if the head can't be read.
 fn read_request(stream: &TcpStream) -> Option<Option<u64>> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut request = String::new();
@@ -361,7 +372,7 @@
     }
 }
 
-/// Whether the proxy has closed the connection.
+/// Returns whether the proxy has closed the connection.
 fn is_closed(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
     let closed = match stream.peek(&mut [0]) {
@@ -372,6 +383,7 @@
     closed
 }
 
+/// Makes the kernel send a TCP reset when the stream is dropped.
 fn reset(stream: &TcpStream) {
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
