--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Emulated discovery: one endpoint list for all proxies, and an agent for each proxy that serves it the list.
+//! Emulated discovery: one endpoint list for all proxies, and for each proxy an agent that serves the list.
 
 use crate::history::{History, ListChange, MS, Micros, Notice, RunClock};
 use crate::random::Draws;
@@ -27,8 +27,8 @@
     Slow,
     /// Accepts no new calls; open calls continue.
     Closing,
-    /// Accepts calls but sends nothing, and does not follow the list. The calls are answered when the agent is
-    /// up again.
+    /// Accepts calls but sends nothing, and does not follow the list. The calls are answered when the agent
+    /// is up again.
     Silent,
     /// Like [`AgentMode::Silent`], but calls that were opened in this mode are never answered.
     DropsCalls,
@@ -216,8 +216,8 @@
         *self.synced_revision.lock().unwrap()
     }
 
-    /// Updates the agent to the current revision of the list, if it is up. Returns the revision if it is new to
-    /// the agent.
+    /// Updates the agent to the current revision of the list, if it is up. Returns the revision if it is new
+    /// to the agent.
     pub fn sync(&self) -> Option<u64> {
         let mut synced = self.synced_revision.lock().unwrap();
         let revision = self.directory.revision();
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,4 +1,5 @@
-//! What clients, members, discovery and the processes saw: the rules are checked on these records alone.
+//! The records of a run: what clients, members, discovery and the processes saw. The rules are checked on
+//! these records alone.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,27 +17,27 @@
 pub struct RunClock(Instant);
 
 impl RunClock {
-    /// Starts at 0.
+    /// Starts the clock at 0.
     pub fn start() -> RunClock {
         RunClock(Instant::now())
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Micros {
         self.0.elapsed().as_micros() as Micros
     }
 }
 
-/// What all emulators of a run share.
+/// The state that all emulators of a run share.
 #[derive(Clone)]
 pub struct RunContext {
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The records.
+    /// Where the emulators record what they see.
     pub history: Arc<History>,
-    /// The clock.
+    /// The clock of the run.
     pub clock: RunClock,
-    /// The run is over.
+    /// Set at the end of the run; the emulators' threads end when they see it.
     pub is_over: Arc<AtomicBool>,
 }
 
@@ -47,47 +48,47 @@
     Served(String),
     /// Rejected or failed with this SQLSTATE.
     Error(String),
-    /// The proxy closed the connection without an answer, at least once more on a new connection.
+    /// The proxy forwarded the request, and closed the connection without an answer.
     Closed,
-    /// No answer had come half a second after its time.
+    /// No answer came until half a second after the client's deadline.
     Silent,
-    /// The client closed its connection first.
+    /// The client closed its connection before the answer.
     Left,
-    /// Its proxy was killed without a warning, or the run ended.
+    /// The connection was closed because the proxy's process was killed without a SIGTERM before.
     Excused,
 }
 
 /// A request, as its client saw it.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Its id.
+    /// The id in the statement's comment.
     pub id: u64,
-    /// The index of the proxy.
+    /// The index of the proxy that it was sent to.
     pub proxy: usize,
-    /// The index of the class.
+    /// The index of its class in [`CLASSES`](crate::scenario::CLASSES).
     pub class: usize,
     /// When its last byte was written.
     pub sent_at: Micros,
-    /// How long its client waits.
+    /// How long its client waits for the answer, as the statement's comment says.
     pub wait: Micros,
-    /// When it ended.
+    /// When the client got the answer, saw the close, left, or stopped waiting.
     pub ended_at: Micros,
-    /// How it ended.
+    /// How it ended for the client.
     pub end: RequestEnd,
 }
 
 /// How a member answered an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// With its value.
+    /// With a value.
     Served,
-    /// Not the primary, or too far behind.
+    /// With an error, since the member is not the primary or is too far behind; the statement did not run.
     NotServable,
-    /// With an error, after it ran.
+    /// With an error, after the statement ran.
     Error,
-    /// Turned away: the member drains.
+    /// With an error, since the member drains; the statement did not run.
     Rejected,
-    /// Not at all: the member hung, or closed the connection.
+    /// Not at all: the member hung or reset the connection, with the statement run or not.
     NoAnswer,
 }
 
@@ -96,69 +97,70 @@
 pub struct AttemptRecord {
     /// The id of its request.
     pub id: u64,
-    /// The proxy that sent it.
+    /// The index of the proxy that sent it.
     pub proxy: usize,
     /// The index of the member.
     pub member: usize,
-    /// When it arrived.
+    /// When it arrived at the member.
     pub at: Micros,
-    /// How long the member was told that the proxy waits.
+    /// How long the proxy waits for the answer, as the comment field `d` of the statement tells the member.
     pub told_wait: Micros,
-    /// It ran.
+    /// Whether the member ran the statement.
     pub executed: bool,
-    /// The value it was answered with.
+    /// The value that the member made for it, or that of the first run of its idempotency key, also if it was
+    /// not sent; empty while the member mixes values.
     pub value: String,
-    /// How far the member had applied the log.
+    /// The time of the run up to which the member had applied the log.
     pub position: Micros,
-    /// The member was primary.
+    /// Whether the member was primary.
     pub primary: bool,
-    /// How it ended.
+    /// How the member answered.
     pub end: AttemptEnd,
 }
 
-/// A change of one member in the list, from when discovery had it.
+/// A change of one member in the list of discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// When.
+    /// When the list changed.
     pub at: Micros,
-    /// The revision of the list.
+    /// The revision that the change made.
     pub revision: u64,
     /// The index of the member.
     pub member: usize,
-    /// Whether new requests may be sent to it.
+    /// Whether the member is `SERVING`, so that proxies may send it new attempts.
     pub serving: bool,
 }
 
-/// Discovery told a proxy a revision, or it counts as told from then on.
+/// A notice of discovery to a proxy, or a time from which the proxy counts as notified.
 #[derive(Clone, Copy, Debug)]
 pub struct Notice {
-    /// When.
+    /// When the proxy was notified or began to count as notified.
     pub at: Micros,
-    /// The proxy.
+    /// The index of the proxy.
     pub proxy: usize,
-    /// The revision.
+    /// The revision of the list that the notice brought the proxy to.
     pub revision: u64,
 }
 
-/// A finding that was made while the run was played.
+/// A finding of rule `process`, made during the run.
 #[derive(Clone, Debug)]
 pub struct Incident {
-    /// When.
+    /// When it was seen.
     pub at: Micros,
-    /// The proxy.
+    /// The index of the proxy; 0 for a fault of the emulator.
     pub proxy: usize,
-    /// What, in words.
+    /// What was expected and what was seen.
     pub text: String,
 }
 
-/// A thread that sleeps for this ...
+/// Sleep of the thread that watches for stalls of the machine.
 const STALL_STEP: Duration = Duration::from_millis(4);
-/// ... and wakes this much later has met a stall.
+/// Delay beyond [`STALL_STEP`] from which a late wake-up counts as a stall.
 const MIN_STALL: Micros = 15 * MS;
-/// A stall explains what is found this long before or after it.
+/// Time before and after a stall within which it can explain a finding.
 const STALL_VICINITY: Micros = SECOND;
 
-/// Records the stalls of the machine until the run is over.
+/// Records stalls of the machine until the end of the run. A stall is a late wake-up from a short sleep.
 pub fn watch_for_stalls(run: &RunContext) {
     while !run.is_over.load(Ordering::SeqCst) {
         let before = run.clock.now();
@@ -174,38 +176,38 @@
 /// All records of a run.
 #[derive(Default)]
 pub struct History {
-    /// Requests.
+    /// Requests, in the order in which they ended.
     pub requests: Mutex<Vec<RequestRecord>>,
-    /// Attempts.
+    /// Attempts, in the order in which members recorded them.
     pub attempts: Mutex<Vec<AttemptRecord>>,
-    /// Changes of the list.
+    /// Changes of the list, in the order of their revisions.
     pub changes: Mutex<Vec<ListChange>>,
-    /// What discovery told.
+    /// Notices of discovery to the proxies.
     pub notices: Mutex<Vec<Notice>>,
-    /// Starts of members: when, and the index of the member.
+    /// Starts of members during the run: the time, and the index of the member.
     pub member_starts: Mutex<Vec<(Micros, usize)>>,
-    /// When a thread of the emulator that wanted to run did not, and for how long.
+    /// Stalls of the machine: the time of the late wake-up, and the delay.
     pub stalls: Mutex<Vec<(Micros, Micros)>>,
-    /// Findings made while the run was played.
+    /// Findings made during the run.
     pub incidents: Mutex<Vec<Incident>>,
-    /// What was done to the processes and to discovery, for the report.
+    /// Actions on processes, members and discovery, and starts and ends of processes, for the report.
     pub events: Mutex<Vec<(Micros, String)>>,
 }
 
 impl History {
-    /// Notes something that was done.
+    /// Records an event for the report.
     pub fn note(&self, at: Micros, text: String) {
         self.events.lock().unwrap().push((at, text));
     }
 
-    /// How long the machine kept the emulator waiting around this time.
+    /// Returns the longest stall around this time; 0 if there was none.
     pub fn stall_around(&self, at: Micros) -> Micros {
         let stalls = self.stalls.lock().unwrap();
         let near = stalls.iter().filter(|(when, _)| when.abs_diff(at) <= STALL_VICINITY);
         near.map(|(_, length)| *length).max().unwrap_or(0)
     }
 
-    /// Records a finding.
+    /// Records a finding of rule `process`.
     pub fn incident(&self, at: Micros, proxy: usize, text: impl Into<String>) {
         self.incidents.lock().unwrap().push(Incident { at, proxy, text: text.into() });
     }
