--- a/soak/src/member.rs
+++ b/soak/src/member.rs
@@ -1,4 +1,4 @@
-//! Members: servers of simple queries with a role, a lag, a capacity, and faults.
+//! Emulated members: servers of simple queries with a role, a replication lag, a capacity, and faults.
 
 use crate::history::{AttemptEnd, AttemptRecord, MS, Micros, RunContext, SECOND};
 use crate::random::Draws;
@@ -11,78 +11,81 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How often a listener looks for connections.
+/// Interval at which a listener polls for connections and for a fault of its member.
 const ACCEPT_STEP: Duration = Duration::from_millis(2);
-/// How long a member that hangs keeps a connection.
+/// Read timeout of a member's connections: the longest time that a member keeps an unused connection open.
 const MAX_HANG: Duration = Duration::from_secs(30);
 
-/// A member that closes idle connections does so after this.
+/// Read timeout of a member with [`MemberFault::ClosesIdle`], after which it closes an idle connection.
 const IDLE_TIME: Duration = Duration::from_millis(120);
-/// Requests that a member works on at a time.
+/// Number of requests that a member executes at the same time.
 const CORES: u32 = 2;
-/// The work of a request on a warm member.
+/// Shortest execution time of a request on a member at full capacity.
 const MIN_WORK: Micros = MS;
+/// Longest execution time of a request on a member at full capacity.
 const MAX_WORK: Micros = 12 * MS;
-/// The requests of mean work that a warm member serves per second.
+/// Requests of mean execution time that a member at full capacity serves per second.
 pub const CAPACITY: f64 = 2.0 * CORES as f64 * SECOND as f64 / (MIN_WORK + MAX_WORK) as f64;
 
-/// The share of its capacity that a member has this long after its start.
+/// Returns the share of its full capacity that a member has at this time after its start, from 0 to 1.
 pub fn capacity_share(age: Micros) -> f64 {
     (SLOW_START_CAPACITY + (1.0 - SLOW_START_CAPACITY) * age as f64 / SLOW_START_DURATION as f64).min(1.0)
 }
 
-/// What a member does wrong.
+/// The fault that a member shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It takes requests, runs them, and does not answer.
+    /// Accepts and runs requests, but sends no answer.
     Hangs,
-    /// It resets each connection on a request, before or after running it.
+    /// Resets the connection on each request, in half of the cases after running it.
     Resets,
-    /// New connections come up late.
+    /// Answers the startup message 50 to 1500 ms late.
     SlowToConnect,
-    /// It answers with errors after running requests.
+    /// Answers half of the requests with an error after running them.
     Errors,
-    /// It closes connections that are idle for a moment.
+    /// Closes connections that are idle for 120 ms.
     ClosesIdle,
-    /// Its process is gone: connections are refused.
+    /// The process is down: new connections are refused, and open ones are closed at their next message.
     Down,
 }
 
-/// A member.
+/// An emulated member.
 pub struct Member {
     /// Its index.
     pub index: usize,
-    /// Its group.
+    /// The index of its group.
     pub group: usize,
-    /// It is primary.
+    /// Whether it is primary.
     pub primary: AtomicBool,
-    /// It drains: it turns requests away.
+    /// Whether it drains, and rejects all requests with SQLSTATE 53300.
     pub draining: AtomicBool,
-    /// How far it is behind the primary.
+    /// Replication lag in microseconds, while it is a replica.
     pub lag: AtomicU64,
-    /// Readers that are too far behind are turned away by it.
+    /// Whether it rejects reads that need newer data than it has, with SQLSTATE 72000, instead of serving
+    /// them.
     pub rejects_stale: bool,
-    /// A planted fault: it answers with another request's value.
+    /// A planted fault: it answers with the value of another request.
     pub mixes_values: AtomicBool,
-    /// When it last started and was cold; 0 for long ago.
+    /// The time of the run at which its slow start began; 0 if it started before the run.
     pub warming_since: AtomicU64,
+    /// The greatest position returned by [`Member::position`].
     position: AtomicU64,
     busy_cores: Mutex<u32>,
     core_free: Condvar,
     fault: Mutex<MemberFault>,
-    /// When it last started over: connections from before are closed.
-    started_at: AtomicU64,
+    /// When it last went down: connections opened before are closed.
+    went_down_at: AtomicU64,
     run: RunContext,
     keys: Arc<SeenKeys>,
 }
 
-/// The idempotency keys that a group has seen, with the value of the first run and its time.
+/// The idempotency keys that a group has seen, with the time of the first run and its value.
 pub type SeenKeys = Mutex<HashMap<String, (Micros, String)>>;
 
 impl Member {
-    /// A member that is not listening yet.
+    /// Creates a member that is not listening, is a replica with a lag of 5 ms, and shows no fault.
     pub fn new(
         index: usize,
         group: usize,
@@ -103,26 +106,26 @@
             busy_cores: Mutex::new(0),
             core_free: Condvar::new(),
             fault: Mutex::new(MemberFault::None),
-            started_at: AtomicU64::new(0),
+            went_down_at: AtomicU64::new(0),
             run,
             keys,
         }
     }
 
-    /// What it does wrong now.
+    /// Returns the current fault.
     pub fn fault(&self) -> MemberFault {
         *self.fault.lock().unwrap()
     }
 
-    /// Changes what it does wrong; its connections are closed when it goes down.
+    /// Changes the fault. With [`MemberFault::Down`], open connections are closed at their next message.
     pub fn set_fault(&self, fault: MemberFault) {
         *self.fault.lock().unwrap() = fault;
         if fault == MemberFault::Down {
-            self.started_at.store(self.run.clock.now(), Ordering::SeqCst);
+            self.went_down_at.store(self.run.clock.now(), Ordering::SeqCst);
         }
     }
 
-    /// Listens for one proxy; returns the address.
+    /// Listens at an address for the connections of one proxy. Returns the address with the bound port.
     pub fn listen(self: &Arc<Self>, address: SocketAddr, proxy: usize) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
@@ -150,6 +153,7 @@
         }
     }
 
+    /// Serves a connection of a proxy until it ends.
     fn serve(&self, mut stream: TcpStream, proxy: usize) -> std::io::Result<()> {
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
@@ -165,7 +169,7 @@
             let idle = if self.fault() == MemberFault::ClosesIdle { IDLE_TIME } else { MAX_HANG };
             stream.set_read_timeout(Some(idle))?;
             let (tag, body) = read_message(&mut stream)?;
-            if tag != b'Q' || opened_at < self.started_at.load(Ordering::SeqCst) {
+            if tag != b'Q' || opened_at < self.went_down_at.load(Ordering::SeqCst) {
                 return Ok(());
             }
             let text = String::from_utf8_lossy(&body[..body.len().saturating_sub(1)]).into_owned();
@@ -179,14 +183,15 @@
         }
     }
 
-    /// How far it has applied the log: that never moves back.
+    /// Returns the time of the run up to which the member has applied the log. It never decreases, not even
+    /// when the lag grows or the role changes.
     fn position(&self) -> Micros {
         let lag = if self.primary.load(Ordering::SeqCst) { 0 } else { self.lag.load(Ordering::SeqCst) };
         let position = self.run.clock.now().saturating_sub(lag);
         self.position.fetch_max(position, Ordering::SeqCst).max(position)
     }
 
-    /// Works on a request once a core is free; a member that has just started is slower.
+    /// Waits for a free core and executes a request, which takes longer during slow start.
     fn work(&self, draws: &mut Draws) {
         let mut busy = self.busy_cores.lock().unwrap();
         while *busy >= CORES {
@@ -200,7 +205,7 @@
         self.core_free.notify_one();
     }
 
-    /// The share of its capacity that it has now.
+    /// Returns the share of its full capacity that the member has now.
     fn capacity_share(&self) -> f64 {
         match self.warming_since.load(Ordering::SeqCst) {
             0 => 1.0,
@@ -208,7 +213,7 @@
         }
     }
 
-    /// This position of the run as a Unix time in milliseconds.
+    /// Converts a time of the run to a Unix time in milliseconds.
     fn unix_ms(&self, position: Micros) -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         now - self.run.clock.now().saturating_sub(position) / MS
@@ -224,7 +229,7 @@
         MemberReply { result: Ok(&report), primary, position_ms }.write(stream)
     }
 
-    /// Answers an attempt and records it; `false` if the connection is to end.
+    /// Answers an attempt and records it. Returns `false` if the connection must be closed.
     fn answer_query(
         &self,
         stream: &mut TcpStream,
@@ -243,7 +248,7 @@
         if let (true, Some(key)) = (executed, field(text, "k=")) {
             let mut keys = self.keys.lock().unwrap();
             let (first_at, first_value) = keys.entry(key.into()).or_insert((at, value.clone())).clone();
-            // A repeat within the window is dropped: it is answered as the first one was.
+            // A key that was seen within the window is not executed again: the reply is the first run's value.
             if first_at != at && at < first_at + KEY_WINDOW {
                 executed = false;
                 value = first_value;
@@ -288,7 +293,7 @@
         Ok(true)
     }
 
-    /// How an attempt ends, and whether it runs.
+    /// Returns how an attempt ends, and whether its statement runs.
     fn outcome(
         &self,
         text: &str,
@@ -317,7 +322,7 @@
     }
 }
 
-/// The value behind a name in a statement's comment.
+/// Returns the value of a field in a statement's comment; `name` includes the `=`.
 fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let comment = text.split("/* ").nth(1)?.strip_suffix(" */")?;
     comment.split(',').find_map(|field| field.strip_prefix(name))
