--- a/soak/src/member.rs
+++ b/soak/src/member.rs
@@ -248,7 +248,7 @@
         if let (true, Some(key)) = (executed, field(text, "k=")) {
             let mut keys = self.keys.lock().unwrap();
             let (first_at, first_value) = keys.entry(key.into()).or_insert((at, value.clone())).clone();
-            // A key that was seen within the window is not executed again: the reply is the first run's value.
+            // A key that was seen within the window is not executed again: the reply has the first value.
             if first_at != at && at < first_at + KEY_WINDOW {
                 executed = false;
                 value = first_value;
