--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Returns the resident memory of the process in KiB and the number of its open file descriptors, or `None`
-    /// if they can't be read.
+    /// Returns the resident memory of the process in KiB and the number of its open file descriptors, or
+    /// `None` if they can't be read.
     pub fn usage(&self) -> Option<(u64, usize)> {
         let id = self.process_id()?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! Shows a broken rule: the run, the way of one request, and what was done around it.
+//! Formats the findings of a run: the run's settings, the affected requests, and the events before a finding.
 
 use crate::checker::Finding;
 use crate::discovery::member_name;
@@ -9,18 +9,19 @@
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-/// Findings that are shown of each run.
+/// Number of findings that are shown for each run.
 const SHOWN_FINDINGS: usize = 3;
-/// Notices and log lines that are shown of each finding.
+/// Number of the last notices, and of the last log lines of each kind, that are shown for each finding.
 const SHOWN_LINES: usize = 8;
-/// What was done is shown from this long before a finding.
+/// Time before the first finding from which events are shown.
 const SHOWN_BEFORE: Micros = 8 * SECOND;
 
+/// Formats a time of the run in seconds, with milliseconds.
 fn seconds(at: Micros) -> String {
     format!("{:.3}", at as f64 / SECOND as f64)
 }
 
-/// The report of a run with findings.
+/// Returns the report of a run with findings.
 pub fn report(
     scenario: &Scenario,
     history: &History,
@@ -51,14 +52,15 @@
     text
 }
 
-/// The way of one request: its client, its attempts, what its proxy was told, and what its log says.
+/// Appends what is recorded of one request: its end for the client, its attempts, the last notices to its
+/// proxy, and the log lines of its proxy that name the request or come from the target `liftrelay::discovery`.
 fn show_request(text: &mut String, history: &History, proxies: &[Arc<Proxy>], id: u64) {
     let mut proxy = None;
     for request in history.requests.lock().unwrap().iter().filter(|request| request.id == id) {
         proxy = Some(request.proxy);
         let _ = writeln!(
             text,
-            "    client: id {id:016x} class {} to n{}, sent {}, would wait {} ms, ended {}: {:?}",
+            "    client: id {id:016x} class {} to n{}, sent at {} s, deadline {} ms, ended at {} s: {:?}",
             CLASSES[request.class].name,
             request.proxy,
             seconds(request.sent_at),
@@ -71,7 +73,7 @@
         proxy = proxy.or(Some(attempt.proxy));
         let _ = writeln!(
             text,
-            "    member {} from n{}: {}, {:?}, told {} ms",
+            "    member {} from n{}: at {} s, {:?}, told a wait of {} ms",
             member_name(attempt.member),
             attempt.proxy,
             seconds(attempt.at),
@@ -81,15 +83,15 @@
     }
     let Some(proxy) = proxy else { return };
     let notices = history.notices.lock().unwrap();
-    let told: Vec<String> = notices
+    let shown: Vec<String> = notices
         .iter()
         .filter(|notice| notice.proxy == proxy)
         .map(|notice| format!("{}:v{}", seconds(notice.at), notice.revision))
         .collect();
     let _ = writeln!(
         text,
-        "    discovery told n{proxy}: {}",
-        told[told.len().saturating_sub(SHOWN_LINES)..].join(" ")
+        "    discovery notified n{proxy}: {}",
+        shown[shown.len().saturating_sub(SHOWN_LINES)..].join(" ")
     );
     for line in proxies[proxy].log_lines(&format!("{id:016x}"), SHOWN_LINES) {
         let _ = writeln!(text, "    log: {line}");
@@ -99,15 +101,17 @@
     }
 }
 
+/// Appends the events of the last seconds before a time.
 fn show_events(text: &mut String, history: &History, at: Micros) {
     for (when, event) in history.events.lock().unwrap().iter() {
         if *when <= at && *when + SHOWN_BEFORE >= at {
-            let _ = writeln!(text, "    done: {} {event}", seconds(*when));
+            let _ = writeln!(text, "    event: {} {event}", seconds(*when));
         }
     }
 }
 
-/// What was done, and the errors of each second by proxy and SQLSTATE.
+/// Returns the events of the run, and the number of errors in each second by proxy and SQLSTATE, in order of
+/// time.
 pub fn timeline(history: &History) -> String {
     let mut lines: Vec<(Micros, String)> = history.events.lock().unwrap().clone();
     let mut errors: BTreeMap<(Micros, usize, String), usize> = BTreeMap::new();
