--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -53,7 +53,7 @@
 }
 
 /// Appends what is recorded of one request: its end for the client, its attempts, the last notices to its
-/// proxy, and the log lines of its proxy that name the request or come from the target `liftrelay::discovery`.
+/// proxy, and the log lines of its proxy that name the request or have the MSGID `discovery`.
 fn show_request(text: &mut String, history: &History, proxies: &[Arc<Proxy>], id: u64) {
     let mut proxy = None;
     for request in history.requests.lock().unwrap().iter().filter(|request| request.id == id) {
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays one scenario: starts the processes and the emulators, does what was drawn, and ends them.
+//! Plays one scenario: starts the emulators and the processes, performs the actions, and ends the processes.
 
 use crate::client::Clients;
 use crate::discovery::{Agent, AgentMode, EndpointDirectory, ListedMember};
@@ -14,25 +14,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The step of the loop that does what is due.
+/// Pause of the main loop between two checks for due actions.
 const STEP: Duration = Duration::from_millis(2);
-/// Between two looks at what the processes hold.
+/// Interval at which the memory and the descriptors of the processes are checked.
 const USAGE_INTERVAL: Micros = 250 * MS;
-/// The memory of a proxy.
+/// Memory limit of a proxy in MiB.
 const MEMORY_MB: u64 = 192;
-/// New connections go on coming this long after SIGTERM.
+/// Time after SIGTERM during which clients still open connections to a proxy, as if a load balancer took it
+/// out of rotation late.
 pub(crate) const ROTATION_DELAY: Micros = 300 * MS;
-/// The mean pause of a client between two requests.
+/// Mean pause of a client between two requests.
 const THINK_TIME: Micros = 90 * MS;
-/// The first octets of addresses, so that runs side by side have their own.
+/// The lowest second octet of a run's addresses in 127.0.0.0/8.
 const FIRST_NETWORK: u64 = 20;
+/// Number of second octets, chosen by the seed so that runs side by side use different addresses.
 const NETWORKS: u64 = 200;
-/// The last octets of the addresses of a proxy, its members and its agents.
+/// The last octet of a proxy's address.
 const PROXY_HOST: u8 = 1;
+/// The last octet of the first member's addresses; the others follow by index.
 const FIRST_MEMBER_HOST: u8 = 10;
+/// The last octet of the first agent's address; later agents of the run follow.
 const FIRST_AGENT_HOST: u8 = 100;
 
-/// Something to do later, in place of what the scenario drew.
+/// A step that an action schedules for later.
 pub(crate) enum Followup {
     LeaveRotation(usize),
     KillAndStart(usize),
@@ -41,7 +45,7 @@
     EndAgent(Arc<Agent>),
 }
 
-/// A run in play.
+/// The state of a run that is being played.
 pub(crate) struct Run<'a> {
     pub(crate) scenario: &'a Scenario,
     pub(crate) history: Arc<History>,
@@ -59,15 +63,16 @@
     pub(crate) threads: Arc<Mutex<Vec<std::thread::JoinHandle<()>>>>,
 }
 
-/// What is left of a run: its records, and its processes with their logs.
+/// The result of a run: its records, and its proxies with their logs.
 pub struct PlayedRun {
-    /// The records.
+    /// The records of the run.
     pub history: Arc<History>,
-    /// The proxies.
+    /// The proxies, by index; their processes have ended.
     pub proxies: Vec<Arc<Proxy>>,
 }
 
-/// Plays a scenario with this program; files go to this folder.
+/// Plays a scenario with the proxy's program at `program`. Configuration files are written below `folder`.
+/// Returns an error if an address can't be bound, or a file or a process can't be created.
 pub fn play(scenario: &Scenario, program: &Path, folder: &Path) -> std::io::Result<PlayedRun> {
     let mut run = Run::prepare(scenario, program, folder)?;
     run.start()?;
@@ -77,6 +82,7 @@
 }
 
 impl<'a> Run<'a> {
+    /// Creates the members, the agents and the proxies; members and agents listen, no process is started.
     fn prepare(scenario: &'a Scenario, program: &Path, folder: &Path) -> std::io::Result<Run<'a>> {
         let (history, clock) = (Arc::new(History::default()), RunClock::start());
         let is_over = Arc::new(AtomicBool::new(false));
@@ -132,15 +138,18 @@
         Ok(run)
     }
 
+    /// Returns the address of a host of this run that belongs to a proxy.
     fn address(&self, proxy: usize, host: u8, port: u16) -> SocketAddr {
         let network = (FIRST_NETWORK + self.scenario.seed % NETWORKS) as u8;
         SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, network, proxy as u8, host)), port)
     }
 
+    /// Returns an address with a port that is free now, at which the proxy can listen.
     fn free_address(&self, proxy: usize) -> std::io::Result<SocketAddr> {
         std::net::TcpListener::bind(self.address(proxy, PROXY_HOST, 0))?.local_addr()
     }
 
+    /// Starts an agent for a proxy, at an address that no other agent of the run has.
     pub(crate) fn new_agent(&mut self, proxy: usize) -> std::io::Result<Arc<Agent>> {
         let address = self.address(proxy, FIRST_AGENT_HOST + self.agents_made, 0);
         self.agents_made += 1;
@@ -155,6 +164,7 @@
         )
     }
 
+    /// Starts the processes, the clients and the thread that watches for stalls.
     fn start(&mut self) -> std::io::Result<()> {
         for proxy in 0..self.proxies.len() {
             self.start_proxy(proxy)?;
@@ -195,10 +205,12 @@
         RunContext { seed: self.scenario.seed, history, clock: self.clock, is_over }
     }
 
+    /// Starts a thread that is joined at the end of the run.
     pub(crate) fn spawn(&self, run: impl FnOnce() + Send + 'static) {
         self.threads.lock().unwrap().push(std::thread::spawn(run));
     }
 
+    /// Returns the text of a proxy's configuration file, with the current address of its agent.
     pub(crate) fn configuration(&self, proxy: usize) -> String {
         let addresses = &self.member_addresses[proxy];
         let (_, known) = self.directory.text(None, &|member| addresses[member]);
@@ -212,13 +224,15 @@
         )
     }
 
-    /// Starts a process. What its agent has counts from its first moment.
+    /// Starts the process of a proxy with a new configuration file, and notes the start for its notices.
     fn start_proxy(&mut self, proxy: usize) -> std::io::Result<()> {
         self.proxies[proxy].write_configuration(&self.configuration(proxy))?;
         self.notices.process_started(self.clock.now(), &self.agents[proxy]);
         self.proxies[proxy].start()
     }
 
+    /// Performs the actions and follow-ups at their times until the scenario's duration is over, updates the
+    /// notices, and checks the processes.
     fn play_actions(&mut self) -> std::io::Result<()> {
         let mut next = 0;
         let mut usage_at = 0;
@@ -242,6 +256,7 @@
         Ok(())
     }
 
+    /// Performs the follow-ups that are due.
     fn do_followups(&mut self, now: Micros) -> std::io::Result<()> {
         while let Some(index) = self.followups.iter().position(|(at, _)| *at <= now) {
             match self.followups.swap_remove(index).1 {
@@ -262,16 +277,21 @@
         Ok(())
     }
 
+    /// Records an incident if a process exceeds its limits of memory or descriptors.
     fn check_usage(&self, now: Micros, proxy: &Proxy) {
         proxy.check_running();
         let Some((memory_kib, descriptors)) = proxy.usage() else { return };
         if memory_kib > MEMORY_MB * 1024 || descriptors > self.scenario.sockets {
-            let text = format!("limits: {memory_kib} KiB, {descriptors} descriptors");
+            let text = format!(
+                "limits: {memory_kib} KiB and {descriptors} descriptors exceed {MEMORY_MB} MiB or `sockets`"
+            );
             self.history.incident(now, proxy.index, text);
         }
     }
 
-    /// Ends the processes with SIGTERM, while clients go on; they have to end by themselves with 0.
+    /// Ends the processes with SIGTERM while the clients continue. A process must exit with 0; one that still
+    /// runs after [`Scenario::kill_after`] is killed, and its open requests are not excused. Then ends the
+    /// clients' threads and joins them.
     fn finish(&mut self) {
         let now = self.clock.now();
         for proxy in 0..self.proxies.len() {
@@ -282,10 +302,10 @@
             }
         }
         let kill_at = now + self.scenario.kill_after();
-        let mut fronts_open = true;
+        let mut are_in_rotation = true;
         while self.clock.now() < kill_at && self.proxies.iter().any(|proxy| proxy.check_running()) {
-            if fronts_open && self.clock.now() > now + ROTATION_DELAY {
-                fronts_open = false;
+            if are_in_rotation && self.clock.now() > now + ROTATION_DELAY {
+                are_in_rotation = false;
                 self.proxies.iter().for_each(|proxy| proxy.is_in_rotation.store(false, Ordering::SeqCst));
             }
             self.agents.iter().for_each(|agent| self.notices.update(self.clock.now(), agent));
@@ -295,7 +315,11 @@
         self.is_over.store(true, Ordering::SeqCst);
         for thread in std::mem::take(&mut *self.threads.lock().unwrap()) {
             if thread.join().is_err() {
-                self.history.incident(self.clock.now(), 0, "emulator: a client's thread panicked");
+                self.history.incident(
+                    self.clock.now(),
+                    0,
+                    "emulator: expected its threads to end, but one panicked",
+                );
             }
         }
     }
