--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -1,27 +1,27 @@
-//! What a seed draws: the settings, the members, and the faults with their times.
+//! Draws a run from a seed: the settings, the members, and the actions with their times.
 
 use crate::discovery::AgentMode;
 use crate::history::{MS, Micros, SECOND};
 use crate::member::MemberFault;
 use crate::random::Draws;
 
-/// What a class asks of members.
+/// What the requests of a class need: which members may serve them, and whether they may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassKind {
-    /// A read that sees what its session wrote.
+    /// A read that must see the writes of its session.
     Own,
-    /// A read from any member.
+    /// A read that any member may serve, however old its data is.
     Any,
     /// A write that must not run twice.
     Write,
-    /// A write with an idempotency key, which its group drops a repeat of for [`KEY_WINDOW`].
+    /// A write with an idempotency key: its group does not run a key again within [`KEY_WINDOW`].
     Keyed,
     /// A read of data that is at most [`STALENESS_BOUND`] old.
     Recent,
 }
 
 impl ClassKind {
-    /// Whether it changes data.
+    /// Returns whether the requests change data.
     pub fn is_write(self) -> bool {
         matches!(self, ClassKind::Write | ClassKind::Keyed)
     }
@@ -29,15 +29,15 @@
 
 /// A class of requests.
 pub struct Class {
-    /// Its name.
+    /// The name in configurations and in the comment field `c`.
     pub name: &'static str,
-    /// Its kind.
+    /// What its requests need.
     pub kind: ClassKind,
-    /// The longest time that its clients wait.
+    /// The longest time that its clients wait if the scenario doesn't shorten it.
     pub deadline: Micros,
 }
 
-/// The classes of all runs.
+/// The classes of requests, the same in all runs.
 pub const CLASSES: [Class; 5] = [
     Class { name: "own", kind: ClassKind::Own, deadline: 1200 * MS },
     Class { name: "any", kind: ClassKind::Any, deadline: 1000 * MS },
@@ -45,93 +45,95 @@
     Class { name: "recent", kind: ClassKind::Recent, deadline: 1000 * MS },
     Class { name: "keyed", kind: ClassKind::Keyed, deadline: 1500 * MS },
 ];
-/// The bound of [`ClassKind::Recent`].
+/// The greatest age of the data that a read of [`ClassKind::Recent`] may see.
 pub const STALENESS_BOUND: Micros = 400 * MS;
-/// Clients of all proxies together.
+/// Greatest number of clients of all proxies together.
 const MAX_CLIENTS: usize = 48;
-/// The window of [`ClassKind::Keyed`].
+/// Time within which a group does not run an idempotency key of [`ClassKind::Keyed`] again.
 pub const KEY_WINDOW: Micros = 2 * SECOND;
-/// A process that was told to end is killed this long after its longest deadline (3 s at most).
+/// A process that got SIGTERM is killed this long after its longest deadline, of which at most 3 s count.
 const KILL_MARGIN: Micros = 700 * MS;
-/// Slack of time limits on sockets.
+/// Allowance of time limits for the delay of sockets.
 pub const SOCKET_SLACK: Micros = 50 * MS;
 
-/// Something that is done at a time of the run.
+/// An action on processes, members or discovery at a time of the run.
 #[derive(Clone, Copy, Debug)]
 #[expect(missing_docs, reason = "each variant says what its fields are")]
 pub enum Action {
-    /// An agent changes what it does.
+    /// Changes the mode of a proxy's agent.
     Agent { proxy: usize, mode: AgentMode },
-    /// Open watches of an agent fall silent.
+    /// Silences the open watches of a proxy's agent: they stay open and send nothing more.
     SilenceWatches { proxy: usize },
-    /// A member begins to drain, and discovery has that now.
+    /// Makes a member drain, and lists it as `DRAINING`. If it is primary, another member becomes primary.
     Drain { member: usize },
-    /// A member that drained or left is back, started anew.
+    /// Starts a member that drained or was removed again, with a slow start, and lists it as `SERVING`.
     Return { member: usize },
-    /// A member leaves the list.
+    /// Makes a member drain, and lists it as `DELETED`. If it is primary, another member becomes primary.
     Remove { member: usize },
-    /// A member behaves like this.
+    /// Changes the fault of a member. If a primary goes down, another member becomes primary.
     Fault { member: usize, fault: MemberFault },
-    /// Another member of the group is primary.
+    /// Makes another member of the group primary.
     ChangePrimary { group: usize },
-    /// Replicas of a group lag by this.
+    /// Changes the replication lag of a group's members.
     Lag { group: usize, lag: Micros },
-    /// A new configuration moves discovery to another address.
+    /// Moves a proxy's discovery to another address with a new configuration and SIGHUP.
     Reload { proxy: usize },
-    /// A process is told to end; it is killed and started again after the time that the page gives at least.
+    /// Ends a process with SIGTERM. After [`Scenario::kill_after`], kills it if it still runs, and starts it
+    /// again.
     Restart { proxy: usize },
-    /// A process is killed, and started again this much later.
+    /// Kills a process with SIGKILL, and starts it again after `down`.
     Kill { proxy: usize, down: Micros },
-    /// A process is paused with SIGSTOP, and continues after `pause`.
+    /// Pauses a process with SIGSTOP, and resumes it with SIGCONT after `pause`.
     PauseProcess { proxy: usize, pause: Micros },
-    /// Clients fill the proxy's descriptors.
+    /// Opens idle connections until the end of the run that exhaust a proxy's descriptors.
     FillDescriptors { proxy: usize },
-    /// Planted: the agent swallows changes that count as told.
+    /// Planted: agents don't send changes that count as notified.
     PlantSwallowedChanges,
     /// Planted: a member answers with values of other requests.
     PlantMixedValues,
-    /// Planted: a process is stopped for seconds.
+    /// Planted: a process is paused with SIGSTOP for several seconds.
     PlantLongStop,
     /// Planted: a process gets SIGABRT.
     PlantCrash,
 }
 
-/// A run, as drawn from its seed.
+/// The settings and actions of a run, drawn from its seed.
 pub struct Scenario {
     /// The seed.
     pub seed: u64,
-    /// The part of the classes' deadlines that clients wait at most.
+    /// The longest time that clients wait, in percent of their classes' deadlines.
     pub deadline_percent: u64,
-    /// Proxies.
+    /// The number of proxies.
     pub proxies: usize,
-    /// Groups of members.
+    /// The number of groups of members.
     pub groups: usize,
-    /// Members of each group.
+    /// The number of members in each group.
     pub group_size: usize,
-    /// Discovery is one service that is asked; otherwise an agent has what was pushed.
+    /// Whether proxies poll discovery; otherwise agents push the list.
     pub on_request: bool,
-    /// The grace of drains.
+    /// Time after the notice of a drain within which a proxy may still send new attempts to the member.
     pub drain_grace: Micros,
-    /// Members reject reads for which they are too far behind; otherwise they serve what they have.
+    /// Whether members reject reads that need newer data than they have; otherwise they serve the data that they
+    /// have.
     pub rejects_stale: bool,
-    /// Descriptors that a proxy may hold.
+    /// The number of descriptors that a proxy may have open.
     pub sockets: usize,
-    /// Clients of each proxy.
+    /// The number of ordinary clients of each proxy.
     pub clients: usize,
-    /// Bad clients of each proxy.
+    /// The number of clients of each proxy that send malformed or incomplete messages.
     pub faulty_clients: usize,
-    /// A client of each proxy sends several requests at once.
+    /// Whether each proxy has a client that pipelines requests.
     pub has_pipelining_client: bool,
-    /// One of so many requests is left early; 0 for none.
+    /// Clients leave one in this many requests before its answer; 0 for none.
     pub leave_one_in: u64,
-    /// How long it lasts.
+    /// Time from the start of the run to the SIGTERM at its end.
     pub duration: Micros,
-    /// What is done, in order of time.
+    /// The actions with their times, in order of time.
     pub actions: Vec<(Micros, Action)>,
 }
 
 impl Scenario {
-    /// Draws a run.
+    /// Draws a run. The draws depend on the order and the bounds of all calls of the generator.
     pub fn draw(seed: u64) -> Scenario {
         let mut draws = Draws::new(seed, 1);
         let mut scenario = Scenario {
@@ -151,28 +153,29 @@
             duration: 0,
             actions: Vec::new(),
         };
-        // Guards against a crowd of proxies whose clients overload the members whatever the proxies do.
+        // Without this limit, the clients of many proxies would overload the members, whatever the proxies do.
         scenario.clients = scenario.clients.min(MAX_CLIENTS / scenario.proxies);
         scenario.draw_actions(&mut draws);
         scenario
     }
 
-    /// The number of members.
+    /// Returns the number of members in all groups.
     pub fn members(&self) -> usize {
         self.groups * self.group_size
     }
 
-    /// The longest time that clients of a class wait.
+    /// Returns the longest time that clients of a class wait in this run.
     pub fn deadline(&self, class: usize) -> Micros {
         CLASSES[class].deadline * self.deadline_percent / 100
     }
 
-    /// How long after SIGTERM a process is killed.
+    /// Returns the time after SIGTERM at which a process that still runs is killed.
     pub fn kill_after(&self) -> Micros {
         let longest = (0..CLASSES.len()).map(|class| self.deadline(class)).max().unwrap_or_default();
         longest.min(3 * SECOND) + KILL_MARGIN
     }
 
+    /// Draws the outage of discovery, the other actions around it, and the duration of the run.
     fn draw_actions(&mut self, draws: &mut Draws) {
         let outage_at = draws.between(3, 6) * SECOND + draws.below(SECOND);
         let longest = draws.pick(&[5000, 9000, 9000, 16_000]);
@@ -200,7 +203,7 @@
         draws.below(self.proxies as u64) as usize
     }
 
-    /// Discovery is away for all proxies, in one way or in several that follow each other.
+    /// Draws an outage of discovery for all proxies: one mode of the agents, or several in sequence.
     fn draw_outage(&mut self, draws: &mut Draws, from: Micros, to: Micros) {
         use AgentMode::{Busy, DropsCalls, Fragmented, Gone, Resetting, Silent, Slow, Up};
         let parts = draws.pick(&[1, 1, 2, 3]);
@@ -223,7 +226,8 @@
         }
     }
 
-    /// Members drain before, during and right after the outage, and some come back.
+    /// Draws drains and removals of members before, during and right after the outage; some members return.
+    /// Also draws changes of the primary and of the replication lag.
     fn draw_drains(&mut self, draws: &mut Draws, back_at: Micros) {
         for group in 0..self.groups {
             let first = group * self.group_size;
@@ -253,7 +257,7 @@
         }
     }
 
-    /// Signals, also in series.
+    /// Draws signals to one proxy: reloads, a restart, a kill, or pauses.
     fn draw_signals(&mut self, draws: &mut Draws, outage_at: Micros, back_at: Micros) {
         let proxy = self.draw_proxy(draws);
         let at = draws.between(2 * SECOND, back_at + 2 * SECOND);
@@ -265,7 +269,7 @@
             }
             1 => {
                 self.actions.push((at, Action::Restart { proxy }));
-                // Members hang through the whole of the shutdown.
+                // A third of the members hang during the whole shutdown.
                 for member in 0..self.members() / 3 {
                     self.actions.push((at, Action::Fault { member, fault: MemberFault::Hangs }));
                     let fault = MemberFault::None;
@@ -289,6 +293,7 @@
         }
     }
 
+    /// Draws faults of one or two members, each with the time at which it ends.
     fn draw_member_faults(&mut self, draws: &mut Draws, back_at: Micros) {
         use MemberFault::{ClosesIdle, Down, Errors, Hangs, None, Resets, SlowToConnect};
         for _ in 0..draws.between(1, 2) {
@@ -301,7 +306,7 @@
         }
     }
 
-    /// The `settings` of a proxy's configuration.
+    /// Returns the JSON text of `settings` in a proxy's configuration.
     pub fn settings_text(&self) -> String {
         let discovery = if self.on_request { "on_request" } else { "pushed" };
         let when_behind = if self.rejects_stale { "hold" } else { "silent" };
@@ -336,11 +341,12 @@
     }
 }
 
-/// The share of its capacity with which a member starts.
+/// The share of its full capacity that a member has at its start.
 pub const SLOW_START_CAPACITY: f64 = 0.2;
-/// A member is warm this long after its start.
+/// Time after its start at which a member has its full capacity.
 pub const SLOW_START_DURATION: Micros = 6 * SECOND;
-/// A cold member falls when it is sent more than this multiple of what it can do ...
+/// A member in slow start is overloaded when it gets more than this multiple of its current capacity during
+/// [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// ... for this long.
+/// Time over which the attempts to a member in slow start are compared with [`OVERLOAD_MULTIPLE`].
 pub const OVERLOAD_WINDOW: Micros = SECOND;
