--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -113,8 +113,7 @@
     pub on_request: bool,
     /// Time after the notice of a drain within which a proxy may still send new attempts to the member.
     pub drain_grace: Micros,
-    /// Whether members reject reads that need newer data than they have; otherwise they serve the data that they
-    /// have.
+    /// Whether members reject reads that need newer data than they have; otherwise they serve stale data.
     pub rejects_stale: bool,
     /// The number of descriptors that a proxy may have open.
     pub sockets: usize,
@@ -153,7 +152,7 @@
             duration: 0,
             actions: Vec::new(),
         };
-        // Without this limit, the clients of many proxies would overload the members, whatever the proxies do.
+        // Without this limit, the clients of many proxies overload the members, whatever the proxies do.
         scenario.clients = scenario.clients.min(MAX_CLIENTS / scenario.proxies);
         scenario.draw_actions(&mut draws);
         scenario
--- a/soak/src/wire.rs
+++ b/soak/src/wire.rs
@@ -1,63 +1,65 @@
-//! The few messages of the PostgreSQL protocol that clients and members need.
+//! The messages of the PostgreSQL protocol that emulated clients and members send and read.
 
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::TcpStream;
 
-/// The protocol version of the startup message.
+/// Protocol version 3.0, as the startup message encodes it.
 const PROTOCOL_VERSION: u32 = 196_608;
-/// The longest message that is read.
+/// Greatest length of a message's body that is read.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// The startup message.
+/// Returns the startup message of user `web` and database `orders`.
 pub fn startup_message() -> Vec<u8> {
     let parameters = b"user\0web\0database\0orders\0\0";
     let length = 8 + parameters.len() as u32;
     [&length.to_be_bytes()[..], &PROTOCOL_VERSION.to_be_bytes(), parameters].concat()
 }
 
-/// A message with a tag.
+/// Encodes a message with a tag.
 pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let length = 4 + body.len() as u32;
     [&[tag][..], &length.to_be_bytes(), body].concat()
 }
 
-/// A simple query.
+/// Encodes a simple query.
 pub fn query(text: &str) -> Vec<u8> {
     message(b'Q', &[text.as_bytes(), b"\0"].concat())
 }
 
-/// Reads a message: its tag and its body.
+/// Reads a message and returns its tag and its body.
 pub fn read_message(stream: &mut TcpStream) -> Result<(u8, Vec<u8>)> {
     let mut tag = [0];
     stream.read_exact(&mut tag)?;
     Ok((tag[0], read_body(stream)?))
 }
 
-/// Reads a body with its length in front, as the startup message is.
+/// Reads the length and the body of a message without a tag, such as the startup message. Fails with
+/// `InvalidData` if the body is longer than 1 MiB.
 pub fn read_body(stream: &mut TcpStream) -> Result<Vec<u8>> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
     let length = (u32::from_be_bytes(length) as usize).saturating_sub(4);
     if length > MAX_MESSAGE_BYTES {
-        return Err(Error::new(ErrorKind::InvalidData, "message too long"));
+        return Err(Error::new(ErrorKind::InvalidData, "message is longer than 1 MiB"));
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body)?;
     Ok(body)
 }
 
-/// The reply to a query, up to ReadyForQuery.
+/// The reply to a simple query.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// One row of one column.
+    /// A row; the value of its first column.
     Row(String),
-    /// An error with this SQLSTATE.
+    /// An ErrorResponse; its SQLSTATE.
     Error(String),
-    /// EmptyQueryResponse.
+    /// An EmptyQueryResponse.
     Empty,
 }
 
-/// Reads the reply to a query.
+/// Reads the reply to a simple query, up to ReadyForQuery or a fatal error. Fails with `InvalidData` if
+/// ReadyForQuery comes without a reply before.
 pub fn read_reply(stream: &mut TcpStream) -> Result<Reply> {
     let mut reply = None;
     loop {
@@ -67,31 +69,35 @@
             b'E' => {
                 let code = body.split(|byte| *byte == 0).find_map(|field| field.strip_prefix(b"C"));
                 let error = Reply::Error(String::from_utf8_lossy(code.unwrap_or_default()).into());
-                // A fatal error needs no ReadyForQuery.
+                // The server closes the connection after a fatal error and sends no ReadyForQuery.
                 if body.starts_with(b"SFATAL\0") {
                     return Ok(error);
                 }
                 reply = Some(error);
             }
             b'I' => reply = Some(Reply::Empty),
-            b'Z' => return reply.ok_or_else(|| Error::new(ErrorKind::InvalidData, "ready without a reply")),
+            b'Z' => {
+                return reply.ok_or_else(|| {
+                    Error::new(ErrorKind::InvalidData, "expected a reply before ReadyForQuery, got none")
+                });
+            }
             _ => {}
         }
     }
 }
 
-/// A member's reply to a query.
+/// A member's reply to a simple query.
 pub struct MemberReply<'a> {
-    /// The value or the SQLSTATE.
+    /// The value, or the SQLSTATE of an error.
     pub result: std::result::Result<&'a str, &'a str>,
-    /// The member is primary.
+    /// Whether the member is primary, sent as parameter `recovery`.
     pub primary: bool,
-    /// How far it has applied the log, in Unix milliseconds.
+    /// The Unix time in milliseconds up to which the member has applied the log, sent as parameter `lsn_ms`.
     pub position_ms: u64,
 }
 
 impl MemberReply<'_> {
-    /// Writes the reply.
+    /// Writes the reply with the member's parameters and ReadyForQuery.
     pub fn write(&self, stream: &mut TcpStream) -> Result<()> {
         let mut bytes = Vec::new();
         match self.result {
