--- a/soak/tests/checker.rs
+++ b/soak/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker on records written by hand: for each rule, a record that just keeps it and one that breaks it.
+//! Tests of the checker on hand-written records: for each rule, a record within its limit and one beyond it.
 
 use liftrelay_soak::checker::check;
 use liftrelay_soak::history::{
@@ -32,12 +32,17 @@
     RequestEnd::Served("v".into())
 }
 
-/// The rules that these records break.
-fn broken(requests: &[RequestRecord], attempts: &[AttemptRecord]) -> Vec<&'static str> {
-    broken_in(&History::default(), requests, attempts)
+/// Returns the rules that these records violate in a run without other records.
+fn violated_rules(requests: &[RequestRecord], attempts: &[AttemptRecord]) -> Vec<&'static str> {
+    violated_rules_in(&History::default(), requests, attempts)
 }
 
-fn broken_in(history: &History, requests: &[RequestRecord], attempts: &[AttemptRecord]) -> Vec<&'static str> {
+/// Returns the rules that a history violates after its requests and attempts are set.
+fn violated_rules_in(
+    history: &History,
+    requests: &[RequestRecord],
+    attempts: &[AttemptRecord],
+) -> Vec<&'static str> {
     let scenario = Scenario { rejects_stale: false, drain_grace: 500 * MS, proxies: 1, ..Scenario::draw(1) };
     *history.requests.lock().unwrap() = requests.to_vec();
     *history.attempts.lock().unwrap() = attempts.to_vec();
@@ -45,7 +50,7 @@
 }
 
 #[test]
-fn rules_on_requests_are_kept_or_broken_by_one_record() {
+fn each_rule_on_requests_is_violated_by_the_records_beyond_its_limit_only() {
     let at = SECOND + MS;
     let error = |code: &str| RequestEnd::Error(code.into());
     let told = |told_wait| AttemptRecord { told_wait, ..attempt(at, true) };
@@ -61,7 +66,7 @@
         ("57P03 after it ran", request(WRITE, error("57P03")), vec![attempt(at, true)], vec!["refused"]),
         ("read rejected after it ran", request(RECENT, error("53300")), vec![attempt(at, true)], vec![]),
         (
-            "a second try of what did not run",
+            "a retry of an attempt that did not run",
             request(WRITE, served()),
             vec![attempt(at, false), attempt(at, true)],
             vec![],
@@ -79,30 +84,30 @@
             vec![attempt(at, true)],
             vec!["value"],
         ),
-        ("told what is left", request(WRITE, served()), vec![told(1100 * MS)], vec![]),
-        ("told more", request(WRITE, served()), vec![told(1200 * MS)], vec!["told wait"]),
+        ("told a wait within the time left", request(WRITE, served()), vec![told(1100 * MS)], vec![]),
+        ("told a longer wait", request(WRITE, served()), vec![told(1200 * MS)], vec!["told wait"]),
         ("fresh enough", request(RECENT, served()), vec![old(440 * MS)], vec![]),
         ("stale", request(RECENT, served()), vec![old(500 * MS)], vec!["stale"]),
         (
-            "just after it left",
+            "an attempt just after the client left",
             request(RECENT, RequestEnd::Left),
             vec![attempt(SECOND + 140 * MS, true)],
             vec![],
         ),
         (
-            "long after it left",
+            "an attempt long after the client left",
             request(RECENT, RequestEnd::Left),
             vec![attempt(SECOND + 160 * MS, true)],
             vec!["left"],
         ),
     ];
     for (name, request, attempts, expected) in cases {
-        assert_eq!(broken(&[request], &attempts), expected, "{name}");
+        assert_eq!(violated_rules(&[request], &attempts), expected, "{name}");
     }
 }
 
 #[test]
-fn drains_bind_from_the_notice_until_the_member_is_back() {
+fn a_drain_forbids_attempts_from_the_grace_after_the_notice_until_the_member_returns() {
     let change = |at, revision, serving| ListChange { at, revision, member: 0, serving };
     let cases = [
         (SECOND + 580 * MS, vec![]),
@@ -114,12 +119,12 @@
         let history = History::default();
         history.changes.lock().unwrap().extend([change(SECOND / 2, 41, false), change(5 * SECOND, 42, true)]);
         history.notices.lock().unwrap().push(Notice { at: SECOND, proxy: 0, revision: 41 });
-        assert_eq!(broken_in(&history, &[], &[attempt(at, true)]), expected, "{at}");
+        assert_eq!(violated_rules_in(&history, &[], &[attempt(at, true)]), expected, "attempt at {at} us");
     }
 }
 
 #[test]
-fn a_limit_that_a_stall_of_the_machine_explains_is_unclear() {
+fn a_finding_whose_excess_a_stall_of_the_machine_explains_is_unclear() {
     for (stall, expected) in [(0, false), (20 * MS, false), (120 * MS, true)] {
         let history = History::default();
         history.stalls.lock().unwrap().push((SECOND, stall));
@@ -128,16 +133,16 @@
         history.attempts.lock().unwrap().push(told);
         let findings = check(&Scenario::draw(1), &history);
         let unclear: Vec<_> = findings.iter().map(|finding| (finding.rule, finding.unclear)).collect();
-        assert_eq!(unclear, [("told wait", expected)], "{stall}");
+        assert_eq!(unclear, [("told wait", expected)], "stall of {stall} us");
     }
 }
 
 #[test]
-fn slow_start_binds_over_the_sum_of_a_window() {
+fn slow_start_limits_the_attempts_in_a_window() {
     for (count, expected) in [(150, vec![]), (340, vec!["slow start"])] {
         let history = History::default();
         history.member_starts.lock().unwrap().push((SECOND, 0));
         let attempts: Vec<_> = (0..count).map(|n| attempt(SECOND + n * SECOND / count, true)).collect();
-        assert_eq!(broken_in(&history, &[], &attempts), expected, "{count}");
+        assert_eq!(violated_rules_in(&history, &[], &attempts), expected, "{count} attempts in 1 s");
     }
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,5 @@
-//! The soak finds faults that are planted: its checker is worth what it finds.
+//! Tests that the checker of the soak finds each planted fault, and nothing in a run without one. Without this
+//! test, a checker that overlooks violations would pass every run.
 
 use liftrelay_soak::checker::check;
 use liftrelay_soak::history::SECOND;
@@ -6,11 +7,12 @@
 use liftrelay_soak::scenario::{Action, Scenario};
 use std::path::Path;
 
-/// Seeds whose lists are pushed and whose first member drains.
+/// Seeds among which the test takes those with pushed lists, more than 3 members in a group, and no request
+/// that its client leaves.
 const SEEDS: std::ops::Range<u64> = 1000..1100;
 
-/// The rules that a short run breaks, with this fault planted.
-fn broken_rules(seed: u64, planted: Option<Action>) -> Vec<&'static str> {
+/// Plays a run of 5 s with this fault planted at 2 s and a drain at 3 s. Returns the rules that it violates.
+fn violated_rules(seed: u64, planted: Option<Action>) -> Vec<&'static str> {
     let mut scenario = Scenario { duration: 5 * SECOND, ..Scenario::draw(seed) };
     scenario.actions = planted.map(|action| (2 * SECOND, action)).into_iter().collect();
     scenario.actions.push((3 * SECOND, Action::Drain { member: 1 }));
@@ -29,6 +31,7 @@
         let scenario = Scenario::draw(*seed);
         !scenario.on_request && scenario.group_size > 3 && scenario.leave_one_in == 0
     });
+    // The fault, and the rule that it must violate.
     let cases = [
         (None, vec![]),
         (Some(Action::PlantSwallowedChanges), vec!["drain"]),
@@ -36,14 +39,20 @@
         (Some(Action::PlantLongStop), vec!["lost"]),
         (Some(Action::PlantCrash), vec!["process"]),
     ];
-    let rows = cases.map(|(planted, expected)| {
+    let runs = cases.map(|(planted, expected)| {
         let seed = seeds.next().unwrap();
-        let row = std::thread::spawn(move || broken_rules(seed, planted));
-        (planted, expected, row)
+        let handle = std::thread::spawn(move || violated_rules(seed, planted));
+        (planted, expected, handle)
     });
-    for (planted, expected, row) in rows {
-        let found = row.join().unwrap();
-        assert!(expected.iter().all(|rule| found.contains(rule)), "{planted:?}: {found:?}");
-        assert!(planted.is_some() || found.is_empty(), "without a fault: {found:?}");
+    for (planted, expected, handle) in runs {
+        let found = handle.join().unwrap();
+        assert!(
+            expected.iter().all(|rule| found.contains(rule)),
+            "{planted:?}: expected {expected:?}, found {found:?}"
+        );
+        assert!(
+            planted.is_some() || found.is_empty(),
+            "without a fault: expected no finding, found {found:?}"
+        );
     }
 }
