--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -63,14 +63,14 @@
 
 /// Checks all rules. Findings that are certain come first, then the unclear ones, each in order of time.
 pub fn check(scenario: &Scenario, history: &History) -> Vec<Finding> {
-    let mut evidence =
+    let mut records =
         IndexedRecords { requests: history.requests.lock().unwrap().clone(), attempts: BTreeMap::new() };
     for attempt in history.attempts.lock().unwrap().iter() {
-        evidence.attempts.entry(attempt.id).or_default().push(attempt.clone());
+        records.attempts.entry(attempt.id).or_default().push(attempt.clone());
     }
     let mut findings = Vec::new();
-    for request in &evidence.requests {
-        let attempts = evidence.attempts.get(&request.id).map_or(&[][..], Vec::as_slice);
+    for request in &records.requests {
+        let attempts = records.attempts.get(&request.id).map_or(&[][..], Vec::as_slice);
         check_request(request, attempts, scenario, &mut findings);
     }
     check_drains(scenario, history, &mut findings);
@@ -112,7 +112,10 @@
         RequestEnd::Served(value) => {
             let source = attempts.iter().find(|attempt| attempt.value == *value);
             match source {
-                None => report("value", format!("expected the value of one of its attempts, got {value}")),
+                None => report(
+                    "value",
+                    format!("expected the value of one of the request's attempts, got {value}"),
+                ),
                 Some(attempt) => check_age(kind, scenario, attempt, &mut report),
             }
         }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -14,8 +14,8 @@
 
 /// Time after the client's deadline within which a request must be answered.
 pub const LATE_LIMIT: Micros = SECOND / 2;
-/// How often a client resends a request on a new connection after the proxy closed the old one without
-/// reading the request.
+/// Number of times that a client resends a request on a new connection after the proxy closed the old one
+/// without forwarding the request.
 const MAX_RESENDS: u32 = 4;
 /// The class of pipelined requests, `any`: reads from any member.
 const PIPELINED_CLASS: usize = 1;
