--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -188,11 +188,11 @@
     }
 
     fn schedule_arrival(&mut self, now: Micros, router: usize) {
-        let mut at = now + self.draws.gap(self.arrival_rate(now));
+        let mut at = now + self.draws.interval(self.arrival_rate(now));
         if let Some(burst) = self.case.burst {
             let begins_at = self.restarts_at + burst.begins_after;
             if now < begins_at && at > begins_at {
-                at = begins_at + self.draws.gap(self.arrival_rate(begins_at));
+                at = begins_at + self.draws.interval(self.arrival_rate(begins_at));
             }
         }
         self.queue.push(Reverse((at, router, FleetEvent::RequestArrives)));
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -1,11 +1,11 @@
-//! Drives one router: keeps its clock and timers, and hands back its actions.
+//! Drives one router with a simulated clock, fires its timers, and returns its actions.
 
 use liftrelay::*;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Micros = 1000;
 
-/// Class numbers of [`settings`].
+/// The indices of the classes in [`settings`].
 pub const ANY: usize = 0;
 pub const WRITE: usize = 1;
 pub const LATEST: usize = 2;
@@ -13,7 +13,7 @@
 pub const BOUNDED_STALENESS: usize = 4;
 pub const AT_MOST_ONCE: usize = 5;
 
-/// A class that needs an answer in 400 ms.
+/// A class with a latency objective of 400 ms.
 pub fn class(need: Requirement, idempotency: Idempotency) -> Class {
     Class {
         requirement: need,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Settings with a class of each kind.
+/// Settings with a class for each requirement, and one for writes that must run at most once.
 pub fn settings() -> Settings {
     let keyed = Idempotency::Keyed { across_groups: false, window: 2000 * MS };
     Settings {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A listed endpoint of group 1, started long ago.
+/// The list entry of an endpoint of group 1 that is in service and started long ago.
 pub fn endpoint_entry(id: u64) -> EndpointEntry {
     EndpointEntry {
         endpoint: EndpointId(id),
@@ -58,7 +58,7 @@
     }
 }
 
-/// A request of group 1 that waits for 2 s.
+/// A request to group 1 whose client waits for 2 s.
 pub fn request(id: u32, class: usize) -> Request {
     Request {
         id,
@@ -74,9 +74,10 @@
 }
 
 const DEFAULT_SEED: u64 = 5;
-/// When harnesses start.
+/// The time at which a harness starts.
 const START: Micros = 1_000_000 * MS;
-/// The same where clocks are stepped back by an hour.
+/// The time at which a harness with an unknown clock starts. It is more than an hour, so that the members'
+/// clocks can be an hour behind.
 const LATE_START: Micros = 10_000_000 * MS;
 
 #[derive(Clone, Copy)]
@@ -85,32 +86,32 @@
     token: u32,
 }
 
-/// A router with its clock.
+/// A router, its clock and its timer.
 pub struct RouterHarness {
     pub router: Router,
     pub now: Micros,
-    /// All actions since it was last cleared.
+    /// All actions of the router since the log was last cleared.
     pub log: Vec<Action>,
     timer: Option<Timer>,
 }
 
 impl RouterHarness {
-    /// A router that has been given a list of this many endpoints, numbered from 1.
+    /// Creates a router whose list has this many endpoints, numbered from 1.
     pub fn new(settings: Settings, endpoints: u64) -> RouterHarness {
         RouterHarness::seeded(settings, endpoints, DEFAULT_SEED)
     }
 
-    /// The same, for a router whose host's clock may differ from that of the endpoints.
+    /// Creates a router like [`RouterHarness::new`], on a host whose clock may differ from those of the members.
     pub fn with_unknown_clock(settings: Settings, endpoints: u64) -> RouterHarness {
         let router = Router::with_unknown_clock(settings, DEFAULT_SEED, LATE_START);
-        RouterHarness::driving(router, LATE_START, endpoints)
+        RouterHarness::with_router(router, LATE_START, endpoints)
     }
 
     fn seeded(settings: Settings, endpoints: u64, seed: u64) -> RouterHarness {
-        RouterHarness::driving(Router::new(settings, seed, START), START, endpoints)
+        RouterHarness::with_router(Router::new(settings, seed, START), START, endpoints)
     }
 
-    fn driving(router: Router, now: Micros, endpoints: u64) -> RouterHarness {
+    fn with_router(router: Router, now: Micros, endpoints: u64) -> RouterHarness {
         let mut harness = RouterHarness { router, now, log: Vec::new(), timer: None };
         harness.handle(Event::EndpointUpdate {
             complete: true,
@@ -119,12 +120,13 @@
         harness
     }
 
-    /// The same, with endpoint 1 known as the primary and the others as replicas.
+    /// Creates a router like [`RouterHarness::new`], which knows endpoint 1 as the primary and the others as
+    /// replicas.
     pub fn with_known_roles(settings: Settings, endpoints: u64) -> RouterHarness {
         RouterHarness::with_known_roles_seeded(settings, endpoints, DEFAULT_SEED)
     }
 
-    /// The same, for the router with this seed.
+    /// Creates a router like [`RouterHarness::with_known_roles`], with this seed.
     pub fn with_known_roles_seeded(settings: Settings, endpoints: u64, seed: u64) -> RouterHarness {
         let mut harness = RouterHarness::seeded(settings, endpoints, seed);
         for endpoint in 1..=endpoints {
@@ -134,7 +136,7 @@
         harness
     }
 
-    /// Hands the router an event, and returns its actions.
+    /// Passes an event to the router, and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -147,13 +149,13 @@
         actions
     }
 
-    /// Lets a probe of this endpoint be answered.
+    /// Ends a probe of an endpoint with an answer that reports this role and position.
     pub fn report(&mut self, endpoint: u64, role: Role, position: Micros) {
         let report = LoadReport { role: Some(role), position: Some(position) };
         self.handle(Event::ProbeEnded { endpoint: EndpointId(endpoint), answered: true, report });
     }
 
-    /// Lets time pass, with the router's timers coming due on the way.
+    /// Advances the clock by `span`, and fires the timers of the router that become due meanwhile.
     pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -165,12 +167,12 @@
         actions
     }
 
-    /// Lets a request of this class come.
+    /// Passes a new request of this class to the router.
     pub fn request(&mut self, id: u32, class: usize) -> Vec<Action> {
         self.handle(Event::Request(request(id, class)))
     }
 
-    /// Lets an attempt end at this endpoint, which tells its role.
+    /// Ends an attempt at an endpoint, whose response reports this role.
     pub fn end_attempt(
         &mut self,
         id: u32,
@@ -187,7 +189,7 @@
     }
 }
 
-/// The end of an attempt after 20 ms that tells nothing of the endpoint.
+/// The result of an attempt that took 20 ms and whose response reports nothing about the endpoint.
 pub fn attempt_result(id: u32, attempt: u32, endpoint: u64, outcome: Outcome) -> AttemptResult {
     AttemptResult {
         request: id,
@@ -201,7 +203,7 @@
     }
 }
 
-/// The endpoint of the only send among the actions.
+/// The endpoint of the only send among the actions; `None` without a send.
 pub fn sent_to(actions: &[Action]) -> Option<u64> {
     let mut endpoints = actions.iter().filter_map(|action| match action {
         Action::Send { endpoint, .. } => Some(endpoint.0),
@@ -222,11 +224,11 @@
     actions.iter().any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
 }
 
-/// Pseudo-random numbers (xorshift), the same in every run.
+/// A pseudo-random number generator (xorshift) with this state, whose numbers are the same in every run.
 pub struct RandomDraws(pub u64);
 
 impl RandomDraws {
-    /// A number below `bound`.
+    /// Returns a number below `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -234,20 +236,22 @@
         self.0 % bound
     }
 
-    /// The time to the next of events that come at this rate a second, independently of each other.
-    pub fn gap(&mut self, rate: f64) -> Micros {
-        let part = (self.below(1 << 30) + 1) as f64 / f64::from(1 << 30);
-        (-part.ln() / rate * 1e6) as Micros
+    /// Returns a random interval between independent events that occur at this rate per second.
+    pub fn interval(&mut self, rate: f64) -> Micros {
+        let uniform = (self.below(1 << 30) + 1) as f64 / f64::from(1 << 30);
+        (-uniform.ln() / rate * 1e6) as Micros
     }
 }
 
-/// How many of the actions send to this endpoint.
+/// The number of sends to this endpoint among the actions.
 pub fn send_count(actions: &[Action], to: u64) -> usize {
     let is_send = |action: &&Action| matches!(action, Action::Send { endpoint, .. } if endpoint.0 == to);
     actions.iter().filter(is_send).count()
 }
 
-/// Serves reads for a while, endpoint `faulty` ending all it gets with `outcome`; returns how many it got.
+/// Serves reads and their retries, each read 20 ms after the end of the one before, and returns the number of
+/// attempts that were sent to endpoint `faulty`. Every attempt there ends with `outcome`, and every attempt
+/// elsewhere succeeds.
 pub fn serve_reads(
     harness: &mut RouterHarness,
     ids: std::ops::Range<u32>,
@@ -262,20 +266,20 @@
         while let Some(to) = sent_to(&actions) {
             at_faulty += usize::from(to == faulty);
             harness.now += 2 * MS;
-            let how = if to == faulty { outcome } else { Outcome::Ok };
-            actions = harness.end_attempt(id, attempt, to, how, None);
+            let attempt_outcome = if to == faulty { outcome } else { Outcome::Ok };
+            actions = harness.end_attempt(id, attempt, to, attempt_outcome, None);
             attempt += 1;
         }
     }
     at_faulty
 }
 
-/// Connections that never last: ties go in turn among all.
-pub fn settings_without_kept_connections() -> Settings {
+/// Settings with an idle timeout of 0. No connection counts as open, so that all replicas take turns in ties.
+pub fn settings_without_open_connections() -> Settings {
     Settings { idle_timeout: 0, ..settings() }
 }
 
-/// Lets the list change the state of one endpoint.
+/// Changes the state of one endpoint in the list.
 pub fn update_state(harness: &mut RouterHarness, endpoint: u64, state: EndpointState) {
     harness.handle(Event::EndpointUpdate {
         complete: false,
@@ -283,18 +287,19 @@
     });
 }
 
-/// Serves reads one by one, and returns how many went to the endpoints `to`.
+/// Serves reads one by one at intervals of 100 ms, and returns the number that were sent to the endpoints
+/// `counted`.
 pub fn serve_and_count(
     harness: &mut RouterHarness,
     ids: std::ops::Range<u32>,
-    to: std::ops::RangeInclusive<u64>,
+    counted: std::ops::RangeInclusive<u64>,
 ) -> usize {
     harness.log.clear();
     for id in ids {
         harness.advance(100 * MS);
-        if let Some(at) = sent_to(&harness.request(id, ANY)) {
-            harness.end_attempt(id, 0, at, Outcome::Ok, None);
+        if let Some(destination) = sent_to(&harness.request(id, ANY)) {
+            harness.end_attempt(id, 0, destination, Outcome::Ok, None);
         }
     }
-    to.map(|n| send_count(&harness.log, n)).sum()
+    counted.map(|number| send_count(&harness.log, number)).sum()
 }
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn an_ejected_endpoint_is_readmitted_by_trials() {
-    let mut harness = RouterHarness::with_known_roles(settings_without_kept_connections(), 4);
+    let mut harness = RouterHarness::with_known_roles(settings_without_open_connections(), 4);
     serve_reads(&mut harness, 1..100, 3, Outcome::Error);
     serve_reads(&mut harness, 100..400, 0, Outcome::Ok);
     let mut back = 0;
@@ -55,7 +55,7 @@
 /// spared as warming up once it answers again.
 #[test]
 fn occasional_connection_failures_do_not_eject_an_endpoint() {
-    let mut harness = RouterHarness::with_known_roles(settings_without_kept_connections(), 4);
+    let mut harness = RouterHarness::with_known_roles(settings_without_open_connections(), 4);
     let mut at = [0; 5];
     for id in 1..=400 {
         harness.advance(10 * MS);
