--- a/tests/policy/rules.rs
+++ b/tests/policy/rules.rs
@@ -1,16 +1,27 @@
-//! The five rules as properties over fixed-seed random event sequences. The checker knows nothing of the policy:
-//! it reads only the events that went in and the actions that came out.
+//! Checks that random event sequences with fixed seeds keep the rules of the router's interface:
+//!
+//! - Each request gets one final answer, by its deadline, unless an attempt serves it.
+//! - A request has at most one attempt in flight and none after its answer. Without attempts that failed on this
+//!   machine, it has at most `max_attempts` in total.
+//! - A request that may have run is sent again only if its class allows this; a request with an idempotency key,
+//!   only within its window.
+//! - A request that may have run is rejected only if it may be repeated at any endpoint.
+//! - An endpoint that is draining or removed gets no attempts.
+//!
+//! The checker does not depend on the policy: it sees only the events that the router handles and the actions
+//! that it returns.
 
 use crate::harness::*;
 use liftrelay::*;
 use std::collections::BTreeMap;
 
-/// How long after the client's deadline an answer still counts.
+/// How long after its deadline a request may get its final answer.
 const ANSWER_GRACE: Micros = 20 * MS;
-/// How long sends may go on after an endpoint is listed as draining.
+/// How long an endpoint may still be sent attempts after it is listed as draining or removed.
 const DRAIN_GRACE: Micros = 500 * MS;
-/// How long requests keep coming, and how long the sequence goes on after the last.
+/// How long requests arrive.
 const ARRIVALS: Micros = 6_000 * MS;
+/// How long a sequence continues after the last arrival, so that all requests reach their deadline.
 const SETTLING: Micros = 3_000 * MS;
 const STEP: Micros = 5 * MS;
 
@@ -35,11 +46,12 @@
     answered: bool,
 }
 
-/// Watches one router from outside and collects what breaks a rule.
+/// Checks the actions of one router, and collects the violations of the rules.
 struct RuleChecker {
     settings: Settings,
     requests: BTreeMap<u32, ObservedRequest>,
-    /// Endpoints that nothing may be sent to, since then.
+    /// The endpoints that must not be sent attempts, with the time at which they were listed as draining or
+    /// removed.
     forbidden_since: BTreeMap<u64, Micros>,
     violations: Vec<String>,
 }
@@ -91,7 +103,7 @@
             self.violations.push(format!("request {id} answered twice"));
         }
         if now > request.deadline + ANSWER_GRACE {
-            self.violations.push(format!("request {id} answered late"));
+            self.violations.push(format!("request {id} answered after its deadline"));
         }
         request.answered = true;
     }
@@ -103,10 +115,10 @@
         }
         let was_made = |attempt: &&ObservedAttempt| attempt.outcome != Some(Outcome::LocalError);
         if request.attempts.iter().filter(was_made).count() as u32 >= self.settings.max_attempts {
-            self.violations.push(format!("request {id} sent too often"));
+            self.violations.push(format!("request {id} sent more often than max_attempts allows"));
         }
         if request.attempts.iter().any(|attempt| attempt.outcome.is_none()) {
-            self.violations.push(format!("request {id} in flight twice"));
+            self.violations.push(format!("request {id} sent while an attempt was in flight"));
         }
         let may_have_run = request.attempts.iter().filter(|attempt| attempt.may_have_run());
         let first_run_at = may_have_run.map(|attempt| attempt.sent_at).min();
@@ -129,8 +141,9 @@
         for (id, request) in &self.requests {
             if !request.answered && now > request.deadline + ANSWER_GRACE {
                 let ObservedRequest { class, arrived_at, .. } = request;
-                let what = format!("request {id} (class {class}, arrived at {arrived_at}) never answered");
-                self.violations.push(what);
+                let unanswered =
+                    format!("request {id} (class {class}, arrived at {arrived_at}) never answered");
+                self.violations.push(unanswered);
             }
         }
     }
@@ -145,19 +158,19 @@
     endpoint: u64,
 }
 
-/// Plays the part of clients, endpoints and the endpoint list around one router, at random.
-struct RandomWorld<'a> {
+/// Simulates the clients, the endpoints and the endpoint list of one router with random events.
+struct RandomEnvironment<'a> {
     settings: Settings,
     draws: RandomDraws,
     harness: RouterHarness,
     checker: RuleChecker,
     in_flight: Vec<InFlight>,
     last_request: u32,
-    /// May change the actions, to show that the checker detects it.
+    /// Changes the actions before the checker sees them. Tests of the checker use it to cause violations.
     tamper: &'a dyn Fn(&mut Vec<Action>),
 }
 
-impl RandomWorld<'_> {
+impl RandomEnvironment<'_> {
     fn observe(&mut self, mut actions: Vec<Action>) {
         (self.tamper)(&mut actions);
         self.checker.check_actions(self.harness.now, &actions);
@@ -253,9 +266,9 @@
     }
 }
 
-/// Runs a random sequence of events, and returns the violations of rules.
+/// Runs a random sequence of events, and returns the violations of the rules.
 fn run_random_events(seed: u64, settings: Settings, tamper: &dyn Fn(&mut Vec<Action>)) -> Vec<String> {
-    let mut world = RandomWorld {
+    let mut environment = RandomEnvironment {
         draws: RandomDraws(seed.wrapping_mul(0x9e37_79b9) | 1),
         harness: RouterHarness::new(settings.clone(), 4),
         checker: RuleChecker::new(settings.clone()),
@@ -264,31 +277,32 @@
         settings,
         tamper,
     };
-    let last_arrival = world.harness.now + ARRIVALS;
-    while world.harness.now < last_arrival + SETTLING {
-        let mut batches = vec![world.harness.advance(STEP)];
-        world.end_due_attempts();
-        if world.harness.now < last_arrival && world.draws.below(3) == 0 {
-            batches.push(world.add_request());
+    let last_arrival = environment.harness.now + ARRIVALS;
+    while environment.harness.now < last_arrival + SETTLING {
+        let mut batches = vec![environment.harness.advance(STEP)];
+        environment.end_due_attempts();
+        if environment.harness.now < last_arrival && environment.draws.below(3) == 0 {
+            batches.push(environment.add_request());
         }
-        if world.draws.below(60) == 0 {
-            batches.push(world.change_endpoint_state());
+        if environment.draws.below(60) == 0 {
+            batches.push(environment.change_endpoint_state());
         }
         for actions in batches {
-            world.observe(actions);
+            environment.observe(actions);
         }
     }
-    world.checker.check_all_answered(world.harness.now);
-    world.checker.violations
+    environment.checker.check_all_answered(environment.harness.now);
+    environment.checker.violations
 }
 
 #[test]
-fn random_event_sequences_keep_the_rules() {
+fn the_router_keeps_the_rules_in_random_event_sequences() {
     for seed in 1..=60 {
-        for (anywhere, removed_endpoints_usable) in [(false, false), (true, false), (false, true)] {
+        for (keyed_across_groups, removed_endpoints_usable) in [(false, false), (true, false), (false, true)]
+        {
             let mut settings = Settings { removed_endpoints_usable, ..settings() };
             settings.classes[WRITE].idempotency =
-                Idempotency::Keyed { across_groups: anywhere, window: 700 * MS };
+                Idempotency::Keyed { across_groups: keyed_across_groups, window: 700 * MS };
             let violations = run_random_events(seed, settings, &|_| {});
             assert!(violations.is_empty(), "seed {seed}: {violations:?}");
         }
@@ -297,15 +311,15 @@
 
 #[test]
 fn the_checker_detects_lost_answers() {
-    let lose = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Reject { .. }));
+    let drop_rejections = |actions: &mut Vec<Action>| actions.retain(|a| !matches!(a, Action::Reject { .. }));
     let violations: Vec<String> =
-        (1..=10).flat_map(|seed| run_random_events(seed, settings(), &lose)).collect();
+        (1..=10).flat_map(|seed| run_random_events(seed, settings(), &drop_rejections)).collect();
     assert!(violations.iter().any(|violation| violation.contains("never answered")), "{violations:?}");
 }
 
 #[test]
-fn the_checker_detects_rejections_of_what_may_have_run() {
-    let refuse = |actions: &mut Vec<Action>| {
+fn the_checker_detects_rejections_of_requests_that_may_have_run() {
+    let reject_failures = |actions: &mut Vec<Action>| {
         for a in actions {
             if let Action::Fail { request, reason } = a {
                 *a = Action::Reject { request: *request, retry_after: 0, reason: *reason };
@@ -313,7 +327,7 @@
         }
     };
     let violations: Vec<String> =
-        (1..=20).flat_map(|seed| run_random_events(seed, settings(), &refuse)).collect();
+        (1..=20).flat_map(|seed| run_random_events(seed, settings(), &reject_failures)).collect();
     assert!(
         violations.iter().any(|violation| violation.contains("rejected though it may have run")),
         "{violations:?}"
@@ -324,8 +338,8 @@
 fn the_checker_detects_sends_to_draining_endpoints() {
     let divert = |actions: &mut Vec<Action>| {
         for a in actions {
-            if let Action::Send { endpoint: server, .. } = a {
-                *server = EndpointId(2);
+            if let Action::Send { endpoint: destination, .. } = a {
+                *destination = EndpointId(2);
             }
         }
     };
@@ -333,7 +347,10 @@
     assert!(violations.iter().any(|violation| violation.contains("draining or removed")), "{violations:?}");
 }
 
-/// Only the checker sees the diverted sends: the router would not know their outcomes.
+/// Sends one request, diverts its attempt to a draining endpoint, and returns the violations of the rules.
+///
+/// Only the checker sees the diverted attempt. The router would ignore its outcome, as it has no attempt
+/// outstanding at that endpoint.
 fn run_diverted_send(seed: u64, divert: &dyn Fn(&mut Vec<Action>)) -> Vec<String> {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     let mut checker = RuleChecker::new(settings());
