--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -1,27 +1,31 @@
-//! Outlier ejection, trials, and what must not count against an endpoint.
+//! Outlier ejection and readmission by trials, and failures that must not eject an endpoint.
 
 use crate::harness::*;
 use liftrelay::*;
 
+/// Guards against an endpoint that looks idle because it fails fast: it has few pending attempts, so least-pending
+/// selection without ejection sends it most reads.
 #[test]
-fn an_endpoint_that_fails_fast_does_not_look_idle() {
+fn an_endpoint_that_fails_fast_gets_few_reads() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
-    let at_sick = serve_reads(&mut harness, 1..200, 3, Outcome::Error);
-    assert!(at_sick < 20, "{at_sick} of 200");
+    let at_faulty = serve_reads(&mut harness, 1..200, 3, Outcome::Error);
+    assert!(at_faulty < 20, "{at_faulty} of 200");
 }
 
 #[test]
-fn an_endpoint_that_refuses_connections_does_not_look_idle() {
+fn an_endpoint_that_refuses_connections_gets_few_reads() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
-    let at_sick = serve_reads(&mut harness, 1..200, 3, Outcome::ConnectFailed);
-    assert!(at_sick < 20, "{at_sick} of 200");
+    let at_faulty = serve_reads(&mut harness, 1..200, 3, Outcome::ConnectFailed);
+    assert!(at_faulty < 20, "{at_faulty} of 200");
 }
 
+/// Guards against an endpoint that looks idle because it hangs and its queue is full: it rejects every attempt
+/// immediately, so that none is pending there.
 #[test]
-fn a_hung_endpoint_with_a_full_queue_does_not_look_idle() {
+fn an_endpoint_that_rejects_every_attempt_gets_few_reads() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
-    let at_sick = serve_reads(&mut harness, 1..200, 3, Outcome::RejectedByMember);
-    assert!(at_sick < 20, "{at_sick} of 200");
+    let at_faulty = serve_reads(&mut harness, 1..200, 3, Outcome::RejectedByMember);
+    assert!(at_faulty < 20, "{at_faulty} of 200");
 }
 
 #[test]
@@ -29,13 +33,13 @@
     let mut harness = RouterHarness::with_known_roles(settings_without_open_connections(), 4);
     serve_reads(&mut harness, 1..100, 3, Outcome::Error);
     serve_reads(&mut harness, 100..400, 0, Outcome::Ok);
-    let mut back = 0;
+    let mut after_readmission = 0;
     for id in 400..420 {
         let to = sent_to(&harness.request(id, ANY)).unwrap();
-        back += usize::from(to == 3);
+        after_readmission += usize::from(to == 3);
         harness.end_attempt(id, 0, to, Outcome::Ok, None);
     }
-    assert!(back >= 5, "{back} of 20");
+    assert!(after_readmission >= 5, "{after_readmission} of 20");
 }
 
 #[test]
@@ -46,36 +50,37 @@
         assert_eq!(sent_to(&harness.handle(Event::Request(brief))), Some(1));
         assert!(
             is_rejected(&harness.end_attempt(id, 0, 1, Outcome::Error, None), id),
-            "no time for another try"
+            "no time left for a retry"
         );
     }
 }
 
-/// Guards against a broken connection now and then passing for a dead member, which would be left out, and
-/// spared as warming up once it answers again.
+/// Guards against taking an occasional refused or broken connection for the end of the process: the endpoint would
+/// count as down, and as warming up once it answers again, although it runs all the time.
 #[test]
 fn occasional_connection_failures_do_not_eject_an_endpoint() {
     let mut harness = RouterHarness::with_known_roles(settings_without_open_connections(), 4);
-    let mut at = [0; 5];
+    let mut attempts_at = [0; 5];
     for id in 1..=400 {
         harness.advance(10 * MS);
         let mut actions = harness.request(id, ANY);
         let mut attempt = 0;
         while let Some(to) = sent_to(&actions) {
-            at[to as usize] += 1;
-            let how = match at[to as usize] % 12 {
+            attempts_at[to as usize] += 1;
+            let attempt_outcome = match attempts_at[to as usize] % 12 {
                 0 if to == 3 => Outcome::ConnectFailed,
                 6 if to == 3 => Outcome::Reset,
                 _ => Outcome::Ok,
             };
-            actions = harness.end_attempt(id, attempt, to, how, None);
+            actions = harness.end_attempt(id, attempt, to, attempt_outcome, None);
             attempt += 1;
         }
     }
-    assert!(10 * at[3] > 8 * at[2], "{at:?}");
+    assert!(10 * attempts_at[3] > 8 * attempts_at[2], "{attempts_at:?}");
 }
 
-/// Guards against holding writes back from the only member that takes them, because some of them fail there.
+/// Guards against the ejection of a primary because some writes fail there: no other member accepts writes, so all of
+/// them would be held.
 #[test]
 fn a_primary_with_occasional_errors_keeps_its_writes() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
@@ -83,7 +88,7 @@
         assert_eq!(sent_to(&harness.request(id, AT_MOST_ONCE)), Some(1), "{id}");
         let outcome = if id % 2 == 0 { Outcome::Ok } else { Outcome::Error };
         harness.end_attempt(id, 0, 1, outcome, None);
-        // The others succeed: the primary's failures stand out.
+        // Reads at the other members succeed, so that the failure rate of the primary stands out.
         for read in [1000 + 2 * id, 1001 + 2 * id] {
             let to = sent_to(&harness.request(read, ANY)).unwrap();
             harness.end_attempt(read, 0, to, Outcome::Ok, None);
@@ -96,28 +101,28 @@
 fn reads_avoid_an_endpoint_that_never_answers() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
     serve_reads(&mut harness, 1..60, 0, Outcome::Ok);
-    let at_sick = serve_reads(&mut harness, 100..300, 3, Outcome::TimedOut);
-    assert!(at_sick < 20, "{at_sick} of 200");
+    let at_faulty = serve_reads(&mut harness, 100..300, 3, Outcome::TimedOut);
+    assert!(at_faulty < 20, "{at_faulty} of 200");
 }
 
 #[test]
-fn ejected_endpoints_do_not_take_the_overflow_of_a_full_group() {
+fn ejected_endpoints_do_not_get_the_reads_that_exceed_the_capacity_of_others() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     serve_reads(&mut harness, 1..40, 3, Outcome::Error);
     harness.log.clear();
     for id in 100..160 {
         harness.request(id, ANY);
     }
-    assert!(send_count(&harness.log, 3) <= 1, "a single trial at most");
+    assert!(send_count(&harness.log, 3) <= 1, "at most a single trial");
     assert!(send_count(&harness.log, 2) >= 3);
 }
 
 #[test]
 fn a_listed_endpoint_that_does_not_exist_costs_few_attempts() {
-    let mut fresh = RouterHarness::with_known_roles(settings(), 4);
-    update_state(&mut fresh, 5, EndpointState::Ready);
-    let at_ghost = serve_reads(&mut fresh, 1..40, 5, Outcome::Error);
-    assert!(at_ghost <= 1, "{at_ghost} of 39");
+    let mut with_missing = RouterHarness::with_known_roles(settings(), 4);
+    update_state(&mut with_missing, 5, EndpointState::Ready);
+    let at_missing = serve_reads(&mut with_missing, 1..40, 5, Outcome::Error);
+    assert!(at_missing <= 1, "{at_missing} of 39");
 }
 
 #[test]
@@ -133,26 +138,33 @@
 
 #[test]
 fn attempts_outstanding_during_a_suspension_do_not_count_against_endpoints() {
-    let stalled = |gap: Micros| {
+    // If `suspension` is 0, 400 ms pass in which the timers of the router fire on time.
+    let ejections = |suspension: Micros| {
         let mut harness = RouterHarness::with_known_roles(settings(), 3);
         serve_reads(&mut harness, 1..20, 0, Outcome::Ok);
         for round in 0..6 {
             let ids = 100 + 10 * round..104 + 10 * round;
-            let to: Vec<_> =
+            let sends: Vec<_> =
                 ids.clone().filter_map(|id| Some((id, sent_to(&harness.request(id, ANY))?))).collect();
-            if gap > 0 {
-                harness.now += gap;
+            if suspension > 0 {
+                harness.now += suspension;
             } else {
                 harness.advance(400 * MS);
             }
-            for (id, n) in to {
+            for (id, destination) in sends {
                 harness.handle(Event::ClientDisconnected(id));
-                harness.end_attempt(id, 0, n, if n == 2 { Outcome::Ok } else { Outcome::TimedOut }, None);
+                harness.end_attempt(
+                    id,
+                    0,
+                    destination,
+                    if destination == 2 { Outcome::Ok } else { Outcome::TimedOut },
+                    None,
+                );
             }
             harness.advance(20 * MS);
         }
         harness.log.iter().filter(|a| matches!(a, Action::EndpointEjected { .. })).count()
     };
-    assert_eq!(stalled(900 * MS), 0, "it was suspended: no endpoint is ejected");
-    assert!(stalled(0) > 0, "the same outcomes without a suspension eject endpoints");
+    assert_eq!(ejections(900 * MS), 0, "the router was suspended, so no endpoint is ejected");
+    assert!(ejections(0) > 0, "the same outcomes without a suspension eject endpoints");
 }
