--- a/tests/policy/outage.rs
+++ b/tests/policy/outage.rs
@@ -1,4 +1,4 @@
-//! Groups whose members all refuse connections for a while.
+//! Outages in which all members of a group refuse connections.
 
 use crate::harness::*;
 use liftrelay::*;
@@ -6,12 +6,12 @@
 
 const STEP: Micros = 5 * MS;
 const SERVICE_TIME: Micros = 20 * MS;
-/// How long a client waits after its answer before it asks again.
+/// How long a client waits after an answer before it sends its next request.
 const THINK_TIME: Micros = 20 * MS;
 const OUTAGE: Micros = 700 * MS;
 const MEMBERS: u64 = 3;
 
-/// An attempt that is being served.
+/// An attempt that a member is serving.
 struct InFlight {
     request: u32,
     attempt: u32,
@@ -19,18 +19,18 @@
     ends_at: Micros,
 }
 
-/// A router whose clients each have one read at a time. Its members refuse all connections at first.
+/// A router whose clients send one read at a time. Its members refuse all connections until the outage ends.
 struct Outage {
     harness: RouterHarness,
     ends_at: Micros,
     in_flight: Vec<InFlight>,
-    /// When each client asks next.
-    next_ask: Vec<Micros>,
-    /// The client and the attempts of each request that is not answered.
+    /// When each client sends its next request; [`Micros::MAX`] while it waits for an answer.
+    next_request_at: Vec<Micros>,
+    /// The client of each request without a final answer, and the number of its attempts.
     open: HashMap<u32, (usize, u32)>,
     last_request: u32,
-    /// When the attempts were sent that a member serves.
-    served: Vec<Micros>,
+    /// The times at which the attempts that a member served were sent.
+    served_sends: Vec<Micros>,
 }
 
 impl Outage {
@@ -42,30 +42,31 @@
             ends_at: now + OUTAGE,
             harness,
             in_flight: Vec::new(),
-            // They do not ask all at once.
-            next_ask: (0..clients).map(|client| now + client as Micros * THINK_TIME / 4).collect(),
+            // The first requests of the clients are spread over time.
+            next_request_at: (0..clients).map(|client| now + client as Micros * THINK_TIME / 4).collect(),
             open: HashMap::new(),
             last_request: 0,
-            served: Vec::new(),
+            served_sends: Vec::new(),
         }
     }
 
-    /// Runs until so long after the outage; returns how many attempts the members served.
+    /// Runs until `after_outage` has passed since the end of the outage, and returns the number of attempts that the
+    /// members served.
     fn run(&mut self, after_outage: Micros) -> usize {
         while self.harness.now < self.ends_at + after_outage {
             let actions = self.harness.advance(STEP);
             self.observe(actions);
             self.end_due_attempts();
-            self.ask();
+            self.send_due_requests();
         }
-        self.served.len()
+        self.served_sends.len()
     }
 
-    fn ask(&mut self) {
+    fn send_due_requests(&mut self) {
         let now = self.harness.now;
-        for client in 0..self.next_ask.len() {
-            if self.next_ask[client] <= now {
-                self.next_ask[client] = Micros::MAX;
+        for client in 0..self.next_request_at.len() {
+            if self.next_request_at[client] <= now {
+                self.next_request_at[client] = Micros::MAX;
                 self.last_request += 1;
                 self.open.insert(self.last_request, (client, 0));
                 let actions = self.harness.request(self.last_request, ANY);
@@ -88,13 +89,13 @@
 
     fn send(&mut self, request: u32, endpoint: u64) -> Vec<Action> {
         let now = self.harness.now;
-        let (_, attempts) = self.open.get_mut(&request).expect("it is not answered");
+        let (_, attempts) = self.open.get_mut(&request).expect("the request has no final answer");
         let attempt = *attempts;
         *attempts += 1;
         if now < self.ends_at {
             return self.harness.end_attempt(request, attempt, endpoint, Outcome::ConnectFailed, None);
         }
-        self.served.push(now);
+        self.served_sends.push(now);
         self.in_flight.push(InFlight { request, attempt, endpoint, ends_at: now + SERVICE_TIME });
         Vec::new()
     }
@@ -111,34 +112,38 @@
     }
 
     fn answer(&mut self, request: u32) {
-        let (client, _) = self.open.remove(&request).expect("one answer");
-        self.next_ask[client] = self.harness.now + THINK_TIME;
+        let (client, _) = self.open.remove(&request).expect("the request has no other final answer");
+        self.next_request_at[client] = self.harness.now + THINK_TIME;
     }
 }
 
-/// Guards against an outage that lasts seconds longer than its cause: each member counts as one that has just
-/// started, and the little that was asked and served meanwhile for what a warm one serves.
+/// Guards against a slow start that keeps a group out of use for seconds after an outage. All its members then count
+/// as just started, and their budgets would follow the little work that was offered and served during the outage.
 #[test]
-fn a_group_that_refused_all_connections_is_soon_tried_and_used_again() {
+fn a_group_that_refused_all_connections_is_tried_and_used_soon_after_the_outage() {
     for seed in 1..=10 {
         let mut outage = Outage::start(&settings(), seed, 6);
         let served = outage.run(4000 * MS);
-        let tried_after = (outage.served[0] - outage.ends_at) / MS;
-        assert!(tried_after < 1700, "seed {seed}: after {tried_after} ms");
-        assert!(served > 100, "seed {seed}: only {served}");
+        let tried_after = (outage.served_sends[0] - outage.ends_at) / MS;
+        assert!(tried_after < 1700, "seed {seed}: first tried after {tried_after} ms");
+        assert!(served > 100, "seed {seed}: only {served} attempts served");
     }
 }
 
-/// Guards against members that have really just started, and are pushed over by all routers together: each tries
-/// the group once, and sends it no more than slow start allows.
+/// Guards against an overload of members that have just started, to which all routers send at the same time: each
+/// router must try the group only once, and send no more than slow start allows.
 #[test]
-fn a_group_that_is_back_is_not_overloaded_by_many_routers() {
+fn a_group_is_not_overloaded_by_many_routers_after_an_outage() {
     let routers = 300;
     let settings = Settings { instances: routers, ..settings() };
     let seconds = 2;
     let served = (0..routers).map(|seed| Outage::start(&settings, seed.into(), 1).run(seconds * 1000 * MS));
     let served: usize = served.sum();
-    // What the members serve warm if each serves one request at a time; slow start allows a sixth of it.
-    let warm = MEMBERS * seconds * 1_000_000 / SERVICE_TIME;
-    assert!(served as u64 <= u64::from(routers) + warm / 3, "{served} of {routers} routers");
+    // The number of requests that the members serve if they are warm and each serves one at a time. Slow start allows
+    // a sixth of it.
+    let warm_requests = MEMBERS * seconds * 1_000_000 / SERVICE_TIME;
+    assert!(
+        served as u64 <= u64::from(routers) + warm_requests / 3,
+        "{served} attempts of {routers} routers"
+    );
 }
