--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -101,7 +101,8 @@
         RouterHarness::seeded(settings, endpoints, DEFAULT_SEED)
     }
 
-    /// Creates a router like [`RouterHarness::new`], on a host whose clock may differ from those of the members.
+    /// Creates a router like [`RouterHarness::new`], on a host whose clock may differ from those of the
+    /// members.
     pub fn with_unknown_clock(settings: Settings, endpoints: u64) -> RouterHarness {
         let router = Router::with_unknown_clock(settings, DEFAULT_SEED, LATE_START);
         RouterHarness::with_router(router, LATE_START, endpoints)
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -3,8 +3,8 @@
 use crate::harness::*;
 use liftrelay::*;
 
-/// Guards against an endpoint that looks idle because it fails fast: it has few pending attempts, so least-pending
-/// selection without ejection sends it most reads.
+/// Guards against an endpoint that looks idle because it fails fast: it has few pending attempts, so
+/// least-pending selection without ejection sends it most reads.
 #[test]
 fn an_endpoint_that_fails_fast_gets_few_reads() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
@@ -19,8 +19,8 @@
     assert!(at_faulty < 20, "{at_faulty} of 200");
 }
 
-/// Guards against an endpoint that looks idle because it hangs and its queue is full: it rejects every attempt
-/// immediately, so that none is pending there.
+/// Guards against an endpoint that looks idle because it hangs and its queue is full: it rejects every
+/// attempt immediately, so that none is pending there.
 #[test]
 fn an_endpoint_that_rejects_every_attempt_gets_few_reads() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
@@ -55,8 +55,8 @@
     }
 }
 
-/// Guards against taking an occasional refused or broken connection for the end of the process: the endpoint would
-/// count as down, and as warming up once it answers again, although it runs all the time.
+/// Guards against taking an occasional refused or broken connection for the end of the process: the endpoint
+/// would count as down, and as warming up once it answers again, although it runs all the time.
 #[test]
 fn occasional_connection_failures_do_not_eject_an_endpoint() {
     let mut harness = RouterHarness::with_known_roles(settings_without_open_connections(), 4);
@@ -79,8 +79,8 @@
     assert!(10 * attempts_at[3] > 8 * attempts_at[2], "{attempts_at:?}");
 }
 
-/// Guards against the ejection of a primary because some writes fail there: no other member accepts writes, so all of
-/// them would be held.
+/// Guards against the ejection of a primary because some writes fail there: no other member accepts writes,
+/// so all of them would be held.
 #[test]
 fn a_primary_with_occasional_errors_keeps_its_writes() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
--- a/tests/policy/outage.rs
+++ b/tests/policy/outage.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Runs until `after_outage` has passed since the end of the outage, and returns the number of attempts that the
-    /// members served.
+    /// Runs until `after_outage` has passed since the end of the outage, and returns the number of attempts
+    /// that the members served.
     fn run(&mut self, after_outage: Micros) -> usize {
         while self.harness.now < self.ends_at + after_outage {
             let actions = self.harness.advance(STEP);
@@ -117,8 +117,9 @@
     }
 }
 
-/// Guards against a slow start that keeps a group out of use for seconds after an outage. All its members then count
-/// as just started, and their budgets would follow the little work that was offered and served during the outage.
+/// Guards against a slow start that keeps a group out of use for seconds after an outage. All its members
+/// then count as just started, and their budgets would follow the little work that was offered and served
+/// during the outage.
 #[test]
 fn a_group_that_refused_all_connections_is_tried_and_used_soon_after_the_outage() {
     for seed in 1..=10 {
@@ -130,8 +131,8 @@
     }
 }
 
-/// Guards against an overload of members that have just started, to which all routers send at the same time: each
-/// router must try the group only once, and send no more than slow start allows.
+/// Guards against an overload of members that have just started, to which all routers send at the same time:
+/// each router must try the group only once, and send no more than slow start allows.
 #[test]
 fn a_group_is_not_overloaded_by_many_routers_after_an_outage() {
     let routers = 300;
@@ -139,8 +140,8 @@
     let seconds = 2;
     let served = (0..routers).map(|seed| Outage::start(&settings, seed.into(), 1).run(seconds * 1000 * MS));
     let served: usize = served.sum();
-    // The number of requests that the members serve if they are warm and each serves one at a time. Slow start allows
-    // a sixth of it.
+    // The number of requests that the members serve if they are warm and each serves one at a time. Slow
+    // start allows a sixth of it.
     let warm_requests = MEMBERS * seconds * 1_000_000 / SERVICE_TIME;
     assert!(
         served as u64 <= u64::from(routers) + warm_requests / 3,
--- a/tests/policy/rules.rs
+++ b/tests/policy/rules.rs
@@ -1,10 +1,10 @@
 //! Checks that random event sequences with fixed seeds keep the rules of the router's interface:
 //!
 //! - Each request gets one final answer, by its deadline, unless an attempt serves it.
-//! - A request has at most one attempt in flight and none after its answer. Without attempts that failed on this
-//!   machine, it has at most `max_attempts` in total.
-//! - A request that may have run is sent again only if its class allows this; a request with an idempotency key,
-//!   only within its window.
+//! - A request has at most one attempt in flight and none after its answer. It has at most
+//!   `max_attempts` in total, not counting attempts that failed on this machine.
+//! - A request that may have run is sent again only if its class allows this; a request with an idempotency
+//!   key, only within its window.
 //! - A request that may have run is rejected only if it may be repeated at any endpoint.
 //! - An endpoint that is draining or removed gets no attempts.
 //!
