--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,16 +1,17 @@
-//! Slow start: what endpoints that warm up are sent.
+//! Slow start: the load of endpoints that are warming up.
 
 use crate::harness::*;
 use liftrelay::*;
 use std::collections::BTreeMap;
 
-/// The work sent to a member by many routers with a read each now and then, in unloaded times of one read.
-fn reads_sent_by_many(start: impl Fn(&mut RouterHarness), to: u64) -> usize {
-    sends_by_many(start, to, ANY)
+/// Returns the number of attempts that 300 routers send to an endpoint for four reads each, after each router
+/// has applied `start`. All reads take the same unloaded time, so that the number measures the work.
+fn reads_sent_by_many_routers(start: impl Fn(&mut RouterHarness), to: u64) -> usize {
+    requests_sent_by_many_routers(start, to, ANY)
 }
 
-/// The same for work of one class.
-fn sends_by_many(start: impl Fn(&mut RouterHarness), to: u64, class: usize) -> usize {
+/// Like [`reads_sent_by_many_routers`], for requests of one class.
+fn requests_sent_by_many_routers(start: impl Fn(&mut RouterHarness), to: u64, class: usize) -> usize {
     (0..300)
         .map(|n| {
             let mut harness =
@@ -34,19 +35,22 @@
 
 #[test]
 fn an_endpoint_warming_up_is_not_overloaded_by_many_routers_together() {
-    let warm = reads_sent_by_many(|_| {}, 3);
-    let warming_up = reads_sent_by_many(
+    let warm = reads_sent_by_many_routers(|_| {}, 3);
+    let warming_up = reads_sent_by_many_routers(
         |harness| {
             let started = EndpointEntry { started_at: harness.now, ..endpoint_entry(3) };
             harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![started] });
         },
         3,
     );
-    assert!(warm > 250, "{warm} sent to it warm");
-    assert!(warming_up > 0 && warming_up < warm / 4, "{warming_up} sent to it warming up, {warm} warm");
+    assert!(warm > 250, "{warm} sent to the warm endpoint");
+    assert!(
+        warming_up > 0 && warming_up < warm / 4,
+        "{warming_up} sent while it warms up, {warm} when it is warm"
+    );
 }
 
-/// The list says that this member has just started, and whether it is the primary.
+/// Lists an endpoint as just started, and as the primary if `primary_hint` is set.
 fn restart_in_list(harness: &mut RouterHarness, n: u64, primary_hint: bool) {
     let started = EndpointEntry { started_at: harness.now, primary_hint, ..endpoint_entry(n) };
     harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![started] });
@@ -54,15 +58,16 @@
 
 #[test]
 fn a_primary_warming_up_is_not_overloaded_by_the_writes_of_many_routers() {
-    // All members together serve 250 at first, 83 each; the settings allow one that warms up twice its part of that.
-    let writes = sends_by_many(|harness| restart_in_list(harness, 1, true), 1, AT_MOST_ONCE);
+    // At first, all members together serve 250 requests, 83 each. The settings allow a member that is warming
+    // up twice its part of that.
+    let writes = requests_sent_by_many_routers(|harness| restart_in_list(harness, 1, true), 1, AT_MOST_ONCE);
     assert!((50..250).contains(&writes), "{writes} writes in 1.6 s");
 }
 
 #[test]
 fn a_primary_warming_up_gets_the_occasional_writes_of_a_router() {
     let routers = 300;
-    let taken = (0..routers).filter(|n| {
+    let sent_writes = (0..routers).filter(|n| {
         let mut harness =
             RouterHarness::with_known_roles_seeded(Settings { instances: 300, ..settings() }, 4, *n);
         serve_reads(&mut harness, 1..30, 0, Outcome::Ok);
@@ -76,16 +81,19 @@
         }
         sent_to(&harness.request(200, AT_MOST_ONCE)) == Some(1)
     });
-    let taken = taken.count();
-    assert!(taken > routers as usize * 2 / 3, "{taken} of {routers} writes after 3.2 s without one");
+    let sent_writes = sent_writes.count();
+    assert!(
+        sent_writes > routers as usize * 2 / 3,
+        "{sent_writes} of {routers} writes sent after 3.2 s without a write"
+    );
 }
 
-/// Guards against a class that each of many routers sees once in a while: what one router saves up is next to
-/// nothing, what they save together mostly goes unused.
+/// Guards against the starvation of a class that each of many routers seldom gets: no router saves enough
+/// budget for one request, and most of what all routers save together is never used.
 #[test]
-fn a_primary_warming_up_gets_its_share_of_rare_writes_at_once() {
+fn a_primary_warming_up_gets_its_share_of_rare_writes_immediately() {
     let routers = 300;
-    let taken = (0..routers).filter(|n| {
+    let sent_writes = (0..routers).filter(|n| {
         let mut harness =
             RouterHarness::with_known_roles_seeded(Settings { instances: 300, ..settings() }, 4, *n);
         serve_reads(&mut harness, 1..30, 0, Outcome::Ok);
@@ -93,9 +101,9 @@
         harness.advance(50 * MS);
         sent_to(&harness.request(200, AT_MOST_ONCE)) == Some(1)
     });
-    // It has a fifth of its capacity, and the settings allow it twice what it can do.
-    let taken = taken.count();
-    assert!((80..160).contains(&taken), "{taken} of {routers} writes");
+    // The primary has a fifth of its capacity, and the settings allow twice that load.
+    let sent_writes = sent_writes.count();
+    assert!((80..160).contains(&sent_writes), "{sent_writes} of {routers} writes");
 }
 
 #[test]
@@ -105,22 +113,22 @@
     assert_eq!(
         sent_to(&harness.request(1, AT_MOST_ONCE)),
         None,
-        "nothing is saved up for it yet, and the others are replicas"
+        "no budget is saved for the primary yet, and the others are replicas"
     );
     harness.advance(200 * MS);
     assert_eq!([1, 2, 3, 4].map(|n| send_count(&harness.log, n)), [0; 4]);
     harness.report(1, Role::Replica, harness.now);
-    let asked = harness.advance(200 * MS);
+    let later_actions = harness.advance(200 * MS);
     assert!(
-        send_count(&asked, 2) + send_count(&asked, 3) + send_count(&asked, 4) > 0,
-        "it is not: others are asked"
+        send_count(&later_actions, 2) + send_count(&later_actions, 3) + send_count(&later_actions, 4) > 0,
+        "the listed primary is a replica, so other members are tried"
     );
 }
 
 #[test]
-fn an_endpoint_back_from_refused_connections_warms_up_before_the_list_says_so() {
-    let warm = reads_sent_by_many(|_| {}, 3);
-    let back = reads_sent_by_many(
+fn an_endpoint_that_refused_connections_warms_up_before_its_restart_is_listed() {
+    let warm = reads_sent_by_many_routers(|_| {}, 3);
+    let recovered = reads_sent_by_many_routers(
         |harness| {
             for from in [50, 80] {
                 let id = (from..).find(|id| sent_to(&harness.request(*id, ANY)) == Some(3)).unwrap();
@@ -131,10 +139,11 @@
         },
         3,
     );
-    assert!(back < warm / 4, "{back} sent after it came back, {warm} usually");
+    assert!(recovered < warm / 4, "{recovered} sent after the recovery, {warm} when it is warm");
 }
 
-/// Guards against a router that starts with endpoints that warm up only and sends them nothing for ever.
+/// Guards against a router that never sends anything because all endpoints were warming up when it started: a
+/// slow start budget that follows the served work alone stays at 0 then.
 #[test]
 fn a_router_that_has_just_started_uses_endpoints_warming_up() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
@@ -142,8 +151,8 @@
     let members = (1..=4).map(|n| EndpointEntry { started_at: started, ..endpoint_entry(n) }).collect();
     harness.handle(Event::EndpointUpdate { complete: true, endpoints: members });
     harness.advance(5000 * MS);
-    let taken = serve_and_count(&mut harness, 1..40, 1..=4);
-    assert!(taken >= 5, "{taken} of 39");
+    let reads = serve_and_count(&mut harness, 1..40, 1..=4);
+    assert!(reads >= 5, "{reads} of 39");
 }
 
 #[test]
@@ -164,13 +173,13 @@
     assert!(to_restarted >= 1 && to_restarted * 3 < counts[&2], "{counts:?}");
 }
 
-/// Guards against a budget that follows demand where most endpoints warm up: clients repeat what is not served,
-/// so that demand says nothing about what an endpoint can do.
+/// Guards against a budget that follows the offered work while most endpoints are warming up: clients retry
+/// what is not served, so that the offered work overstates what an endpoint can serve.
 #[test]
-fn demand_that_is_not_served_does_not_raise_the_budget_of_a_primary_warming_up() {
+fn work_that_is_not_served_does_not_raise_the_budget_of_a_primary_warming_up() {
     let settings = settings();
     let mut harness = RouterHarness::with_known_roles(settings.clone(), 4);
-    // 100 reads and writes a second are served: 25 at each endpoint.
+    // 100 reads and writes per second are served, 25 at each endpoint.
     for id in 1..=1000 {
         harness.advance(10 * MS);
         let class = if id % 4 == 0 { AT_MOST_ONCE } else { ANY };
@@ -184,7 +193,7 @@
     harness.report(1, Role::Primary, harness.now);
     harness.log.clear();
     let window = settings.overload_window;
-    // Four times as much is asked for, and nothing is served.
+    // 400 writes per second are offered, four times as much as before, and none is served.
     let started_at = harness.now;
     for id in 2000.. {
         harness.advance(2500);
