--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet of routers around one group: what none of them can see alone, their sum, must stay within what
-//! the settings allow an endpoint that warms up.
+//! A fleet of routers that send to one group. No router sees the work that the others send, but together they
+//! must stay within what the settings allow for an endpoint that is warming up.
 
 use crate::harness::*;
 use liftrelay::*;
@@ -7,13 +7,14 @@
 use std::collections::{BinaryHeap, HashMap};
 
 const ENDPOINTS: u64 = 4;
-/// The endpoints serve so many requests at a time.
+/// The number of requests that an endpoint serves at a time.
 const SLOTS: usize = 2;
-/// When the endpoint restarts, and within which time all routers are told.
+/// The time from the start of a run to the restart of the endpoint.
 const RESTART_AFTER: Micros = 8000 * MS;
+/// The time within which the endpoint lists of all routers report the restart, in milliseconds.
 const LIST_DELAY: u64 = 300;
 
-/// A part of the traffic.
+/// A share of the traffic: the requests of one class.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     percent: u64,
@@ -26,9 +27,9 @@
     Share { percent, class, work }
 }
 
-/// Requests of equal work, a few of them for the primary.
+/// Requests of equal work, a few of which only the primary can serve.
 const EQUAL_WORK: &[Share] = &[share(12, AT_MOST_ONCE, 1.0), share(3, LATEST, 1.0), share(85, ANY, 1.0)];
-/// Light and heavy requests, reads and writes of both.
+/// Light and heavy requests, with reads and writes of both kinds.
 const MIXED_WORK: &[Share] = &[
     share(8, AT_MOST_ONCE, 0.5),
     share(4, WRITE, 4.0),
@@ -37,13 +38,13 @@
     share(10, BOUNDED_STALENESS, 3.2),
 ];
 
-/// When more requests come than usual.
+/// A period in which requests arrive at a higher rate.
 #[derive(Clone, Copy, Debug)]
 struct Burst {
-    /// After the restart.
+    /// The time from the restart to the beginning of the burst.
     begins_after: Micros,
     lasts: Micros,
-    /// By how much the usual rate is multiplied.
+    /// The factor by which the usual rate is multiplied.
     factor: f64,
 }
 
@@ -63,34 +64,35 @@
     RestartIsListed,
 }
 
-/// The share of its capacity that an endpoint has, this long after its start.
+/// Returns the share of its full capacity that an endpoint has at this time after its start.
 fn capacity_share(settings: &Settings, age: Micros) -> f64 {
-    let grown = (1.0 - settings.slow_start_capacity) * age as f64 / settings.slow_start_duration as f64;
-    (settings.slow_start_capacity + grown).min(1.0)
+    let gained = (1.0 - settings.slow_start_capacity) * age as f64 / settings.slow_start_duration as f64;
+    (settings.slow_start_capacity + gained).min(1.0)
 }
 
-/// The requests of mean work that a window may hold beyond the N that the settings allow: 2 x root of N + 2, and with
-/// N under 30, 3 x root of N + 3.
+/// Returns how many requests of mean work the routers may send in one window beyond the N = `allowed` that
+/// the settings allow, as the requests arrive at random: 2 x root of N + 2, or 3 x root of N + 3 if N is
+/// below 30.
 fn tolerance(allowed: f64) -> f64 {
     let factor = if allowed < 30.0 { 3.0 } else { 2.0 };
     factor * (allowed.sqrt() + 1.0)
 }
 
-/// What became of the endpoint that restarted.
+/// The load of the endpoint that restarted, while it warmed up.
 struct RestartOutcome {
-    /// By how much the fullest window went over what the settings allow, as a share of what is put down to chance.
+    /// The highest excess of any window over what the settings allow, as a share of [`tolerance`].
     worst_excess: f64,
-    /// What it took in the whole time that it warmed up, as a share of what it could do.
+    /// The work that was sent to the endpoint during its whole slow start, as a share of what it could serve.
     work_share: f64,
 }
 
-/// Routers that share a load on one group, in which an endpoint restarts.
+/// A fleet of routers, its load, and the endpoint of the group that restarts.
 #[derive(Clone, Copy, Debug)]
 struct FleetCase {
     routers: usize,
-    /// Requests of mean work a second that a warm endpoint can serve.
+    /// The requests of mean work per second that a warm endpoint can serve.
     capacity: f64,
-    /// The load as a share of what all endpoints can serve.
+    /// The offered work, as a share of what all endpoints can serve when they are warm.
     load: f64,
     traffic: &'static [Share],
     burst: Option<Burst>,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// How long a warm endpoint takes for so much work.
+    /// Returns how long a slot of a warm endpoint takes for this much work.
     fn service_time(&self, work: f64) -> Micros {
         (SLOTS as f64 / self.capacity * work * 1e6) as Micros
     }
@@ -126,8 +128,8 @@
     }
 }
 
-/// What the endpoint that restarted was sent.
-struct TakenWork {
+/// An attempt that was sent to the endpoint that restarted.
+struct SentWork {
     at: Micros,
     work: f64,
 }
@@ -140,11 +142,12 @@
     restarts_at: Micros,
     queue: BinaryHeap<Reverse<(Micros, usize, FleetEvent)>>,
     last_request: u32,
-    /// The work of each request, and how many attempts it had.
+    /// The work of each request, and the number of its attempts.
     requests: HashMap<u32, (f64, u32)>,
-    /// For each endpoint, when its slots are free.
+    /// For each endpoint, the times at which its slots become free.
     slots: [[Micros; SLOTS]; ENDPOINTS as usize + 1],
-    taken: Vec<TakenWork>,
+    /// The attempts that were sent to the endpoint that restarted, while it warmed up.
+    work_sent: Vec<SentWork>,
 }
 
 impl Fleet {
@@ -166,7 +169,7 @@
             last_request: 0,
             requests: HashMap::new(),
             slots: Default::default(),
-            taken: Vec::new(),
+            work_sent: Vec::new(),
         };
         for router in 0..case.routers {
             fleet.schedule_arrival(started_at, router);
@@ -176,7 +179,7 @@
         fleet
     }
 
-    /// Requests a second at each router.
+    /// Returns the requests per second that arrive at each router.
     fn arrival_rate(&self, now: Micros) -> f64 {
         let FleetCase { load, capacity, routers, burst, .. } = self.case;
         let is_in_burst = |burst: &Burst| {
@@ -198,7 +201,7 @@
         self.queue.push(Reverse((at, router, FleetEvent::RequestArrives)));
     }
 
-    /// Runs until the endpoint has warmed up.
+    /// Runs until the endpoint that restarts is warm.
     fn run(mut self) -> RestartOutcome {
         let end = self.restarts_at + self.settings.slow_start_duration;
         while let Some(Reverse((now, router, event))) = self.queue.pop()
@@ -207,7 +210,7 @@
             let harness = &mut self.harnesses[router];
             harness.advance(now.saturating_sub(harness.now));
             self.handle(now, router, event);
-            // Also what timers sent on the way.
+            // The log also contains the sends that timers have caused since the last event.
             let actions: Vec<_> = self.harnesses[router].log.drain(..).collect();
             for action in actions {
                 if let Action::Send { request, endpoint, timeout, .. } = action {
@@ -267,9 +270,9 @@
         self.harnesses[router].handle(Event::AttemptEnded(result));
     }
 
-    /// Puts an attempt into the first slot of its endpoint that is free.
+    /// Assigns an attempt to the slot of its endpoint that becomes free first.
     fn serve(&mut self, now: Micros, router: usize, request: u32, endpoint: u64, timeout: Micros) {
-        let (work, attempts) = self.requests.get_mut(&request).expect("it has arrived");
+        let (work, attempts) = self.requests.get_mut(&request).expect("the request has arrived");
         let (work, number) = (*work, *attempts);
         *attempts += 1;
         let is_warming_up = endpoint == self.case.restarting && now >= self.restarts_at;
@@ -282,16 +285,16 @@
         let attempt = SentAttempt { request, number, endpoint, sent_at: now };
         self.queue.push(Reverse((ends_at, router, FleetEvent::AttemptEnds { attempt, served })));
         if is_warming_up {
-            self.taken.push(TakenWork { at: now, work });
+            self.work_sent.push(SentWork { at: now, work });
         }
     }
 
     fn outcome(&self) -> RestartOutcome {
         let window = self.settings.overload_window;
         let mut worst_excess = f64::MIN;
-        for (index, first) in self.taken.iter().enumerate() {
-            let in_window = self.taken[index..].iter().take_while(|taken| taken.at < first.at + window);
-            let work: f64 = in_window.map(|taken| taken.work).sum();
+        for (index, first) in self.work_sent.iter().enumerate() {
+            let in_window = self.work_sent[index..].iter().take_while(|sent| sent.at < first.at + window);
+            let work: f64 = in_window.map(|sent| sent.work).sum();
             let age = first.at - self.restarts_at + window / 2;
             let capacity = capacity_share(&self.settings, age) * self.case.capacity;
             let allowed = self.settings.overload_multiple * capacity * window as f64 / 1e6;
@@ -299,7 +302,7 @@
         }
         let mean_share = (1.0 + self.settings.slow_start_capacity) / 2.0;
         let possible = self.case.capacity * mean_share * self.settings.slow_start_duration as f64 / 1e6;
-        let work: f64 = self.taken.iter().map(|taken| taken.work).sum();
+        let work: f64 = self.work_sent.iter().map(|sent| sent.work).sum();
         RestartOutcome { worst_excess, work_share: work / possible }
     }
 }
@@ -313,20 +316,21 @@
     restarting: 1,
     overload_multiple: 1.3,
 };
-/// Half as many requests again as usual.
+/// A rate of arrivals that is half as high again as usual.
 const BURST: Burst = Burst { begins_after: 4000 * MS, lasts: 4000 * MS, factor: 1.5 };
 
-/// Asserts that no window of any of these runs goes over what the settings allow, and returns the mean work share.
+/// Asserts that no window of the runs with these seeds exceeds what the settings allow by more than
+/// [`tolerance`], and returns the mean work share.
 fn assert_not_overloaded(case: FleetCase, seeds: std::ops::RangeInclusive<u64>) -> f64 {
     let outcomes: Vec<_> = seeds.map(|seed| case.run(seed)).collect();
     let worst = outcomes.iter().map(|outcome| outcome.worst_excess).fold(f64::MIN, f64::max);
-    assert!(worst <= 1.0, "{case:?}: {worst:.2} of what is put down to chance");
+    assert!(worst <= 1.0, "{case:?}: excess of {worst:.2} times the tolerance");
     outcomes.iter().map(|outcome| outcome.work_share).sum::<f64>() / outcomes.len() as f64
 }
 
-/// Guards against an endpoint that warms up and falls under the sum of what all processes send, each within a
-/// share of its own: beyond the N requests that the settings allow, 2 x root of N + 2 are put down to chance,
-/// whatever the number of processes.
+/// Guards against the overload of an endpoint that is warming up, which arises if each router stays within a
+/// budget of its own but the sum of all budgets exceeds what the settings allow. The tolerance of 2 x root of
+/// N + 2 requests beyond the N allowed ones does not depend on the number of routers.
 #[test]
 fn an_endpoint_warming_up_is_not_overloaded_by_the_sum_of_twenty_or_thirty_routers() {
     for case in [
@@ -339,11 +343,12 @@
         FleetCase { overload_multiple: 2.0, routers: 3, load: 0.9, restarting: 1, ..USUAL },
     ] {
         let work_share = assert_not_overloaded(case, 1..=6);
-        assert!(work_share > 0.3, "{case:?}: only {work_share:.2} of what it could do");
+        assert!(work_share > 0.3, "{case:?}: only {work_share:.2} of the work that it could serve");
     }
 }
 
-/// The same for requests of uneven work, where few heavy ones make up what the settings allow, and under a burst.
+/// Guards against the same overload by requests of uneven work, of which a few heavy ones use up what the
+/// settings allow, and during a burst.
 #[test]
 fn a_primary_warming_up_is_not_overloaded_by_light_and_heavy_requests() {
     let mixed = FleetCase { traffic: MIXED_WORK, ..USUAL };
@@ -355,11 +360,12 @@
         FleetCase { capacity: 3.0, routers: 2, ..mixed },
     ] {
         let work_share = assert_not_overloaded(case, 1..=20);
-        assert!(work_share > 0.4, "{case:?}: only {work_share:.2} of what it could do");
+        assert!(work_share > 0.4, "{case:?}: only {work_share:.2} of the work that it could serve");
     }
 }
 
-/// The same for any number of processes, where the settings allow 2 to 40 requests at first.
+/// Guards against the same overload with few and many routers, where the settings allow only 2 to 40 requests
+/// in the first windows.
 #[test]
 fn an_endpoint_of_small_capacity_is_not_overloaded_however_many_routers_there_are() {
     for (routers, seeds) in [(1, 1..=4), (2, 1..=4), (5, 1..=4), (20, 1..=4), (300, 1..=1), (900, 1..=1)] {
