--- a/tests/policy/probing.rs
+++ b/tests/policy/probing.rs
@@ -1,4 +1,4 @@
-//! How often endpoints are probed.
+//! The rate of health checks (probes).
 
 use crate::harness::*;
 use liftrelay::*;
@@ -7,8 +7,9 @@
     harness.log.iter().filter(|a| matches!(a, Action::Probe(_))).count()
 }
 
-/// Guards against hundreds of routers that probe every member in a hurry from their start, though the list
-/// names the primary: members take only so many probes.
+/// Guards against an overload of the members by probes: a group whose primary only the list names would count
+/// as one without a primary, and hundreds of routers that have just started would probe all its members at
+/// the urgent rate.
 #[test]
 fn a_new_router_probes_at_the_usual_rate_where_the_list_names_a_primary() {
     let [hinted, unhinted] = [true, false].map(|primary_hint| {
@@ -16,7 +17,7 @@
         let primary = EndpointEntry { primary_hint, ..endpoint_entry(1) };
         harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![primary] });
         for _ in 0..100 {
-            // Probes time out: nothing is learnt of roles.
+            // All probes time out, so that the router learns no roles.
             harness.advance(100 * MS);
             (1..=4).for_each(|n| {
                 let report = LoadReport::default();
@@ -26,18 +27,21 @@
         }
         probe_count(&harness)
     });
-    assert!(hinted > 0 && hinted * 2 < unhinted, "{hinted} probes, {unhinted} where the list names none");
+    assert!(
+        hinted > 0 && hinted * 2 < unhinted,
+        "{hinted} probes, {unhinted} where the list names no primary"
+    );
 }
 
-/// Guards against probes of members whose answers tell the same.
+/// Guards against needless probes of a member whose answers to requests already report its position.
 #[test]
-fn an_endpoint_whose_answers_tell_its_position_is_not_probed() {
-    let [with_position, without] = [true, false].map(|tells| {
+fn an_endpoint_whose_answers_report_its_position_is_probed_less() {
+    let [with_position, without_position] = [true, false].map(|reports_position| {
         let mut harness = RouterHarness::with_known_roles(settings(), 2);
         for id in 1..200 {
             harness.advance(50 * MS);
             let Some(to) = sent_to(&harness.request(id, ANY)) else { continue };
-            let metadata = ResponseMetadata { role: None, position: tells.then_some(harness.now) };
+            let metadata = ResponseMetadata { role: None, position: reports_position.then_some(harness.now) };
             harness.handle(Event::AttemptEnded(AttemptResult {
                 metadata,
                 ..attempt_result(id, 0, to, Outcome::Ok)
@@ -52,7 +56,7 @@
         probe_count(&harness)
     });
     assert!(
-        with_position * 3 < without * 2,
-        "{with_position} probes, {without} where answers tell no position"
+        with_position * 3 < without_position * 2,
+        "{with_position} probes, {without_position} where answers report no position"
     );
 }
