--- a/tests/policy/clock_steps.rs
+++ b/tests/policy/clock_steps.rs
@@ -1,5 +1,5 @@
-//! Clocks that are stepped: the router's own before it starts, and those of members while it runs. The
-//! router's time is monotonic throughout.
+//! Steps of clocks: of the host's clock before the router starts, and of the members' clocks while it runs.
+//! The router's own time is monotonic.
 
 use crate::harness::*;
 use liftrelay::*;
@@ -7,16 +7,18 @@
 const HOUR: i64 = 3_600_000_000;
 const STEPS: [i64; 2] = [HOUR, -HOUR];
 
-/// A router whose members read clocks of their own, and do not reject reads for which they are too far behind.
+/// A router and a group whose members have clocks of their own and serve reads from stale data.
 struct SteppedGroup {
     harness: RouterHarness,
-    /// How far the clock of the primary is ahead of the router's.
+    /// How far the clock of the primary is ahead of the host's clock, in microseconds; negative if it is
+    /// behind.
     lead: i64,
     last_request: u32,
 }
 
 impl SteppedGroup {
-    /// Endpoint 1 is the primary, of which the router knows only that it is; 2 and 3 are replicas.
+    /// Creates a group in which endpoint 1 is the primary, and 2 and 3 are replicas. The router
+    /// has only their list entries, which name no primary.
     fn new(lead: i64) -> Self {
         let settings =
             Settings { stale_read_behavior: StaleReadBehavior::Serve, probes: false, ..settings() };
@@ -24,14 +26,15 @@
         SteppedGroup { harness, lead, last_request: 0 }
     }
 
-    /// The same, once the primary has answered two writes.
+    /// Creates a group like [`SteppedGroup::new`], whose primary has answered two writes, so that the router
+    /// knows its clock.
     fn with_known_clock(lead: i64) -> Self {
         let mut group = SteppedGroup::new(lead);
         group.write_twice();
         group
     }
 
-    /// The time on the primary's clock.
+    /// Returns the time on the primary's clock.
     fn clock(&self) -> Micros {
         self.harness.now.saturating_add_signed(self.lead)
     }
@@ -42,7 +45,8 @@
         sent_to(&self.harness.handle(Event::Request(request)))
     }
 
-    /// Ends the last request, which endpoint `from` answers.
+    /// Ends an attempt of the last request at endpoint `from`, whose response reports this role and position.
+    /// Returns the endpoint of the next attempt.
     fn end(
         &mut self,
         attempt: u32,
@@ -56,7 +60,7 @@
         sent_to(&self.harness.handle(Event::AttemptEnded(AttemptResult { metadata, ..result })))
     }
 
-    /// Two writes that the primary answers with this position, as seen from each.
+    /// Sends two writes, which the primary answers with the position that `position` returns at that time.
     fn write_twice_at(&mut self, position: impl Fn(&Self) -> Micros) {
         for _ in 0..2 {
             self.harness.advance(400 * MS);
@@ -76,17 +80,17 @@
         self.write_twice_at(SteppedGroup::clock);
     }
 
-    /// The endpoint that serves a read of data that is at most 800 ms old.
+    /// Returns the endpoint that a read of data that is at most 800 ms old is sent to.
     fn bounded_read(&mut self) -> Option<u64> {
         self.read(request(0, BOUNDED_STALENESS))
     }
 
-    /// The endpoint that serves a read that has to see this position.
+    /// Returns the endpoint that a read which requires this position is sent to.
     fn own_read(&mut self, position: Micros) -> Option<u64> {
         self.read(Request { min_position: Some(position), ..request(0, READ_YOUR_WRITES) })
     }
 
-    /// The client of the read leaves at once.
+    /// Sends a read, whose client disconnects immediately, and returns the endpoint that it was sent to.
     fn read(&mut self, read: Request) -> Option<u64> {
         let to = self.start(read);
         self.harness.handle(Event::ClientDisconnected(self.last_request));
@@ -100,8 +104,9 @@
         self.harness.report(endpoint, Role::Replica, position);
     }
 
-    /// Replica 2 is fresh and replica 3 lags: each read goes to an endpoint that has what it requires.
-    fn assert_reads_go_where_data_is_fresh(&mut self) {
+    /// Reports positions by which replica 2 is fresh and replica 3 lags, and asserts that each read is sent
+    /// to an endpoint that is fresh enough for it.
+    fn assert_reads_go_to_fresh_endpoints(&mut self) {
         let clock = self.clock();
         self.report(2, clock - 100 * MS);
         self.report(3, clock - 2000 * MS);
@@ -114,13 +119,13 @@
 }
 
 #[test]
-fn reads_go_where_data_is_fresh_whatever_the_routers_own_clock_reads() {
+fn reads_go_to_fresh_endpoints_whatever_the_hosts_clock_reads() {
     for lead in [0, HOUR, -HOUR] {
-        SteppedGroup::with_known_clock(lead).assert_reads_go_where_data_is_fresh();
+        SteppedGroup::with_known_clock(lead).assert_reads_go_to_fresh_endpoints();
     }
 }
 
-/// The estimate exceeds the step by what an answer takes at most.
+/// The logged span may exceed the step by up to the time that an answer takes, here 20 ms.
 #[test]
 fn a_step_is_logged_once_with_its_span() {
     for (lead, text) in [(HOUR, "+3600."), (-HOUR, "-3599.9")] {
@@ -134,9 +139,9 @@
 }
 
 #[test]
-fn no_replica_counts_as_fresh_before_the_clock_of_its_group_is_known() {
+fn no_replica_counts_as_fresh_before_its_groups_clock_is_known() {
     let mut group = SteppedGroup::new(HOUR);
-    // What it has is ten minutes old; by the router's own clock it would be current.
+    // The data of replica 2 is ten minutes old. By the host's clock, its position would be current.
     group.report(2, group.clock() - 600_000 * MS);
     for _ in 0..4 {
         assert!(matches!(group.bounded_read(), None | Some(1)));
@@ -145,22 +150,25 @@
 }
 
 #[test]
-fn a_step_of_all_members_clocks_makes_no_replica_that_lags_look_fresh_or_a_fresh_one_stale() {
+fn a_step_of_all_members_clocks_makes_no_lagging_replica_look_fresh_and_no_fresh_replica_stale() {
     for step in STEPS {
         let mut group = SteppedGroup::with_known_clock(0);
-        group.assert_reads_go_where_data_is_fresh();
+        group.assert_reads_go_to_fresh_endpoints();
         group.lead = step;
         group.harness.advance(2000 * MS);
         for _ in 0..4 {
-            assert!(matches!(group.bounded_read(), None | Some(1)), "no replica has answered since");
+            assert!(
+                matches!(group.bounded_read(), None | Some(1)),
+                "no replica has reported a position since the step"
+            );
         }
         group.write_twice();
-        group.assert_reads_go_where_data_is_fresh();
+        group.assert_reads_go_to_fresh_endpoints();
     }
 }
 
 #[test]
-fn a_step_of_one_replicas_clock_does_not_change_what_the_others_serve() {
+fn a_step_of_one_replicas_clock_does_not_change_which_reads_the_others_serve() {
     for step in STEPS {
         let mut group = SteppedGroup::with_known_clock(0);
         for _ in 0..4 {
@@ -173,13 +181,15 @@
         }
         group.harness.now += HOUR as Micros;
         group.write_twice();
-        assert_eq!(group.bounded_read(), Some(1), "the position of the future does not count later either");
+        assert_eq!(group.bounded_read(), Some(1), "a position from the future is not trusted later either");
     }
 }
 
-/// Guards against a member that was stepped, or says wrongly that it is the primary.
+/// Guards against stale reads after one clock was stepped: the position of a primary whose clock differs from
+/// those of its replicas, or of a member that wrongly reports to be the primary, shows nothing about the age
+/// of their data.
 #[test]
-fn one_primary_that_was_stepped_makes_no_replica_that_lags_look_fresh() {
+fn a_step_of_the_primarys_clock_makes_no_lagging_replica_look_fresh() {
     for step in STEPS {
         let mut group = SteppedGroup::with_known_clock(0);
         let clock = group.clock();
@@ -193,9 +203,10 @@
     }
 }
 
-/// Guards against the last position of a primary that was cut off, which tells nothing of the present.
+/// Guards against stale reads after a primary was cut off from its group: it repeats its last position, which
+/// is no longer the current time on the group's clock.
 #[test]
-fn a_primary_whose_position_stands_still_makes_no_replica_look_fresh() {
+fn a_primary_whose_position_does_not_advance_makes_no_replica_look_fresh() {
     let mut group = SteppedGroup::with_known_clock(0);
     group.harness.advance(2000 * MS);
     let stopped = group.clock() - 2000 * MS;
@@ -206,7 +217,7 @@
 }
 
 #[test]
-fn a_start_in_the_list_is_recent_or_long_ago_whatever_the_routers_own_clock_reads() {
+fn a_listed_start_counts_as_recent_or_long_ago_whatever_the_hosts_clock_reads() {
     for lead in [0, HOUR, -HOUR] {
         let reads_after_start = |age: Micros| {
             let mut group = SteppedGroup::with_known_clock(lead);
@@ -220,8 +231,8 @@
             serve_reads(&mut group.harness, 1010..1110, 0, Outcome::Ok);
             send_count(&group.harness.log, 3)
         };
-        let (cold, warm) = (reads_after_start(500 * MS), reads_after_start(100_000 * MS));
+        let (warming_up, warm) = (reads_after_start(500 * MS), reads_after_start(100_000 * MS));
         assert!(warm >= 30, "{warm} of 100 reads at a warm endpoint");
-        assert!(cold < warm / 2, "{cold} of 100 reads while it warms up, {warm} later");
+        assert!(warming_up < warm / 2, "{warming_up} of 100 reads while it warms up, {warm} when it is warm");
     }
 }
--- a/tests/policy/quiet.rs
+++ b/tests/policy/quiet.rs
@@ -1,13 +1,14 @@
-//! Trouble that begins after a long quiet time, in which rates have decayed and nothing was heard of endpoints.
+//! Changes and faults after a long time without requests, in which the moving rates have decayed.
 
 use crate::harness::*;
 use liftrelay::*;
 
 const TEN_MINUTES: Micros = 600_000 * MS;
-/// After this long, the decayed rates are zero, as after a day.
+/// After an hour without requests, the decayed rates are rounded to 0, as after a day.
 const HOUR: Micros = 6 * TEN_MINUTES;
 
-/// Routers after a quiet time, and one without any for comparison.
+/// Returns two routers after a quiet time, and one without a quiet time for comparison, each with its quiet
+/// time.
 fn after_quiet_times() -> Vec<(Micros, RouterHarness)> {
     let start = |quiet| {
         let mut harness = RouterHarness::with_known_roles(settings(), 4);
@@ -22,7 +23,7 @@
     [0, TEN_MINUTES, HOUR].map(start).into()
 }
 
-/// Answers all probes that are open; returns how many there were.
+/// Answers all probes in the log, clears the log, and returns the number of probes.
 fn answer_probes(harness: &mut RouterHarness) -> usize {
     let probed = |action: &Action| match action {
         Action::Probe(endpoint) => Some(endpoint.0),
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn probes_come_at_the_usual_rate_again_soon_after_a_quiet_time() {
+fn probes_return_to_the_usual_rate_soon_after_a_quiet_time() {
     let probes = |mut harness: RouterHarness| {
         let mut probes = 0;
         for id in 1000..1500 {
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn a_drain_after_a_quiet_time_binds_at_once() {
+fn a_drain_after_a_quiet_time_takes_effect_immediately() {
     for (quiet, mut harness) in after_quiet_times() {
         update_state(&mut harness, 3, EndpointState::Draining);
         serve_reads(&mut harness, 1000..1100, 0, Outcome::Ok);
@@ -74,10 +75,10 @@
     }
 }
 
-/// The primary has died in the quiet time: the first write that meets it may be rejected, the others are served by
-/// the new one.
+/// The primary has failed in the quiet time. The first write may be rejected, as the router still sends it to
+/// the failed primary; all other writes must be served by the new one.
 #[test]
-fn a_primary_that_died_in_a_quiet_time_is_replaced() {
+fn a_primary_that_failed_in_a_quiet_time_is_replaced() {
     for (quiet, mut harness) in after_quiet_times() {
         let mut served = 0;
         for id in 1000..1010 {
@@ -85,13 +86,13 @@
             let mut attempt = 0;
             for _ in 0..20 {
                 while let Some(to) = sent_to(&actions) {
-                    let (how, role) = match to {
+                    let (outcome, role) = match to {
                         1 => (Outcome::ConnectFailed, None),
                         2 => (Outcome::Ok, Some(Role::Primary)),
                         _ => (Outcome::NotServable, Some(Role::Replica)),
                     };
-                    served += usize::from(how == Outcome::Ok);
-                    actions = harness.end_attempt(id, attempt, to, how, role);
+                    served += usize::from(outcome == Outcome::Ok);
+                    actions = harness.end_attempt(id, attempt, to, outcome, role);
                     attempt += 1;
                 }
                 actions = harness.advance(50 * MS);
@@ -101,7 +102,8 @@
     }
 }
 
-/// An endpoint that hangs from the quiet time on is ejected as soon as any other.
+/// An endpoint that starts to fail in the quiet time must be ejected as soon as one that fails at any other
+/// time.
 #[test]
 fn an_endpoint_that_fails_after_a_quiet_time_is_ejected() {
     for (quiet, mut harness) in after_quiet_times() {
