--- a/tests/policy/selection.rs
+++ b/tests/policy/selection.rs
@@ -1,4 +1,5 @@
-//! The ordinary path: own pending counts, ties in turn, the primary last seen.
+//! Selection without faults: by the router's own pending counts, with ties in turn, and by the primary last
+//! observed.
 
 use crate::harness::*;
 use liftrelay::*;
@@ -9,13 +10,17 @@
     let mut seen: Vec<u64> = (1..=3).map(|id| sent_to(&harness.request(id, ANY)).unwrap()).collect();
     let second = seen[1];
     seen.sort();
-    assert_eq!(seen, [2, 3, 4], "each replica has one, the primary none");
+    assert_eq!(seen, [2, 3, 4], "each replica has one pending read, the primary none");
     harness.end_attempt(2, 0, second, Outcome::Ok, Some(Role::Replica));
-    assert_eq!(sent_to(&harness.request(4, ANY)), Some(second), "its count fell on the outcome");
+    assert_eq!(
+        sent_to(&harness.request(4, ANY)),
+        Some(second),
+        "its pending count has fallen with the outcome"
+    );
 }
 
 #[test]
-fn ties_are_taken_in_turn() {
+fn replicas_with_equal_pending_counts_take_turns() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     let mut order = Vec::new();
     for id in 1..=4 {
@@ -28,37 +33,41 @@
 }
 
 #[test]
-fn writes_and_latest_reads_go_to_the_primary_last_seen() {
+fn writes_and_latest_reads_go_to_the_primary_last_observed() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     assert_eq!(sent_to(&harness.request(1, WRITE)), Some(1));
     assert_eq!(sent_to(&harness.request(2, LATEST)), Some(1));
     harness.now += 10 * MS;
     harness.report(2, Role::Primary, harness.now);
-    assert_eq!(sent_to(&harness.request(3, WRITE)), Some(2), "newer evidence wins");
+    assert_eq!(sent_to(&harness.request(3, WRITE)), Some(2), "newer evidence changes the primary");
     harness.report(1, Role::Primary, harness.now - 8 * MS);
-    assert_eq!(sent_to(&harness.request(4, WRITE)), Some(2), "an old report does not");
+    assert_eq!(sent_to(&harness.request(4, WRITE)), Some(2), "an older report does not change it back");
 }
 
 #[test]
-fn a_write_without_a_known_primary_tries_each_member_once_then_waits_for_the_timer() {
+fn a_write_without_a_known_primary_is_sent_to_each_member_once_and_then_held() {
     let mut harness = RouterHarness::new(settings(), 3);
-    let mut asked = vec![sent_to(&harness.request(1, WRITE)).unwrap()];
+    let mut tried = vec![sent_to(&harness.request(1, WRITE)).unwrap()];
     for attempt in 0..2 {
-        let at = *asked.last().unwrap();
-        asked.push(
-            sent_to(&harness.end_attempt(1, attempt, at, Outcome::NotServable, Some(Role::Replica))).unwrap(),
+        let member = *tried.last().unwrap();
+        tried.push(
+            sent_to(&harness.end_attempt(1, attempt, member, Outcome::NotServable, Some(Role::Replica)))
+                .unwrap(),
         );
     }
-    let last = asked[2];
+    let last = tried[2];
     assert_eq!(
         sent_to(&harness.end_attempt(1, 2, last, Outcome::NotServable, Some(Role::Replica))),
         None,
-        "held"
+        "the write is held"
     );
-    asked.sort();
-    assert_eq!(asked, [1, 2, 3]);
+    tried.sort();
+    assert_eq!(tried, [1, 2, 3]);
     let later = harness.advance(300 * MS);
-    assert!(later.iter().any(|a| matches!(a, Action::Send { request: 1, .. })), "sent again on the timer");
+    assert!(
+        later.iter().any(|a| matches!(a, Action::Send { request: 1, .. })),
+        "sent again when the timer fires"
+    );
 }
 
 #[test]
@@ -75,12 +84,12 @@
             actions = harness.advance(20 * MS);
         }
     }
-    let finals = harness
+    let final_answers = harness
         .log
         .iter()
         .filter(|a| matches!(a, Action::Reject { request: 1, .. } | Action::Fail { request: 1, .. }));
-    assert_eq!(finals.count(), 1);
-    assert!(is_rejected(&harness.log, 1), "nothing ran, so it is rejected");
+    assert_eq!(final_answers.count(), 1);
+    assert!(is_rejected(&harness.log, 1), "no attempt may have run, so the write is rejected");
 }
 
 #[test]
@@ -92,7 +101,7 @@
 }
 
 #[test]
-fn a_rejected_write_clears_the_known_primary_and_tries_the_next_member() {
+fn a_rejected_write_clears_the_known_primary_and_is_sent_to_another_member() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     assert_eq!(sent_to(&harness.request(1, WRITE)), Some(1));
     harness.now += 5 * MS;
@@ -101,7 +110,7 @@
 }
 
 #[test]
-fn a_read_rejected_by_one_replica_tries_the_next_then_the_primary() {
+fn a_read_rejected_by_replicas_is_sent_to_the_next_replica_and_then_to_the_primary() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     let first = sent_to(&harness.request(1, ANY)).unwrap();
     let second =
@@ -112,7 +121,7 @@
 }
 
 #[test]
-fn a_read_that_no_endpoint_is_fresh_enough_for_is_answered_in_time() {
+fn a_read_for_which_no_endpoint_is_fresh_enough_is_rejected_in_time() {
     let mut harness = RouterHarness::with_known_roles(settings(), 2);
     let end = harness.now + 90 * MS;
     let mut actions =
