--- a/tests/policy/freshness.rs
+++ b/tests/policy/freshness.rs
@@ -1,10 +1,10 @@
-//! Reads with a freshness requirement, and positions of replicas.
+//! Reads with a freshness requirement, and the positions of replicas.
 
 use crate::harness::*;
 use liftrelay::*;
 
 #[test]
-fn lagging_replicas_are_avoided_while_a_primary_is_known() {
+fn reads_avoid_lagging_replicas_while_a_primary_is_known() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
     harness.now += 1000 * MS;
     for n in 2..=4 {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_rejected_read_is_evidence_of_lag() {
+fn a_replica_that_rejected_a_read_counts_as_lagging() {
     let mut harness = RouterHarness::with_known_roles(settings(), 2);
     harness.now += 2000 * MS;
     let own =
@@ -23,11 +23,11 @@
     assert_eq!(sent_to(&harness.handle(own(1))), Some(2));
     harness.now += 60 * MS;
     assert_eq!(sent_to(&harness.end_attempt(1, 0, 2, Outcome::NotServable, Some(Role::Replica))), Some(1));
-    assert_eq!(sent_to(&harness.handle(own(2))), Some(1), "the next one is not sent there");
+    assert_eq!(sent_to(&harness.handle(own(2))), Some(1), "the next read is not sent to the replica");
 }
 
 #[test]
-fn long_reads_of_all_routers_gather_at_one_replica() {
+fn all_routers_send_long_reads_to_the_same_replica() {
     let mut settings = settings();
     settings.classes.push(Class {
         latency_objective: 6000 * MS,
@@ -40,14 +40,14 @@
         serve_reads(&mut harness, 1..1 + before, 0, Outcome::Ok);
         let to: Vec<_> = (10..12).map(|id| sent_to(&harness.request(id, long))).collect();
         assert_eq!(to, [Some(2), Some(2)]);
-        assert_ne!(sent_to(&harness.request(20, ANY)), Some(2), "others come first for the rest");
+        assert_ne!(sent_to(&harness.request(20, ANY)), Some(2), "other reads prefer the other replicas");
     }
 }
 
-/// Guards against a rejection of a request that is over: nobody knows what it required, and the endpoint was
-/// taken for one that lags by years.
+/// Guards against the rejection of a read whose client has disconnected: its required position is no
+/// longer known, and if it were taken as 0, the endpoint would count as lagging by years.
 #[test]
-fn a_rejected_read_of_a_finished_request_tells_no_lag() {
+fn a_rejected_read_without_a_client_does_not_make_its_replica_count_as_lagging() {
     let mut harness = RouterHarness::with_known_roles(settings(), 2);
     harness.advance(2000 * MS);
     let fresh = Request { time_since_write: Some(500 * MS), ..request(1, READ_YOUR_WRITES) };
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn commits_of_a_session_are_remembered() {
+fn reads_of_a_session_see_its_remembered_commits() {
     let mut harness = RouterHarness::with_known_roles(Settings { remember_commits: true, ..settings() }, 2);
     harness.now += 1000 * MS;
     harness.report(2, Role::Replica, harness.now - 700 * MS);
@@ -71,22 +71,22 @@
     assert_eq!(
         sent_to(&harness.handle(of(2, READ_YOUR_WRITES))),
         Some(1),
-        "the replica is not expected to have it yet"
+        "the replica is not expected to have the commit yet"
     );
     let other = Request { session: 8, ..request(3, READ_YOUR_WRITES) };
     assert_eq!(sent_to(&harness.handle(Event::Request(other))), Some(2));
 }
 
 #[test]
-fn no_read_goes_to_an_endpoint_not_known_fresh_where_endpoints_serve_stale() {
+fn reads_go_only_to_endpoints_known_to_be_fresh_where_endpoints_serve_stale_data() {
     let mut harness =
-        RouterHarness::with_known_roles(Settings { probes: false, ..settings_serving_stale() }, 3);
+        RouterHarness::with_known_roles(Settings { probes: false, ..settings_with_stale_reads() }, 3);
     harness.advance(100 * MS);
     let own = Request { time_since_write: Some(50 * MS), ..request(1, READ_YOUR_WRITES) };
     assert_eq!(
         sent_to(&harness.handle(Event::Request(own))),
         Some(1),
-        "only the primary is known to have it"
+        "only the primary is known to have the session's write"
     );
     harness.report(2, Role::Replica, harness.now - 20 * MS);
     let own = Request { time_since_write: Some(50 * MS), ..request(2, READ_YOUR_WRITES) };
@@ -94,115 +94,145 @@
     assert!(matches!(sent_to(&harness.request(3, BOUNDED_STALENESS)), Some(2 | 3)));
 }
 
-/// Members that answer from what they have, however old it is.
-fn settings_serving_stale() -> Settings {
+/// Settings for endpoints that answer reads from the data that they have, however old it is.
+fn settings_with_stale_reads() -> Settings {
     Settings { stale_read_behavior: StaleReadBehavior::Serve, ..settings() }
 }
 
-/// Guards against trials that ask a member whose data is seconds old, as it was back from a lost zone.
+/// Guards against stale answers from trials: a member that is reachable again after the loss of its zone may
+/// have data that is seconds old, and serves a read from it.
 #[test]
-fn a_trial_keeps_to_the_staleness_bound_where_endpoints_serve_stale() {
-    let mut harness = RouterHarness::with_known_roles(settings_serving_stale(), 4);
+fn trials_respect_the_staleness_bound_where_endpoints_serve_stale_data() {
+    let mut harness = RouterHarness::with_known_roles(settings_with_stale_reads(), 4);
     for round in 0..10 {
         harness.advance(20 * MS);
         let ids = round * 3 + 1..round * 3 + 4;
         let sends: Vec<_> = ids.map(|id| (id, sent_to(&harness.request(id, ANY)).unwrap())).collect();
         for (id, to) in sends {
-            // Member 4 falls silent, with what is known of it at the start.
+            // Member 4 refuses connections, so that its position at the start remains the last known one.
             let outcome = if to == 4 { Outcome::ConnectFailed } else { Outcome::Ok };
             if let Some(to) = sent_to(&harness.end_attempt(id, 0, to, outcome, None)) {
                 harness.end_attempt(id, 1, to, Outcome::Ok, None);
             }
         }
     }
-    assert_eq!(harness.router.endpoint_counts(), EndpointCounts { listed: 4, avoided: 1 }, "it is ejected");
+    assert_eq!(
+        harness.router.endpoint_counts(),
+        EndpointCounts { listed: 4, avoided: 1 },
+        "member 4 is ejected"
+    );
     for id in 100..160 {
         harness.advance(100 * MS);
-        (1..=3)
-            .for_each(|s| harness.report(s, if s == 1 { Role::Primary } else { Role::Replica }, harness.now));
+        (1..=3).for_each(|member| {
+            harness.report(member, if member == 1 { Role::Primary } else { Role::Replica }, harness.now)
+        });
         let to = sent_to(&harness.request(id, BOUNDED_STALENESS)).unwrap();
-        assert_ne!(to, 4, "what it has is {} old", harness.now - 1_000_000 * MS);
+        assert_ne!(to, 4, "the data of member 4 is {} us old", harness.now - 1_000_000 * MS);
         harness.end_attempt(id, 0, to, Outcome::Ok, None);
     }
     harness.report(4, Role::Replica, harness.now - 100 * MS);
     assert_eq!(
         sent_to(&harness.request(200, BOUNDED_STALENESS)),
         Some(4),
-        "known to be fresh, it gets its trial"
+        "member 4 gets its trial once it is known to be fresh"
     );
 }
 
-/// Guards against reads that hundreds of routers all send to primaries, as none knows a replica's position lately.
+/// Guards against an overload of primaries by reads: each of hundreds of routers sends few requests, knows no
+/// recent position of a replica, and would send all reads with a staleness bound to the primary.
 #[test]
-fn a_read_first_probes_a_replica_for_its_position_where_endpoints_serve_stale() {
-    let mut harness = RouterHarness::with_known_roles(settings_serving_stale(), 3);
+fn a_read_waits_for_a_probe_of_a_replicas_position_where_endpoints_serve_stale_data() {
+    let mut harness = RouterHarness::with_known_roles(settings_with_stale_reads(), 3);
     harness.advance(3000 * MS);
     let probed = |actions: &[Action]| {
         let probe = |a: &Action| if let Action::Probe(s) = a { Some(s.0) } else { None };
         actions.iter().find_map(probe)
     };
-    let asked = |harness: &mut RouterHarness, id| {
+    let probed_for_read = |harness: &mut RouterHarness, id| {
         let actions = harness.request(id, BOUNDED_STALENESS);
-        assert_eq!(sent_to(&actions), None, "it waits for the answer");
-        // One under way already is not sent twice.
+        assert_eq!(sent_to(&actions), None, "the read waits for the answer of the probe");
+        // A replica with a probe in flight is not probed again.
         probed(&actions).or_else(|| probed(&harness.log)).unwrap()
     };
-    let answer = |harness: &mut RouterHarness, s, age| {
+    let answer_probe = |harness: &mut RouterHarness, replica, age| {
         let report = LoadReport { role: Some(Role::Replica), position: Some(harness.now - age) };
-        sent_to(&harness.handle(Event::ProbeEnded { endpoint: EndpointId(s), answered: true, report }))
+        sent_to(&harness.handle(Event::ProbeEnded { endpoint: EndpointId(replica), answered: true, report }))
     };
-    let first = asked(&mut harness, 1);
-    assert_ne!(first, 1, "the primary stands at the present");
+    let first = probed_for_read(&mut harness, 1);
+    assert_ne!(first, 1, "the primary has no lag, so a replica is probed");
     harness.now += 2 * MS;
-    assert_eq!(answer(&mut harness, first, 200 * MS), Some(first));
+    assert_eq!(answer_probe(&mut harness, first, 200 * MS), Some(first));
     assert_eq!(
         sent_to(&harness.request(2, BOUNDED_STALENESS)),
         Some(first),
-        "what is known to be fresh is not asked again"
+        "a replica that is known to be fresh is not probed again"
     );
     harness.advance(3000 * MS);
     harness.log.clear();
-    let second = asked(&mut harness, 3);
-    assert_eq!(answer(&mut harness, second, 900 * MS), Some(1), "it lags too far: the primary serves it");
+    let second = probed_for_read(&mut harness, 3);
+    assert_eq!(
+        answer_probe(&mut harness, second, 900 * MS),
+        Some(1),
+        "the replica lags too far, so the primary serves the read"
+    );
     harness.advance(3000 * MS);
     harness.log.clear();
-    let third = asked(&mut harness, 4);
-    assert_eq!(sent_to(&harness.advance(100 * MS)), Some(1), "no answer: the primary serves it soon");
+    let third = probed_for_read(&mut harness, 4);
+    assert_eq!(
+        sent_to(&harness.advance(100 * MS)),
+        Some(1),
+        "without an answer, the primary serves the read within 100 ms"
+    );
     let failed =
         Event::ProbeEnded { endpoint: EndpointId(third), answered: false, report: LoadReport::default() };
     harness.handle(failed);
     harness.log.clear();
-    assert_ne!(asked(&mut harness, 5), third, "who did not answer is not the next to be asked");
+    assert_ne!(
+        probed_for_read(&mut harness, 5),
+        third,
+        "a replica that did not answer is not probed for the next read"
+    );
 }
 
-/// Guards against answers that nothing keeps from being too old: only writes may look for the primary there.
+/// Guards against stale answers to reads of the latest data: a replica that serves stale data would answer
+/// such a read if it were sent there in a search for the primary. Only writes may search.
 #[test]
-fn latest_reads_do_not_search_for_the_primary_where_endpoints_serve_stale() {
-    let mut harness = RouterHarness::new(settings_serving_stale(), 3);
+fn latest_reads_do_not_search_for_the_primary_where_endpoints_serve_stale_data() {
+    let mut harness = RouterHarness::new(settings_with_stale_reads(), 3);
     assert_eq!(sent_to(&harness.request(1, LATEST)), None);
     assert_eq!(sent_to(&harness.advance(200 * MS)), None);
     harness.log.clear();
     harness.report(2, Role::Primary, harness.now);
-    assert_eq!(sent_to(&harness.log), Some(2), "found, it serves the read at once");
+    assert_eq!(
+        sent_to(&harness.log),
+        Some(2),
+        "once the primary is known, the read is sent to it immediately"
+    );
 }
 
-/// Guards against a report on its way that names a primary which has said since that it is none.
+/// Guards against an outdated load report that names a primary: it may be received after a later report by
+/// which the same member is a replica.
 #[test]
 fn an_old_report_does_not_make_a_replica_the_primary() {
-    let mut harness = RouterHarness::with_known_roles(settings_serving_stale(), 3);
+    let mut harness = RouterHarness::with_known_roles(settings_with_stale_reads(), 3);
     harness.report(1, Role::Replica, harness.now);
     let between = harness.now + 100 * MS;
     harness.advance(200 * MS);
     harness.report(2, Role::Replica, harness.now);
     harness.report(2, Role::Primary, between);
-    assert_eq!(sent_to(&harness.request(1, LATEST)), None, "member 2 has said since that it is a replica");
+    assert_eq!(
+        sent_to(&harness.request(1, LATEST)),
+        None,
+        "member 2 has reported later that it is a replica"
+    );
 }
 
-/// Guards against a read that is too old once it is written, as the proxy was paused after the selection.
+/// Guards against stale answers after a pause of the proxy's process: between the selection of the replica
+/// and the write of the request, the data of the replica would become older than the bound.
 #[test]
-fn a_bounded_read_leaves_time_for_a_process_pause_where_endpoints_serve_stale() {
+fn a_bounded_read_leaves_time_for_a_process_pause_where_endpoints_serve_stale_data() {
     for (age, expected) in [(640, true), (660, false)] {
-        let settings = Settings { probes: false, ..settings_serving_stale() };
+        let settings = Settings { probes: false, ..settings_with_stale_reads() };
         let mut harness = RouterHarness::with_known_roles(settings, 2);
         harness.advance(2000 * MS);
         harness.report(1, Role::Primary, harness.now);
@@ -213,13 +243,17 @@
             Action::Send { endpoint: EndpointId(2), start_within, .. } => Some(*start_within),
             _ => None,
         });
-        assert!(limits.eq(expected.then_some(10 * MS)), "150 ms are left when it must have started");
+        assert!(
+            limits.eq(expected.then_some(10 * MS)),
+            "the attempt must start at least 150 ms before the data is too old"
+        );
     }
 }
 
-/// Guards against a repeat that is written after its window, as the proxy was paused after the decision.
+/// Guards against a write that is executed twice after a pause of the proxy's process: a repeat that is
+/// decided within the deduplication window would be written after its end.
 #[test]
-fn a_keyed_write_is_not_repeated_when_a_process_pause_could_carry_it_out_of_its_window() {
+fn a_keyed_write_is_not_repeated_where_a_process_pause_could_delay_it_past_its_window() {
     for (passed, expected) in [(1840, true), (1860, false)] {
         let mut harness = RouterHarness::with_known_roles(settings(), 2);
         let write = Request { remaining: 9000 * MS, ..request(1, WRITE) };
