--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -3,58 +3,62 @@
 use crate::harness::*;
 use liftrelay::*;
 
-/// Guards against requests that are lost at an endpoint being taken for its load: they would shed all
-/// others, though it answers these at once.
+/// Guards against taking lost requests for queueing delay: an endpoint that answers all other requests
+/// immediately would count as overloaded, and these would be shed.
 #[test]
-fn lost_writes_do_not_shed_those_that_are_served() {
+fn lost_writes_do_not_cause_shedding_of_other_writes() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
-    let mut lost = Vec::new();
+    let mut lost_writes = Vec::new();
     for id in 1..=120 {
         harness.advance(100 * MS);
-        // Every fourth is never answered, the others are at once.
+        // Every fourth write is never answered, the others are answered after 2 ms.
         assert_eq!(sent_to(&harness.request(id, AT_MOST_ONCE)), Some(1), "{id}");
         if id % 4 == 0 {
-            lost.push((harness.now, id));
+            lost_writes.push((harness.now, id));
         } else {
             harness.now += 2 * MS;
             harness.end_attempt(id, 0, 1, Outcome::Ok, Some(Role::Primary));
         }
-        while let Some((at, old)) = lost.first().copied().filter(|(at, _)| at + 2000 * MS <= harness.now) {
-            let elapsed = harness.now - at;
+        while let Some((sent_at, lost_id)) =
+            lost_writes.first().copied().filter(|(sent_at, _)| sent_at + 2000 * MS <= harness.now)
+        {
+            let elapsed = harness.now - sent_at;
             harness.handle(Event::AttemptEnded(AttemptResult {
                 elapsed,
-                ..attempt_result(old, 0, 1, Outcome::TimedOut)
+                ..attempt_result(lost_id, 0, 1, Outcome::TimedOut)
             }));
-            lost.remove(0);
+            lost_writes.remove(0);
         }
     }
 }
 
 #[test]
-fn requests_beyond_capacity_are_rejected_at_once() {
+fn requests_beyond_capacity_are_rejected_immediately() {
     let mut harness = RouterHarness::with_known_roles(settings(), 2);
     let rejections = (1..=60).filter(|id| is_rejected(&harness.request(*id, ANY), *id)).count();
-    let out = send_count(&harness.log, 1) + send_count(&harness.log, 2);
-    assert!(out < 30, "{out} were sent");
-    assert_eq!(rejections, 60 - out);
+    let sends = send_count(&harness.log, 1) + send_count(&harness.log, 2);
+    assert!(sends < 30, "{sends} were sent");
+    assert_eq!(rejections, 60 - sends);
 }
 
 #[test]
-fn a_marked_client_retry_yields_to_first_attempts() {
+fn requests_marked_as_client_retries_are_shed_before_first_requests() {
     let mut settings = settings();
     settings.classes.iter_mut().for_each(|c| c.late_value = 0.0);
-    let sent_with = |is_retry: bool| {
+    let sends_with = |is_retry: bool| {
         let mut harness = RouterHarness::with_known_roles(settings.clone(), 2);
         for id in 1..=40 {
             harness.handle(Event::Request(Request { is_retry, ..request(id, ANY) }));
         }
         send_count(&harness.log, 1) + send_count(&harness.log, 2)
     };
-    assert!(sent_with(true) < sent_with(false));
+    assert!(sends_with(true) < sends_with(false));
 }
 
+/// Guards against a retry storm: all members reject requests because their queues are full, and each rejected
+/// request would be sent to every member.
 #[test]
-fn a_full_group_is_not_retried_again_and_again() {
+fn requests_to_a_group_with_full_queues_are_retried_rarely() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
     for id in 1..=30 {
         harness.advance(20 * MS);
@@ -62,11 +66,11 @@
         let mut attempt = 0;
         while let Some(to) = sent_to(&actions) {
             harness.now += MS / 2;
-            let full = AttemptResult {
+            let rejection = AttemptResult {
                 elapsed: MS / 2,
                 ..attempt_result(id, attempt, to, Outcome::RejectedByMember)
             };
-            actions = harness.handle(Event::AttemptEnded(full));
+            actions = harness.handle(Event::AttemptEnded(rejection));
             attempt += 1;
         }
     }
@@ -75,8 +79,8 @@
 }
 
 #[test]
-fn a_tenant_over_its_quota_is_shed_first() {
-    let out_at_once = |quota: f64| {
+fn requests_beyond_a_tenants_quota_are_shed_first() {
+    let sends_with_quota = |quota: f64| {
         let mut harness = RouterHarness::with_known_roles(
             Settings { quotas: vec![quota], over_quota_weight: 0.1, ..settings() },
             2,
@@ -86,25 +90,25 @@
         }
         send_count(&harness.log, 1) + send_count(&harness.log, 2)
     };
-    assert!(out_at_once(0.1) < out_at_once(1000.0));
+    assert!(sends_with_quota(0.1) < sends_with_quota(1000.0));
 }
 
-/// Guards against hundreds of routers that each see a group once in seconds and take minutes to learn that it is
-/// overloaded: together they keep it so.
+/// Guards against hundreds of routers that together keep a group overloaded: each sends it one request every
+/// few seconds, and would need minutes to detect the queueing delay.
 #[test]
-fn a_rarely_used_group_is_spared_after_a_few_delays() {
+fn requests_to_a_rarely_used_group_are_shed_after_a_few_delays() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     let other = |n| EndpointEntry { group: 2, ..endpoint_entry(n) };
     harness.handle(Event::EndpointUpdate { complete: false, endpoints: (11..=13).map(other).collect() });
     (11..=13)
         .for_each(|s| harness.report(s, if s == 11 { Role::Primary } else { Role::Replica }, harness.now));
-    let ask = |harness: &mut RouterHarness, id: u32, group, elapsed| {
+    let serve = |harness: &mut RouterHarness, id: u32, group, elapsed| {
         let actions = harness.handle(Event::Request(Request { group, ..request(id, ANY) }));
         let to = sent_to(&actions);
         to.map(|to| {
             harness.advance(elapsed);
-            let took = AttemptResult { elapsed, ..attempt_result(id, 0, to, Outcome::Ok) };
-            harness.handle(Event::AttemptEnded(took))
+            let success = AttemptResult { elapsed, ..attempt_result(id, 0, to, Outcome::Ok) };
+            harness.handle(Event::AttemptEnded(success))
         });
         to.is_some()
     };
@@ -113,33 +117,38 @@
     for round in 0..200 {
         for id in 0..20 {
             harness.advance(100 * MS);
-            rejected_elsewhere += usize::from(!ask(&mut harness, 10_000 + round * 20 + id, 2, 20 * MS));
+            rejected_elsewhere += usize::from(!serve(&mut harness, 10_000 + round * 20 + id, 2, 20 * MS));
         }
-        // Its answers take three times the objective.
-        rejected += usize::from(!ask(&mut harness, 1 + round, 1, 1200 * MS));
+        // Answers of group 1 take three times the latency objective.
+        rejected += usize::from(!serve(&mut harness, 1 + round, 1, 1200 * MS));
     }
-    assert!(rejected >= 15, "{rejected} of 200 rejected where all wait");
-    assert_eq!(rejected_elsewhere, 0, "rejected where nobody waits");
+    assert!(rejected >= 15, "{rejected} of 200 rejected in the group with queueing delay");
+    assert_eq!(rejected_elsewhere, 0, "no request is rejected in the group without queueing delay");
 }
 
-/// Guards against a primary that is filled up with what its replicas could do, and writes that find no room there.
+/// Guards against the shedding of writes because reads, which the replicas could serve, use up the capacity
+/// of the primary.
 #[test]
-fn reads_that_replicas_could_serve_leave_a_primary_its_capacity() {
+fn reads_that_replicas_could_serve_leave_capacity_for_writes_at_the_primary() {
     let mut harness = RouterHarness::with_known_roles(settings(), 2);
-    let mut at = [0; 3];
+    let mut reads_at = [0; 3];
     for id in 1..=40 {
         if let Some(to) = sent_to(&harness.request(id, ANY)) {
-            at[to as usize] += 1;
+            reads_at[to as usize] += 1;
         }
     }
-    assert!(at[1] < at[2] && at[1] > 0, "{at:?}: some go to the primary, fewer than to its replica");
+    assert!(
+        reads_at[1] < reads_at[2] && reads_at[1] > 0,
+        "{reads_at:?}: the primary gets some reads, but fewer than its replica"
+    );
     let writes = (100..110).filter(|id| sent_to(&harness.request(*id, WRITE)) == Some(1)).count();
-    assert!(writes >= 3, "{writes} of 10 writes found capacity behind {} reads", at[1]);
+    assert!(writes >= 3, "{writes} of 10 writes found capacity beside {} reads", reads_at[1]);
 }
 
-/// Guards against writes that are lost, and are not sent again, using up what reads may be retried.
+/// Guards against charging the retry budget for lost writes, which are never retried: reads would have no
+/// retries left.
 #[test]
-fn lost_writes_do_not_use_up_the_retries_of_reads() {
+fn lost_writes_do_not_use_up_the_retry_budget_of_reads() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
     for id in 1..40 {
         harness.advance(100 * MS);
@@ -147,7 +156,8 @@
         let lost = attempt_result(10 * id, 0, to, Outcome::Reset);
         let after = harness.handle(Event::AttemptEnded(AttemptResult { elapsed: 300 * MS, ..lost }));
         assert!(is_failed(&after, 10 * id), "{id}");
-        // Five reads earn one retry; the first needs it, and takes its whole time for it.
+        // Five reads add one retry to the budget. The first read needs it at its full cost, as its attempt
+        // took longer than its unloaded time.
         for read in 1..=5 {
             let to = sent_to(&harness.request(10 * id + read, ANY)).unwrap();
             if read > 1 {
@@ -156,22 +166,23 @@
             }
             let lost = attempt_result(10 * id + read, 0, to, Outcome::Reset);
             let after = harness.handle(Event::AttemptEnded(AttemptResult { elapsed: 300 * MS, ..lost }));
-            let again = sent_to(&after).unwrap_or_else(|| panic!("read {id} is not tried again: {after:?}"));
-            harness.end_attempt(10 * id + read, 1, again, Outcome::Ok, None);
+            let retried_at = sent_to(&after).unwrap_or_else(|| panic!("read {id} is not retried: {after:?}"));
+            harness.end_attempt(10 * id + read, 1, retried_at, Outcome::Ok, None);
         }
     }
 }
 
-/// Guards against a retry storm: an endpoint goes on with a read that is given up at its objective, which is then
-/// not counted as pending there, and its client sends it again, though it can no longer be in time.
+/// Guards against a retry storm: if the router gave a read up at its latency objective, the endpoint would
+/// continue to work on it without a pending attempt being counted, and the client would send it again,
+/// although no answer could meet the objective.
 #[test]
-fn a_read_that_is_late_is_awaited_as_long_as_its_client_waits() {
+fn the_router_waits_for_a_late_read_as_long_as_its_client() {
     let mut settings = settings();
     settings.classes.iter_mut().for_each(|class| class.late_value = 0.0);
     for class in [ANY, READ_YOUR_WRITES, LATEST] {
         let mut harness = RouterHarness::with_known_roles(settings.clone(), 3);
         let actions = harness.request(1, class);
-        let to = sent_to(&actions).expect("it is sent");
+        let to = sent_to(&actions).expect("the read is sent");
         let timeouts = actions.iter().filter_map(|action| match action {
             Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
@@ -180,6 +191,6 @@
         let meanwhile = harness.advance(1900 * MS);
         assert!(!is_rejected(&meanwhile, 1) && !is_failed(&meanwhile, 1), "class {class}: given up early");
         let late = harness.end_attempt(1, 0, to, Outcome::Error, None);
-        assert_eq!(sent_to(&late), None, "class {class}: an attempt that can only be late");
+        assert_eq!(sent_to(&late), None, "class {class}: no retry, as its answer could only be late");
     }
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The routing policy, through the public interface of a router.
+//! Tests of the routing policy through the public interface of the router.
 
 mod admission;
 mod clock_steps;
