--- a/tests/policy/clock_steps.rs
+++ b/tests/policy/clock_steps.rs
@@ -106,7 +106,7 @@
 
     /// Reports positions by which replica 2 is fresh and replica 3 lags, and asserts that each read is sent
     /// to an endpoint that is fresh enough for it.
-    fn assert_reads_go_to_fresh_endpoints(&mut self) {
+    fn assert_reads_go_where_data_is_fresh(&mut self) {
         let clock = self.clock();
         self.report(2, clock - 100 * MS);
         self.report(3, clock - 2000 * MS);
@@ -121,7 +121,7 @@
 #[test]
 fn reads_go_to_fresh_endpoints_whatever_the_hosts_clock_reads() {
     for lead in [0, HOUR, -HOUR] {
-        SteppedGroup::with_known_clock(lead).assert_reads_go_to_fresh_endpoints();
+        SteppedGroup::with_known_clock(lead).assert_reads_go_where_data_is_fresh();
     }
 }
 
@@ -153,7 +153,7 @@
 fn a_step_of_all_members_clocks_makes_no_lagging_replica_look_fresh_and_no_fresh_replica_stale() {
     for step in STEPS {
         let mut group = SteppedGroup::with_known_clock(0);
-        group.assert_reads_go_to_fresh_endpoints();
+        group.assert_reads_go_where_data_is_fresh();
         group.lead = step;
         group.harness.advance(2000 * MS);
         for _ in 0..4 {
@@ -163,7 +163,7 @@
             );
         }
         group.write_twice();
-        group.assert_reads_go_to_fresh_endpoints();
+        group.assert_reads_go_where_data_is_fresh();
     }
 }
 
