--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -45,14 +45,14 @@
 fn requests_marked_as_client_retries_are_shed_before_first_requests() {
     let mut settings = settings();
     settings.classes.iter_mut().for_each(|c| c.late_value = 0.0);
-    let sends_with = |is_retry: bool| {
+    let sends_if_retry = |is_retry: bool| {
         let mut harness = RouterHarness::with_known_roles(settings.clone(), 2);
         for id in 1..=40 {
             harness.handle(Event::Request(Request { is_retry, ..request(id, ANY) }));
         }
         send_count(&harness.log, 1) + send_count(&harness.log, 2)
     };
-    assert!(sends_with(true) < sends_with(false));
+    assert!(sends_if_retry(true) < sends_if_retry(false));
 }
 
 /// Guards against a retry storm: all members reject requests because their queues are full, and each rejected
@@ -98,8 +98,11 @@
 #[test]
 fn requests_to_a_rarely_used_group_are_shed_after_a_few_delays() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
-    let other = |n| EndpointEntry { group: 2, ..endpoint_entry(n) };
-    harness.handle(Event::EndpointUpdate { complete: false, endpoints: (11..=13).map(other).collect() });
+    let other_group_entry = |n| EndpointEntry { group: 2, ..endpoint_entry(n) };
+    harness.handle(Event::EndpointUpdate {
+        complete: false,
+        endpoints: (11..=13).map(other_group_entry).collect(),
+    });
     (11..=13)
         .for_each(|s| harness.report(s, if s == 11 { Role::Primary } else { Role::Replica }, harness.now));
     let serve = |harness: &mut RouterHarness, id: u32, group, elapsed| {
--- a/tests/policy/clock_steps.rs
+++ b/tests/policy/clock_steps.rs
@@ -12,34 +12,34 @@
     harness: RouterHarness,
     /// How far the clock of the primary is ahead of the host's clock, in microseconds; negative if it is
     /// behind.
-    lead: i64,
+    offset: i64,
     last_request: u32,
 }
 
 impl SteppedGroup {
     /// Creates a group in which endpoint 1 is the primary, and 2 and 3 are replicas. The router
     /// has only their list entries, which name no primary.
-    fn new(lead: i64) -> Self {
+    fn new(offset: i64) -> Self {
         let settings =
             Settings { stale_read_behavior: StaleReadBehavior::Serve, probes: false, ..settings() };
         let harness = RouterHarness::with_unknown_clock(settings, 3);
-        SteppedGroup { harness, lead, last_request: 0 }
+        SteppedGroup { harness, offset, last_request: 0 }
     }
 
     /// Creates a group like [`SteppedGroup::new`], whose primary has answered two writes, so that the router
     /// knows its clock.
-    fn with_known_clock(lead: i64) -> Self {
-        let mut group = SteppedGroup::new(lead);
+    fn with_known_clock(offset: i64) -> Self {
+        let mut group = SteppedGroup::new(offset);
         group.write_twice();
         group
     }
 
     /// Returns the time on the primary's clock.
     fn clock(&self) -> Micros {
-        self.harness.now.saturating_add_signed(self.lead)
+        self.harness.now.saturating_add_signed(self.offset)
     }
 
-    fn start(&mut self, request: Request) -> Option<u64> {
+    fn send_request(&mut self, request: Request) -> Option<u64> {
         self.last_request += 1;
         let request = Request { id: self.last_request, ..request };
         sent_to(&self.harness.handle(Event::Request(request)))
@@ -47,7 +47,7 @@
 
     /// Ends an attempt of the last request at endpoint `from`, whose response reports this role and position.
     /// Returns the endpoint of the next attempt.
-    fn end(
+    fn end_last_attempt(
         &mut self,
         attempt: u32,
         from: u64,
@@ -64,15 +64,15 @@
     fn write_twice_at(&mut self, position: impl Fn(&Self) -> Micros) {
         for _ in 0..2 {
             self.harness.advance(400 * MS);
-            let mut to = self.start(request(0, AT_MOST_ONCE));
+            let mut to = self.send_request(request(0, AT_MOST_ONCE));
             self.harness.now += 20 * MS;
             let mut attempt = 0;
             while let Some(replica) = to.filter(|to| *to != 1) {
-                to = self.end(attempt, replica, Outcome::NotServable, Role::Replica, 1);
+                to = self.end_last_attempt(attempt, replica, Outcome::NotServable, Role::Replica, 1);
                 attempt += 1;
             }
             assert_eq!(to, Some(1), "the primary is found");
-            self.end(attempt, 1, Outcome::Ok, Role::Primary, position(self));
+            self.end_last_attempt(attempt, 1, Outcome::Ok, Role::Primary, position(self));
         }
     }
 
@@ -92,7 +92,7 @@
 
     /// Sends a read, whose client disconnects immediately, and returns the endpoint that it was sent to.
     fn read(&mut self, read: Request) -> Option<u64> {
-        let to = self.start(read);
+        let to = self.send_request(read);
         self.harness.handle(Event::ClientDisconnected(self.last_request));
         if let Some(to) = to {
             self.harness.end_attempt(self.last_request, 0, to, Outcome::Cancelled, None);
@@ -120,16 +120,16 @@
 
 #[test]
 fn reads_go_to_fresh_endpoints_whatever_the_hosts_clock_reads() {
-    for lead in [0, HOUR, -HOUR] {
-        SteppedGroup::with_known_clock(lead).assert_reads_go_where_data_is_fresh();
+    for offset in [0, HOUR, -HOUR] {
+        SteppedGroup::with_known_clock(offset).assert_reads_go_where_data_is_fresh();
     }
 }
 
-/// The logged span may exceed the step by up to the time that an answer takes, here 20 ms.
+/// The logged span exceeds the step by at most the time that the answer takes and the tolerance for rounding.
 #[test]
 fn a_step_is_logged_once_with_its_span() {
-    for (lead, text) in [(HOUR, "+3600."), (-HOUR, "-3599.9")] {
-        let mut group = SteppedGroup::with_known_clock(lead);
+    for (offset, text) in [(HOUR, "+3600."), (-HOUR, "-3599.9")] {
+        let mut group = SteppedGroup::with_known_clock(offset);
         (0..4).for_each(|_| group.write_twice());
         let log = group.harness.log.iter();
         let lines: Vec<_> = log.filter(|action| matches!(action, Action::Log(_))).collect();
@@ -154,7 +154,7 @@
     for step in STEPS {
         let mut group = SteppedGroup::with_known_clock(0);
         group.assert_reads_go_where_data_is_fresh();
-        group.lead = step;
+        group.offset = step;
         group.harness.advance(2000 * MS);
         for _ in 0..4 {
             assert!(
@@ -195,7 +195,7 @@
         let clock = group.clock();
         group.report(2, clock - 2000 * MS);
         group.report(3, clock - 2000 * MS);
-        group.lead = step;
+        group.offset = step;
         group.write_twice();
         for _ in 0..4 {
             assert!(matches!(group.bounded_read(), None | Some(1)));
@@ -218,9 +218,9 @@
 
 #[test]
 fn a_listed_start_counts_as_recent_or_long_ago_whatever_the_hosts_clock_reads() {
-    for lead in [0, HOUR, -HOUR] {
+    for offset in [0, HOUR, -HOUR] {
         let reads_after_start = |age: Micros| {
-            let mut group = SteppedGroup::with_known_clock(lead);
+            let mut group = SteppedGroup::with_known_clock(offset);
             let started_at = group.clock() - age;
             group.harness.handle(Event::EndpointUpdate {
                 complete: false,
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -152,8 +152,8 @@
 #[test]
 fn removed_endpoints_do_not_slow_down_requests_or_affect_new_endpoints() {
     let mut harness = RouterHarness::with_known_roles(settings(), 3);
-    let time = |harness: &mut RouterHarness, from: u32| {
-        let round = |from: u32| {
+    let fastest_round = |harness: &mut RouterHarness, from: u32| {
+        let time_round = |from: u32| {
             let round_start = std::time::Instant::now();
             for id in from..from + 500 {
                 let to = sent_to(&harness.request(id, ANY)).unwrap();
@@ -161,9 +161,9 @@
             }
             round_start.elapsed()
         };
-        (0..5).map(|n| from + n * 500).map(round).min().unwrap()
+        (0..5).map(|n| from + n * 500).map(time_round).min().unwrap()
     };
-    let before = time(&mut harness, 10_000);
+    let before = fastest_round(&mut harness, 10_000);
     let removed = |n| EndpointEntry { state: EndpointState::Removed, ..endpoint_entry(n) };
     for n in 4..1_000 {
         harness.handle(Event::EndpointUpdate {
@@ -176,6 +176,6 @@
         assert!(to <= 2 || to == n, "endpoint {to} is removed");
         harness.end_attempt(n as u32, 0, to, Outcome::Ok, None);
     }
-    let after = time(&mut harness, 100_000);
+    let after = fastest_round(&mut harness, 100_000);
     assert!(after < 3 * before, "{before:?} for 500 requests, {after:?} after the removal of 1,000 members");
 }
--- a/tests/policy/freshness.rs
+++ b/tests/policy/freshness.rs
@@ -64,12 +64,12 @@
     let mut harness = RouterHarness::with_known_roles(Settings { remember_commits: true, ..settings() }, 2);
     harness.now += 1000 * MS;
     harness.report(2, Role::Replica, harness.now - 700 * MS);
-    let of = |id, class| Event::Request(Request { session: 7, ..request(id, class) });
-    harness.handle(of(1, WRITE));
+    let session_request = |id, class| Event::Request(Request { session: 7, ..request(id, class) });
+    harness.handle(session_request(1, WRITE));
     harness.end_attempt(1, 0, 1, Outcome::Ok, Some(Role::Primary));
     harness.now += 10 * MS;
     assert_eq!(
-        sent_to(&harness.handle(of(2, READ_YOUR_WRITES))),
+        sent_to(&harness.handle(session_request(2, READ_YOUR_WRITES))),
         Some(1),
         "the replica is not expected to have the commit yet"
     );
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_listed_endpoint_that_does_not_exist_costs_few_attempts() {
+fn a_listed_endpoint_that_does_not_exist_gets_few_attempts() {
     let mut with_missing = RouterHarness::with_known_roles(settings(), 4);
     update_state(&mut with_missing, 5, EndpointState::Ready);
     let at_missing = serve_reads(&mut with_missing, 1..40, 5, Outcome::Error);
--- a/tests/policy/rules.rs
+++ b/tests/policy/rules.rs
@@ -1,12 +1,14 @@
 //! Checks that random event sequences with fixed seeds keep the rules of the router's interface:
 //!
-//! - Each request gets one final answer, by its deadline, unless an attempt serves it.
-//! - A request has at most one attempt in flight and none after its answer. It has at most
-//!   `max_attempts` in total, not counting attempts that failed on this machine.
+//! - Each request gets one final answer, at most `ANSWER_GRACE` after its deadline, unless an attempt serves
+//!   it.
+//! - A request has at most one attempt in flight and none after its answer. It has at most `max_attempts` in
+//!   total, not counting attempts that failed on this machine.
 //! - A request that may have run is sent again only if its class allows this; a request with an idempotency
 //!   key, only within its window.
 //! - A request that may have run is rejected only if it may be repeated at any endpoint.
-//! - An endpoint that is draining or removed gets no attempts.
+//! - An endpoint gets no attempts later than `DRAIN_GRACE` after it is listed as draining, or as removed
+//!   where the settings do not allow the use of removed endpoints.
 //!
 //! The checker does not depend on the policy: it sees only the events that the router handles and the actions
 //! that it returns.
@@ -19,7 +21,7 @@
 const ANSWER_GRACE: Micros = 20 * MS;
 /// How long an endpoint may still be sent attempts after it is listed as draining or removed.
 const DRAIN_GRACE: Micros = 500 * MS;
-/// How long requests arrive.
+/// The time from the start of a sequence to the last arrival of a request.
 const ARRIVALS: Micros = 6_000 * MS;
 /// How long a sequence continues after the last arrival, so that all requests reach their deadline.
 const SETTLING: Micros = 3_000 * MS;
@@ -50,8 +52,8 @@
 struct RuleChecker {
     settings: Settings,
     requests: BTreeMap<u32, ObservedRequest>,
-    /// The endpoints that must not be sent attempts, with the time at which they were listed as draining or
-    /// removed.
+    /// The endpoints that must not be sent attempts, with the time at which they were listed as draining, or
+    /// as removed where the settings do not allow the use of removed endpoints.
     forbidden_since: BTreeMap<u64, Micros>,
     violations: Vec<String>,
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -13,9 +13,9 @@
 /// Like [`reads_sent_by_many_routers`], for requests of one class.
 fn requests_sent_by_many_routers(start: impl Fn(&mut RouterHarness), to: u64, class: usize) -> usize {
     (0..300)
-        .map(|n| {
+        .map(|seed| {
             let mut harness =
-                RouterHarness::with_known_roles_seeded(Settings { instances: 300, ..settings() }, 4, n);
+                RouterHarness::with_known_roles_seeded(Settings { instances: 300, ..settings() }, 4, seed);
             serve_reads(&mut harness, 1..8, 0, Outcome::Ok);
             start(&mut harness);
             harness.log.clear();
@@ -51,8 +51,8 @@
 }
 
 /// Lists an endpoint as just started, and as the primary if `primary_hint` is set.
-fn restart_in_list(harness: &mut RouterHarness, n: u64, primary_hint: bool) {
-    let started = EndpointEntry { started_at: harness.now, primary_hint, ..endpoint_entry(n) };
+fn restart_in_list(harness: &mut RouterHarness, endpoint: u64, primary_hint: bool) {
+    let started = EndpointEntry { started_at: harness.now, primary_hint, ..endpoint_entry(endpoint) };
     harness.handle(Event::EndpointUpdate { complete: false, endpoints: vec![started] });
 }
 
@@ -67,9 +67,9 @@
 #[test]
 fn a_primary_warming_up_gets_the_occasional_writes_of_a_router() {
     let routers = 300;
-    let sent_writes = (0..routers).filter(|n| {
+    let sent_writes = (0..routers).filter(|seed| {
         let mut harness =
-            RouterHarness::with_known_roles_seeded(Settings { instances: 300, ..settings() }, 4, *n);
+            RouterHarness::with_known_roles_seeded(Settings { instances: 300, ..settings() }, 4, *seed);
         serve_reads(&mut harness, 1..30, 0, Outcome::Ok);
         restart_in_list(&mut harness, 1, true);
         for id in 100..108 {
@@ -93,9 +93,9 @@
 #[test]
 fn a_primary_warming_up_gets_its_share_of_rare_writes_immediately() {
     let routers = 300;
-    let sent_writes = (0..routers).filter(|n| {
+    let sent_writes = (0..routers).filter(|seed| {
         let mut harness =
-            RouterHarness::with_known_roles_seeded(Settings { instances: 300, ..settings() }, 4, *n);
+            RouterHarness::with_known_roles_seeded(Settings { instances: 300, ..settings() }, 4, *seed);
         serve_reads(&mut harness, 1..30, 0, Outcome::Ok);
         restart_in_list(&mut harness, 1, true);
         harness.advance(50 * MS);
