--- a/tests/proxy/support/client.rs
+++ b/tests/proxy/support/client.rs
@@ -1,19 +1,20 @@
-//! A client of either listener.
+//! A PostgreSQL client that connects to a listener of the proxy.
 
 use super::TEST_TIMEOUT;
 use super::wire::{cancel_request, read_message, simple_query, startup_message};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection to the proxy that speaks the PostgreSQL protocol.
+/// A client connection to the proxy.
 pub struct Client {
     pub stream: TcpStream,
-    /// The body of BackendKeyData.
+    /// The body of the BackendKeyData message, which identifies this connection in cancel requests; empty
+    /// before the greeting.
     backend_key: Vec<u8>,
 }
 
 impl Client {
-    /// Connects, and waits for the greeting.
+    /// Connects, sends the startup message and reads the greeting.
     pub fn connect(address: SocketAddr) -> Client {
         let mut client = Client::connect_without_startup(address);
         client.stream.write_all(&startup_message()).unwrap();
@@ -28,17 +29,18 @@
         Client { stream, backend_key: Vec::new() }
     }
 
-    /// Opens a connection that asks to cancel the current request of this client, and returns it.
+    /// Opens another connection, sends a cancel request for this client's current request on it, and returns
+    /// that connection.
     pub fn send_cancel_to(&self, address: SocketAddr) -> Client {
         let mut cancel = Client::connect_without_startup(address);
         cancel.send(&cancel_request(&self.backend_key));
         cancel
     }
 
-    /// Reads up to the first ReadyForQuery, and keeps the key for cancel requests.
+    /// Reads up to the first ReadyForQuery, and stores the key for cancel requests.
     pub fn read_greeting(&mut self) {
         loop {
-            let (tag, body) = read_message(&mut self.stream).expect("a greeting");
+            let (tag, body) = read_message(&mut self.stream).expect("the proxy sends a greeting");
             match tag {
                 b'K' => self.backend_key = body,
                 b'Z' => return,
@@ -47,13 +49,14 @@
         }
     }
 
-    /// Reads up to ReadyForQuery or the end of the stream, and describes the messages in a line: the tag of
-    /// each, a row with its value, an error with its code, and `end` for the end of the stream.
+    /// Reads up to ReadyForQuery or the end of the stream. Returns the messages in a short notation: the tag
+    /// of each one, followed by the value of a row or the SQLSTATE of an error in parentheses; `end` stands
+    /// for the end of the stream.
     pub fn read_reply(&mut self) -> String {
         self.read_reply_until(|tag| tag == b'Z')
     }
 
-    /// The same, up to the first message whose tag satisfies `is_last`.
+    /// The same as [`Client::read_reply`], but reads up to the first message whose tag satisfies `is_last`.
     pub fn read_reply_until(&mut self, is_last: impl Fn(u8) -> bool) -> String {
         let mut descriptions = Vec::new();
         loop {
@@ -69,19 +72,18 @@
         descriptions.join(" ")
     }
 
-    /// Sends these bytes.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Sends a simple query, and reads its reply.
+    /// Sends a simple query and returns its reply in the notation of [`Client::read_reply`].
     pub fn query(&mut self, text: &str) -> String {
         self.send(&simple_query(text));
         self.read_reply()
     }
 }
 
-/// Describes one message of a reply.
+/// Returns a message of a reply in the notation of [`Client::read_reply`].
 fn describe(tag: u8, body: &[u8]) -> String {
     match tag {
         b'D' => format!("D({})", String::from_utf8_lossy(&body[6..])),
