--- a/tests/proxy/support/discovery.rs
+++ b/tests/proxy/support/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery, and the endpoint lists that they send.
+//! Mock discovery servers, and the endpoint lists that they send.
 
 use super::{MockMember, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,17 +8,17 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
 
-/// A text as one chunk of a chunked HTTP body.
+/// Returns a text and a line feed as one chunk of a chunked HTTP body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
 }
 
-/// A member as an entry of the endpoint list.
+/// Returns the entry of the endpoint list for a member of group 2.
 pub fn endpoint_entry(uid: usize, member: &MockMember, state: &str) -> String {
     endpoint_entry_in_group(uid, 2, member, state)
 }
 
-/// A member of this group as an entry of the endpoint list.
+/// Returns the entry of the endpoint list for a member of this group.
 pub fn endpoint_entry_in_group(uid: usize, group: usize, member: &MockMember, state: &str) -> String {
     let address = member.address;
     let recovery = if member.primary { "off" } else { "on" };
@@ -27,23 +27,23 @@
     )
 }
 
-/// A whole endpoint list.
+/// Returns a complete endpoint list.
 pub fn full_list(revision: u64, entries: &[String]) -> String {
     format!(r#"{{"rev":{revision},"all":true,"targets":[{}]}}"#, entries.join(","))
 }
 
-/// A whole endpoint list of serving members.
+/// Returns a complete endpoint list of serving members.
 pub fn serving_list(revision: u64, members: &[(usize, &MockMember)]) -> String {
     let entry = |(uid, member): &(usize, &MockMember)| endpoint_entry(*uid, member, "SERVING");
     full_list(revision, &members.iter().map(entry).collect::<Vec<_>>())
 }
 
-/// An update of one entry of the endpoint list.
+/// Returns an update that replaces one entry of the endpoint list.
 pub fn endpoint_update(revision: u64, entry: &str) -> String {
     format!(r#"{{"rev":{revision},"all":false,"targets":[{entry}]}}"#)
 }
 
-/// Reads the head of an HTTP request, and returns the request line.
+/// Reads the head of an HTTP request and returns the request line.
 pub(super) fn read_request_line(stream: &TcpStream) -> std::io::Result<String> {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut request_line = String::new();
@@ -55,7 +55,8 @@
     Ok(request_line)
 }
 
-/// Discovery: every watch gets the whole list, then what is pushed.
+/// A discovery server that sends the complete list on every watch, followed by the updates that the test
+/// pushes.
 pub struct MockDiscovery {
     pub address: SocketAddr,
     watches: Arc<Mutex<Vec<TcpStream>>>,
@@ -64,7 +65,8 @@
 }
 
 impl MockDiscovery {
-    /// Serves this list; with an empty one, discovery is down: it accepts a watch and sends nothing.
+    /// Starts a server of this list. With an empty list it behaves as if discovery were down: it accepts a
+    /// watch, and sends neither a list nor heartbeats on it.
     pub fn start(list: String) -> MockDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -72,7 +74,7 @@
         let (notify_watch, opened_watches) = channel();
         if !list.is_empty() {
             let watches = Arc::downgrade(&watches);
-            std::thread::spawn(move || send_keepalives(&watches));
+            std::thread::spawn(move || send_heartbeats(&watches));
         }
         let streams = watches.clone();
         let list_bytes = Arc::new(AtomicUsize::new(0));
@@ -96,12 +98,12 @@
         MockDiscovery { address, watches, opened_watches, list_bytes }
     }
 
-    /// The bytes of all lists and updates that were sent.
+    /// The number of bytes of all lists and updates sent.
     pub fn list_bytes(&self) -> usize {
         self.list_bytes.load(Ordering::SeqCst)
     }
 
-    /// Sends this text to all watches.
+    /// Sends a list or an update on all watches.
     pub fn push(&self, text: &str) {
         for stream in self.watches.lock().unwrap().iter_mut() {
             self.list_bytes.fetch_add(text.len(), Ordering::SeqCst);
@@ -123,12 +125,13 @@
 
     /// Waits for a new watch.
     pub fn wait_for_watch(&self) {
-        self.opened_watches.recv_timeout(TEST_TIMEOUT).expect("a watch comes");
+        self.opened_watches.recv_timeout(TEST_TIMEOUT).expect("the proxy opens a watch");
     }
 }
 
-/// Sends an empty line to each watch once a second, as the protocol has it, until discovery is dropped.
-fn send_keepalives(watches: &Weak<Mutex<Vec<TcpStream>>>) {
+/// Sends an empty line, the heartbeat of the protocol, on each watch once per second, until discovery is
+/// dropped.
+fn send_heartbeats(watches: &Weak<Mutex<Vec<TcpStream>>>) {
     while let Some(streams) = watches.upgrade() {
         streams.lock().unwrap().iter_mut().for_each(|stream| drop(stream.write_all(b"1\r\n\n\r\n")));
         drop(streams);
@@ -136,14 +139,14 @@
     }
 }
 
-/// Discovery whose every response is up to the test.
+/// A discovery server that accepts connections; the test sends each response itself.
 pub struct ScriptedDiscovery {
     pub address: SocketAddr,
     connections: Receiver<TcpStream>,
 }
 
 impl ScriptedDiscovery {
-    /// Listens, and answers nothing by itself.
+    /// Starts to accept connections.
     pub fn start() -> ScriptedDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -152,14 +155,16 @@
         ScriptedDiscovery { address, connections }
     }
 
-    /// The next request, and whether it asks for a watch.
+    /// Waits for the next request. Returns its connection, and whether it requests a watch.
     pub fn accept_request(&self) -> (TcpStream, bool) {
-        let stream = self.connections.recv_timeout(Duration::from_secs(15)).expect("a request comes");
+        let stream =
+            self.connections.recv_timeout(Duration::from_secs(15)).expect("the proxy sends a request");
         let request_line = read_request_line(&stream).unwrap();
         (stream, request_line.contains("stream=1"))
     }
 
-    /// Answers the next requests with this list, up to a watch, which stays open and is returned.
+    /// Answers the next requests with this list, up to and including the first watch. Returns the connection
+    /// of the watch, which stays open.
     pub fn answer_until_watch(&self, list: &str) -> TcpStream {
         loop {
             let (mut stream, is_watch) = self.accept_request();
