--- a/tests/proxy/races/discovery_outage.rs
+++ b/tests/proxy/races/discovery_outage.rs
@@ -33,7 +33,7 @@
         match self {
             Outage::Refused(_) => DiscoveryAgent::reserve(listener_of_its_own()),
             Outage::Silent(_) => DiscoveryAgent::start(AgentMode::Silent),
-            Outage::SilentForGood(_) => DiscoveryAgent::start(AgentMode::Forgetful),
+            Outage::SilentForGood(_) => DiscoveryAgent::start(AgentMode::NeverAnswering),
             Outage::Reset => DiscoveryAgent::start(AgentMode::Reset),
             Outage::Busy => DiscoveryAgent::start(AgentMode::Busy),
         }
