--- a/tests/proxy/support/fleet.rs
+++ b/tests/proxy/support/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of any size around one proxy, the same traffic whatever the size, and what the proxy needs for it.
+//! Measures the resources that one proxy uses in a fleet of any size. The traffic of the proxy does not
+//! depend on the size.
 
 use super::{
     Client, MockDiscovery, MockMember, Proxy, SERVED, endpoint_entry_in_group, endpoint_update, full_list,
@@ -7,28 +8,29 @@
 use std::process::Stdio;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Members of a group, the primary included.
+/// The number of members of a group, including the primary.
 const GROUP_SIZE: usize = 5;
-/// One in so many members is replaced in the course of a play.
+/// One in this many members is replaced during a measurement.
 const REPLACED_SHARE: usize = 12;
-/// One in so many requests is a write.
+/// One in this many requests is a write.
 const WRITE_SHARE: u32 = 4;
-/// Consecutive requests go to groups this far apart, so that they reach all of them.
+/// The step from the group of one request to the group of the next one, modulo the number of groups. It is a
+/// prime number, so that the requests reach all groups.
 const GROUP_STRIDE: u32 = 7919;
-/// Clock ticks of processor time in a second, as the kernel reports them.
+/// The clock ticks per second of the processor times in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The size of a fleet, and how long its traffic is played.
+/// The size of a fleet, and the traffic of its proxy.
 pub struct Fleet {
     pub members: usize,
-    /// The proxies of the fleet; one of them runs.
+    /// The number of proxies of the fleet. Only one of them is started; the others exist in its settings.
     pub proxies: usize,
     pub requests: u32,
-    /// How long the requests take, evenly spaced.
+    /// The time over which the requests are evenly spread.
     pub duration: Duration,
 }
 
-/// What a proxy needed for a play.
+/// The resources that a proxy used during a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetCost {
     pub cpu_seconds: f64,
@@ -40,7 +42,8 @@
 }
 
 impl Fleet {
-    /// Starts a proxy, plays the traffic while one in twelve members is replaced, and measures the proxy.
+    /// Starts a proxy and sends it the traffic while one in twelve members is replaced. Returns the resources
+    /// that the proxy used.
     pub fn play(&self) -> FleetCost {
         let (primary, replica) = (MockMember::start(true), MockMember::start(false));
         let member = |uid: usize| if uid.is_multiple_of(GROUP_SIZE) { &primary } else { &replica };
@@ -72,7 +75,8 @@
         }
     }
 
-    /// The updates of the list: a replica drains, is removed, and another one takes its place.
+    /// Returns the updates of the endpoint list. For each replaced replica, another one is added to its
+    /// group, then it drains and is removed.
     fn updates(&self, replica: &MockMember) -> Vec<String> {
         let mut updates = Vec::new();
         for replaced in 0..self.members / REPLACED_SHARE {
@@ -91,7 +95,7 @@
         updates
     }
 
-    /// Sends a request to one of the groups; returns whether it was served.
+    /// Sends a request for one of the groups. Returns whether it was served.
     fn send_request(&self, client: &mut Client, request: u32) -> bool {
         let is_write = request.is_multiple_of(WRITE_SHARE);
         let query = if is_write { write_query(request, 900) } else { read_query(request) };
@@ -101,22 +105,22 @@
     }
 }
 
-/// The processor time that this process has used.
+/// Returns the processor time that this process has used, in seconds.
 fn cpu_seconds(process: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap();
-    // The second field, the name, is in brackets; user and system time are the 14th and the 15th.
+    // The second field is the name, in parentheses; user and system time are the 14th and the 15th field.
     let fields = stat.rsplit(')').next().unwrap().split_whitespace();
     fields.skip(11).take(2).map(|ticks| ticks.parse::<f64>().unwrap() / TICKS_PER_SECOND).sum()
 }
 
-/// The most memory that this process has had in use.
+/// Returns the peak of the resident memory of this process.
 fn peak_memory_bytes(process: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     peak.trim().trim_end_matches(" kB").parse::<f64>().unwrap() * 1024.0
 }
 
-/// The open descriptors of this process.
+/// Returns the number of open descriptors of this process.
 fn count_descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().count()
 }
