--- a/tests/proxy/support/fleet_limits.rs
+++ b/tests/proxy/support/fleet_limits.rs
@@ -1,12 +1,13 @@
-//! How much more a proxy may need in a large fleet than in one of the usual size.
+//! Limits of the resources that a proxy may use in a large fleet, relative to a fleet of the usual size.
 
 use super::fleet::FleetCost;
 
-/// The limit of one need: a multiple of what the usual size takes, and more for each thousand members.
+/// The limit of one value of [`FleetCost`]: `factor` times the value in a fleet of the usual size, plus
+/// `allowance`, plus `allowance_per_thousand` for each thousand members.
 pub struct CostLimit {
     pub name: &'static str,
     pub value: fn(&FleetCost) -> f64,
-    /// The figure is the same on every machine.
+    /// Whether the value is the same on every machine, so that a test may check it.
     pub is_machine_independent: bool,
     factor: f64,
     allowance: f64,
@@ -21,13 +22,13 @@
 }
 
 impl CostLimit {
-    /// The most, or the least, of a fleet with so many members.
+    /// Returns the highest, or the lowest, permitted value in a fleet with this many members.
     pub fn bound(&self, usual: &FleetCost, members: usize) -> f64 {
         let thousands = members as f64 / 1000.0;
         (self.value)(usual) * self.factor + self.allowance + self.allowance_per_thousand * thousands
     }
 
-    /// Whether the fleet with so many members keeps to the limit.
+    /// Returns whether a fleet with this many members is within the limit.
     pub fn holds(&self, usual: &FleetCost, large: &FleetCost, members: usize) -> bool {
         let (value, bound) = ((self.value)(large), self.bound(usual, members));
         match self.bound {
@@ -37,7 +38,7 @@
     }
 }
 
-/// The limits that the operators set.
+/// The limits that the operators require.
 pub const COST_LIMITS: [CostLimit; 6] = [
     CostLimit {
         name: "CPU seconds",
