--- a/tests/proxy/support/member.rs
+++ b/tests/proxy/support/member.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a database member, whose next requests can be planned.
+//! A mock database member. The test plans how the member handles its next requests.
 
 use super::TEST_TIMEOUT;
 use super::member_connection::MemberConnection;
@@ -9,45 +9,45 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// What a member does with its next request.
+/// How a member handles a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MemberBehavior {
-    /// Answers.
+    /// Answers the request.
     Serve,
-    /// Reads the message of this type and sends nothing any more.
+    /// Reads the message of this type, and sends nothing from then on.
     HangOn(u8),
-    /// Reads the message of this type, and goes on to serve once it is released.
+    /// Reads the message of this type, and waits for [`MockMember::release_replies`] before it continues.
     HoldOn(u8),
-    /// Reads the message of this type and resets the connection.
+    /// Reads the message of this type, and closes the connection without a reply.
     ResetOn(u8),
-    /// Begins its answer and sends nothing any more.
+    /// Sends the beginning of a reply, and nothing from then on.
     HangMidReply,
-    /// Answers with an error of this code.
+    /// Answers with an error of this SQLSTATE.
     ServeError(&'static str),
-    /// Sends these bytes instead of an answer, and nothing any more.
+    /// Sends these bytes instead of a reply, and nothing from then on.
     SendRaw(&'static [u8]),
-    /// Answers, and sends these bytes right behind it.
+    /// Answers, and sends these bytes directly after the reply.
     ServeThenSend(&'static [u8]),
-    /// Answers, then drops the connection as soon as the next message comes.
+    /// Answers, and closes the connection when the next message arrives.
     ServeThenDrop,
-    /// Answers, then closes the idle connection.
+    /// Answers, and closes the connection while it is idle.
     ServeThenClose,
     /// Answers with this value.
     ServeValue(&'static str),
-    /// Reads the request, and answers with this value once it is released.
+    /// Reads the request, and answers with this value after [`MockMember::release_replies`].
     HoldReply(&'static str),
 }
 
-/// What a connection of a member reports to the test.
+/// An event that a connection of a member reports to the test.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MemberEvent {
-    /// A connection has ended.
+    /// The connection was closed, by the member or by the proxy.
     ConnectionClosed,
-    /// A message was read that will not be answered.
+    /// The member has read a message that it will not answer, or not completely.
     Hanging,
-    /// A connection waits for its greeting.
+    /// The proxy has sent its startup message; the member holds its greeting back.
     GreetingHeld,
-    /// A reply waits for its release.
+    /// The member holds a reply back.
     ReplyHeld,
 }
 
@@ -58,16 +58,16 @@
     pub at: Instant,
 }
 
-/// What a member has received and executed, and what it does next.
+/// The messages that a member has received and executed, and the plan for its next requests.
 #[derive(Default)]
 struct MemberRecord {
-    /// Types of messages and texts of statements, in order.
+    /// The received messages, in order: the text of a statement, or the type of another message.
     received: Vec<String>,
     executed: Vec<Execution>,
     plan: VecDeque<MemberBehavior>,
 }
 
-/// A member that listens on loopback; clones are the same member.
+/// A mock member that listens on the loopback interface. Clones are handles to the same member.
 #[derive(Clone)]
 pub struct MockMember {
     pub address: SocketAddr,
@@ -75,14 +75,14 @@
     record: Arc<Mutex<MemberRecord>>,
     events: Arc<Mutex<Receiver<MemberEvent>>>,
     greetings_held: Arc<(Mutex<bool>, Condvar)>,
-    /// How many of the held replies may be sent.
+    /// The number of held replies that may be sent.
     released_replies: Arc<(Mutex<usize>, Condvar)>,
     replication_lag_ms: Arc<AtomicU64>,
     connections: Arc<AtomicU64>,
 }
 
 impl MockMember {
-    /// Listens on a free port.
+    /// Starts a primary or a replica on a free port.
     pub fn start(primary: bool) -> MockMember {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (event_sender, events) = channel();
@@ -111,89 +111,90 @@
         member
     }
 
-    /// Accepts connections from now on, and greets none until [`MockMember::release_greetings`].
+    /// Makes the member accept connections without a greeting until [`MockMember::release_greetings`].
     pub fn hold_greetings(&self) {
         *self.greetings_held.0.lock().unwrap() = true;
     }
 
-    /// Greets all connections that wait, and those to come.
+    /// Sends the greeting on all waiting connections, and on later ones as soon as they open.
     pub fn release_greetings(&self) {
         *self.greetings_held.0.lock().unwrap() = false;
         self.greetings_held.1.notify_all();
     }
 
-    /// Lets so many of the held replies go.
+    /// Releases this many of the held replies; a release that no reply waits for applies to a later one.
     pub fn release_replies(&self, count: usize) {
         *self.released_replies.0.lock().unwrap() += count;
         self.released_replies.1.notify_all();
     }
 
-    /// Its data is behind by so many milliseconds from now on.
+    /// Sets how far the member's data is behind, in milliseconds.
     pub fn set_replication_lag_ms(&self, millis: u64) {
         self.replication_lag_ms.store(millis, Ordering::SeqCst);
     }
 
-    /// Adds what it does with its next requests to the plan.
+    /// Appends the behavior for further requests, one per request, to the plan.
     pub fn plan(&self, behaviors: &[MemberBehavior]) {
         self.record.lock().unwrap().plan.extend(behaviors);
     }
 
-    /// Replaces the plan.
+    /// Replaces the plan with the behavior for the next requests, one per request.
     pub fn replace_plan(&self, behaviors: &[MemberBehavior]) {
         self.record.lock().unwrap().plan = behaviors.iter().copied().collect();
     }
 
-    /// Forgets what it has received and executed, the plan, and the events so far: a connection that ended while
-    /// the program started must not pass for the one that a test waits for.
+    /// Clears the received and executed messages, the plan, and the pending events. Without this, a test
+    /// could take a connection that ended while the program started for the one whose end it waits for.
     pub fn reset_record(&self) {
         *self.record.lock().unwrap() = MemberRecord::default();
         self.events.lock().unwrap().try_iter().for_each(drop);
     }
 
-    /// The number of connections that were made to it.
+    /// Returns the number of connections opened to the member.
     pub fn connection_count(&self) -> u64 {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// The number of statements that were executed.
+    /// Returns the number of executed statements.
     pub fn executed_count(&self) -> usize {
         self.record.lock().unwrap().executed.len()
     }
 
-    /// The statements that were executed.
+    /// Returns the executed statements, in order.
     pub fn executed(&self) -> Vec<String> {
         self.executions().into_iter().map(|execution| execution.statement).collect()
     }
 
-    /// The statements that were executed, and when each was.
+    /// Returns the executed statements with their times, in order.
     pub fn executions(&self) -> Vec<Execution> {
         self.record.lock().unwrap().executed.clone()
     }
 
-    /// Types of messages and texts of statements, in the order received.
+    /// Returns the received messages, in order: the text of a statement, or the type of another message.
     pub fn received(&self) -> Vec<String> {
         self.record.lock().unwrap().received.clone()
     }
 
-    /// Waits until a connection reports this event; other events that come before it are dropped.
+    /// Waits until a connection reports this event. Events reported before it are discarded.
     pub fn wait_for(&self, event: MemberEvent) {
         let events = self.events.lock().unwrap();
-        while events.recv_timeout(TEST_TIMEOUT).expect("the event comes") != event {}
+        while events.recv_timeout(TEST_TIMEOUT).expect("the member reports the event") != event {}
     }
 
-    /// Takes the next behavior of the plan.
+    /// Removes and returns the next behavior of the plan; [`MemberBehavior::Serve`] if the plan is empty.
     pub fn next_behavior(&self) -> MemberBehavior {
         self.record.lock().unwrap().plan.pop_front().unwrap_or(MemberBehavior::Serve)
     }
 
-    /// Records a message, and the statement that it executes, if any.
+    /// Records a message, and the statement that it executed, if any.
     pub fn record_message(&self, description: String, executed: Option<String>) {
         let mut record = self.record.lock().unwrap();
         record.received.push(description);
         record.executed.extend(executed.map(|statement| Execution { statement, at: Instant::now() }));
     }
 
-    /// Waits until greetings are not held; reports if they are.
+    /// Waits until greetings are no longer held. If they are held, reports [`MemberEvent::GreetingHeld`]
+    /// first.
     pub fn wait_until_greetings_are_released(&self, events: &Sender<MemberEvent>) {
         let mut held = self.greetings_held.0.lock().unwrap();
         if *held {
@@ -204,13 +205,14 @@
         }
     }
 
-    /// The position of its data, in milliseconds since the epoch.
+    /// Returns the replication position of the member: the time up to which it has the data, in milliseconds
+    /// since the Unix epoch.
     pub fn position_ms(&self) -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
         now - self.replication_lag_ms.load(Ordering::SeqCst)
     }
 
-    /// Waits until a held reply is released, and uses that release up.
+    /// Waits for a release of a held reply, and consumes it.
     pub fn wait_for_release(&self) {
         let mut released = self.released_replies.0.lock().unwrap();
         while *released == 0 {
