--- a/tests/proxy/support/member_connection.rs
+++ b/tests/proxy/support/member_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a mock member: reads requests, and does what is planned for each.
+//! One connection to a mock member: reads requests, and handles each as the test has planned.
 
 use super::wire::{put_message, read_message, split_c_string};
 use super::{MemberBehavior, MemberEvent, MockMember};
@@ -7,26 +7,26 @@
 use std::net::TcpStream;
 use std::sync::mpsc::Sender;
 
-/// A message that ends a request, or executes a statement of it, and so may produce a row.
+/// Whether a message of this type executes a statement: a simple query or an Execute.
 fn is_execution(tag: u8) -> bool {
     matches!(tag, b'Q' | b'E')
 }
 
-/// A message that ends a request.
+/// Whether a message of this type ends a request: a simple query or a Sync.
 fn ends_request(tag: u8) -> bool {
     matches!(tag, b'Q' | b'S')
 }
 
-/// One connection to a member. Its methods return `None` when the connection is to end.
+/// One connection to a mock member. Its methods return `None` if the connection must be closed.
 pub struct MemberConnection<'a> {
     member: &'a MockMember,
     stream: TcpStream,
     events: &'a Sender<MemberEvent>,
-    /// The reply so far.
+    /// The part of the reply that is not sent yet.
     out: Vec<u8>,
-    /// What is done with the current request.
+    /// The planned behavior for the current request; `None` between requests.
     behavior: Option<MemberBehavior>,
-    /// The current request has failed: its other messages are skipped.
+    /// Whether the current request has failed: its remaining messages are skipped.
     failed: bool,
     drop_on_next_message: bool,
     prepared: HashMap<String, String>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Serves messages until the connection is to end.
+    /// Serves messages until the connection must be closed.
     pub fn serve(&mut self) -> Option<()> {
         self.read_startup()?;
         self.member.wait_until_greetings_are_released(self.events);
@@ -82,7 +82,7 @@
         }
         let behavior = self.current_behavior();
         let error = self.record_message(tag, body, behavior);
-        self.misbehave(tag, behavior)?;
+        self.apply_behavior(tag, behavior)?;
         self.put_reply(tag, body, behavior, error);
         self.end_message(tag, behavior)
     }
@@ -99,7 +99,8 @@
         *self.behavior.get_or_insert_with(|| self.member.next_behavior())
     }
 
-    /// Records the message, and the statement if it is executed; returns the code of the error that it gets.
+    /// Records the message, and its statement if the member executes it. Returns the SQLSTATE if the reply is
+    /// an error.
     fn record_message(&self, tag: u8, body: &[u8], behavior: MemberBehavior) -> Option<&'static str> {
         let (first, rest) = split_c_string(body);
         let description = match tag {
@@ -122,8 +123,8 @@
         error
     }
 
-    /// Does what is planned in place of an answer, or before it.
-    fn misbehave(&mut self, tag: u8, behavior: MemberBehavior) -> Option<()> {
+    /// Carries out a planned fault or delay before the regular reply, or instead of it.
+    fn apply_behavior(&mut self, tag: u8, behavior: MemberBehavior) -> Option<()> {
         match behavior {
             MemberBehavior::HangOn(trigger) if trigger == tag => {
                 let _ = self.events.send(MemberEvent::Hanging);
@@ -147,14 +148,14 @@
         }
     }
 
-    /// Reports that a reply is held, and waits until it is released.
+    /// Reports [`MemberEvent::ReplyHeld`], and waits until the reply is released.
     fn wait_for_release(&self) -> Option<()> {
         let _ = self.events.send(MemberEvent::ReplyHeld);
         self.member.wait_for_release();
         Some(())
     }
 
-    /// Reads until the proxy closes the connection, and then ends it.
+    /// Reads and discards messages until the proxy closes the connection.
     fn read_until_closed(&mut self) -> Option<()> {
         while read_message(&mut self.stream).is_some() {}
         None
@@ -182,7 +183,9 @@
             }
             (b'B', _) => {
                 let name = split_c_string(rest).0;
-                let Some(sql) = self.prepared.get(&name) else { panic!("{name} is not prepared here") };
+                let Some(sql) = self.prepared.get(&name) else {
+                    panic!("statement {name} is not prepared on this connection")
+                };
                 self.bound.insert(first, sql.clone());
                 put_message(&mut self.out, b'2', &[]);
             }
@@ -198,7 +201,8 @@
         }
     }
 
-    /// Sends the reply if this message asks for it, and ends the request if this is its last message.
+    /// Sends the reply after a Flush or the last message of a request. After the last message, the request
+    /// ends.
     fn end_message(&mut self, tag: u8, behavior: MemberBehavior) -> Option<()> {
         if ends_request(tag) {
             self.put_ready();
@@ -223,7 +227,7 @@
         self.stream.write_all(&std::mem::take(&mut self.out)).ok()
     }
 
-    /// The reply to a simple query: one column, one row.
+    /// Appends the reply to a simple query, up to CommandComplete: one row with one column.
     fn put_row(&mut self, value: &[u8]) {
         put_message(&mut self.out, b'T', b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
         self.put_data_and_completion(value);
