--- a/tests/proxy/support/proxy.rs
+++ b/tests/proxy/support/proxy.rs
@@ -1,4 +1,4 @@
-//! The real program as a process, and its configuration.
+//! Runs the program as a process with a configuration for tests.
 
 use super::{
     Client, Faults, MockDiscovery, MockMember, SERVED, TEST_TIMEOUT, endpoint_entry, full_list, write_query,
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// The settings that every proxy here starts with.
+/// The settings of each proxy; a test may edit them in its shell command.
 const SETTINGS: &str = r#"{"request_classes":[
  {"name":"own","aim_us":400000,"deadline_us":1200000,"effect":"safe","credit":3},
  {"name":"any","aim_us":400000,"deadline_us":1000000,"effect":"safe","credit":3,"late_share":0.2},
@@ -20,27 +20,28 @@
  "stats":{"fields":["x0","x1"],"how":"pull"},
  "contract":{"cold_from":0.2,"cold_us":1000000,"fall_multiple":2.0,"fall_us":1000000}}"#;
 
-/// The limits in the configuration, which [`Proxy::start_with_limits`] replaces.
+/// The limits of the configuration; [`Proxy::start_with_limits`] replaces them.
 const DEFAULT_LIMITS: &str = "\"sockets\":1024";
 
-/// The deploy file of the extended listener.
+/// The configuration file of the extended listener.
 const EXTENDED_LISTENER: &str = "listen = '127.0.0.1:0'\nread_class = 'own'\nwrite_class = 'write'\ngroup = 2\n\
     wait_ms = 3000\nsession_parameter = 1\nstatements = 3\n";
 
-/// The configuration of a proxy with this discovery.
+/// Returns the configuration of a proxy with this discovery.
 pub fn configuration(discovery: &MockDiscovery) -> String {
     configuration_at(discovery.address)
 }
 
-/// The configuration of a proxy with discovery at this address.
+/// Returns the configuration of a proxy with discovery at this address.
 pub fn configuration_at(discovery: SocketAddr) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f","limits":{{"sockets":1024}},"settings":{SETTINGS}}}"#
     )
 }
 
-/// A shell command that starts the program with an admin listener, where only attempts open connections to
-/// members, which may take long to come up; `more` is a further sed script on the configuration.
+/// Returns a shell command that starts the program with an admin listener and without probes, so that only
+/// attempts open connections to members. Opening a connection may take up to 10 s. `more` is a further sed
+/// script that edits the configuration.
 pub fn shell_without_probes(more: &str) -> String {
     let edit = "s/\"probes\":true/\"probes\":false,\"dial_timeout_us\":10000000/";
     format!(
@@ -48,15 +49,18 @@
     )
 }
 
-/// Waits until the counters of the proxy contain this text.
+/// Polls the counters of the proxy until they contain this text.
 pub fn wait_for_counter(proxy: &Proxy, text: &str) {
     let start = Instant::now();
     while !proxy.admin_request("GET", "counters").1.contains(text) {
-        assert!(start.elapsed() < Duration::from_secs(10), "{text} never comes");
+        assert!(
+            start.elapsed() < Duration::from_secs(10),
+            "the counters do not contain {text:?} within 10 s"
+        );
     }
 }
 
-/// Where a process listens.
+/// The addresses at which a process listens, as far as its log has named them.
 #[derive(Default)]
 struct Listeners {
     platform: Option<SocketAddr>,
@@ -65,7 +69,7 @@
 }
 
 impl Listeners {
-    /// Takes the addresses that a log line names.
+    /// Stores the addresses that a log line names.
     fn read_log_line(&mut self, line: &str) {
         if let Some((_, rest)) = line.split_once(" ops=") {
             self.admin = Some(quoted_address(rest));
@@ -80,10 +84,10 @@
     text.split('"').nth(1).unwrap().parse().unwrap()
 }
 
-/// The program as a process, with its discovery; it is killed when this is dropped.
+/// The running program with its mock discovery. Dropping this kills the process.
 pub struct Proxy {
     pub child: Child,
-    /// The platform's listener.
+    /// The address of the platform's listener.
     pub address: SocketAddr,
     pub extended_address: Option<SocketAddr>,
     pub admin_address: Option<SocketAddr>,
@@ -92,8 +96,8 @@
 }
 
 impl Proxy {
-    /// Starts the program in front of these members, and waits until it is ready and has heard from its
-    /// primary.
+    /// Starts the program with these members, the primary among them. Waits until the program is ready and
+    /// has served a write, and with that knows the primary.
     pub fn start(members: &[&MockMember]) -> Proxy {
         let proxy = Proxy::start_with_shell(members, "exec \"$0\" serve --postgres \"$1\"", "");
         assert_eq!(proxy.connect().query(&write_query(0, 900)), SERVED);
@@ -101,23 +105,24 @@
         proxy
     }
 
-    /// Starts the program by this shell command: `$0` is the program, `$1` the deploy file of the extended
-    /// listener, `$2` a file with this text. Waits until it is ready.
+    /// Starts the program by this shell command, in which `$0` is the program, `$1` the configuration file of
+    /// the extended listener, and `$2` a file with the text `file`. Waits until the program is ready.
     pub fn start_with_shell(members: &[&MockMember], shell: &str, file: &str) -> Proxy {
         Proxy::start_with_limits(members, shell, file, DEFAULT_LIMITS)
     }
 
-    /// Starts the program by this shell command with these faults of its system calls.
+    /// The same as [`Proxy::start_with_shell`] with an empty `file`, and with these faults of the program's
+    /// system calls.
     pub fn start_with_faults(members: &[&MockMember], shell: &str, faults: &Faults) -> Proxy {
         Proxy::start_with_shell(members, &faults.preload_in_shell(shell), "")
     }
 
-    /// [`Proxy::start_with_shell`] within these limits.
+    /// The same as [`Proxy::start_with_shell`], with these limits in the configuration.
     pub fn start_with_limits(members: &[&MockMember], shell: &str, file: &str, limits: &str) -> Proxy {
         Proxy::start_with_stdin(Stdio::null(), members, shell, file, limits)
     }
 
-    /// The same with this as descriptor 0.
+    /// The same as [`Proxy::start_with_limits`], with this as standard input, descriptor 0.
     pub fn start_with_stdin(
         stdin: Stdio,
         members: &[&MockMember],
@@ -127,12 +132,12 @@
     ) -> Proxy {
         let entry = |(uid, member): (usize, &&MockMember)| endpoint_entry(uid, member, "SERVING");
         let entries: Vec<_> = members.iter().enumerate().map(entry).collect();
-        // Without members, discovery is down.
+        // Without members, the mock discovery behaves as if it were down.
         let list = if members.is_empty() { String::new() } else { full_list(1, &entries) };
         Proxy::start_with_discovery(stdin, MockDiscovery::start(list), shell, file, limits)
     }
 
-    /// The same with this discovery.
+    /// The same as [`Proxy::start_with_stdin`], with this discovery in place of one that lists the members.
     pub fn start_with_discovery(
         stdin: Stdio,
         discovery: MockDiscovery,
@@ -156,7 +161,7 @@
             directory,
         };
         proxy.discovery.wait_for_watch();
-        assert_eq!(proxy.connect().query(""), "I Z", "ready once an empty query is answered");
+        assert_eq!(proxy.connect().query(""), "I Z", "the proxy answers an empty query when it is ready");
         proxy
     }
 
@@ -170,7 +175,7 @@
         Client::connect(self.extended_address.unwrap())
     }
 
-    /// What the admin listener answers to these bytes.
+    /// Sends these bytes to the admin listener, and returns its complete response.
     pub fn send_to_admin(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.admin_address.unwrap()).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -180,7 +185,7 @@
         text
     }
 
-    /// The status and the body of the response to an admin request.
+    /// Sends an admin request, and returns the status and the body of the response.
     pub fn admin_request(&self, method: &str, path: &str) -> (u16, String) {
         let request = format!("{method} /control/{path} HTTP/1.1\r\nHost: proxy\r\n\r\n");
         let response = self.send_to_admin(request.as_bytes());
@@ -188,12 +193,12 @@
         (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_string())
     }
 
-    /// The file that the shell command knew as `$2`.
+    /// Returns the path of the file that is `$2` in the shell command.
     pub fn file(&self) -> PathBuf {
         self.directory.join("more.toml")
     }
 
-    /// Replaces the configuration, and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         let new = self.directory.join("new.json");
         std::fs::write(&new, text).unwrap();
@@ -201,12 +206,12 @@
         self.signal("-HUP");
     }
 
-    /// Sends a signal, named as `kill` has it.
+    /// Sends a signal, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
     }
 
-    /// Stops the process, and returns once none of its threads runs any more.
+    /// Suspends the process with SIGSTOP, and waits until all its threads are stopped.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let tasks = format!("/proc/{}/task", self.child.id());
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Lets the process go on.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -233,7 +238,7 @@
     }
 }
 
-/// A new directory for the files of one proxy.
+/// Creates a new directory for the files of one proxy.
 fn create_directory() -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
@@ -256,13 +261,13 @@
         .unwrap()
 }
 
-/// Reads the log until it has named the listeners; the rest is read and dropped, so that the process never
-/// blocks.
+/// Reads the log until it has named the listeners. A thread reads and discards the rest: if nothing read it,
+/// the pipe would fill up and the process would block.
 fn read_listeners(stderr: ChildStderr, wants_extended: bool) -> Listeners {
     let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
     let mut listeners = Listeners::default();
     while listeners.platform.is_none() || (wants_extended && listeners.extended.is_none()) {
-        let line = lines.next().expect("the program logs where it listens");
+        let line = lines.next().expect("the program logs the addresses of its listeners");
         listeners.read_log_line(&line);
     }
     std::thread::spawn(move || lines.for_each(drop));
