--- a/tests/proxy/support/wire.rs
+++ b/tests/proxy/support/wire.rs
@@ -1,15 +1,15 @@
-//! Messages of the PostgreSQL protocol, as bytes.
+//! Builds and reads messages of the PostgreSQL protocol.
 
 use std::io::Read;
 
-/// Appends one message.
+/// Appends a message of this type.
 pub fn put_message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
     out.extend((body.len() as u32 + 4).to_be_bytes());
     out.extend(body);
 }
 
-/// Reads one message, or `None` at the end of the stream.
+/// Reads one message and returns its type and body; `None` at the end of the stream or after an error.
 pub fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
@@ -18,44 +18,45 @@
     Some((head[0], body))
 }
 
-/// Splits a zero-terminated string from the bytes behind it.
+/// Returns the zero-terminated string at the start of a body, and the bytes after it.
 pub fn split_c_string(body: &[u8]) -> (String, &[u8]) {
     let end = body.iter().position(|byte| *byte == 0).unwrap_or(body.len());
     (String::from_utf8_lossy(&body[..end]).into(), body.get(end + 1..).unwrap_or_default())
 }
 
-/// The startup message of a client.
+/// Returns the startup message of a client.
 pub fn startup_message() -> Vec<u8> {
     let text = b"user\0web\0database\0orders\0\0";
     [&(text.len() as u32 + 8).to_be_bytes()[..], &[0, 3, 0, 0], text].concat()
 }
 
-/// A cancel request that carries the body of a BackendKeyData message.
+/// Returns a cancel request for the connection with this body of its BackendKeyData message.
 pub fn cancel_request(backend_key: &[u8]) -> Vec<u8> {
     [&[0, 0, 0, 16, 4, 210, 22, 46][..], backend_key].concat()
 }
 
-/// A simple query as a message.
+/// Returns a Query message with this text.
 pub fn simple_query(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     put_message(&mut out, b'Q', format!("{text}\0").as_bytes());
     out
 }
 
-/// The text of a read in the class `any`.
+/// Returns the text of a read in the class `any` with a timeout of 900 ms.
 pub fn read_query(id: u32) -> String {
     format!(
         "SELECT payload FROM entries WHERE ref = '7f3a9c21e0b4d655' /* id={id:x},c=any,d=900,cluster=2 */"
     )
 }
 
-/// The text of a write that may take so many milliseconds.
+/// Returns the text of a write with this timeout.
 pub fn write_query(id: u32, timeout_ms: u32) -> String {
     format!("INSERT INTO entries VALUES ('7f', '\\x9f') /* id={id:x},c=write,d={timeout_ms},cluster=2 */")
 }
 
-/// Extended messages in short notation, separated by `|`: `P name sql`, `B portal name parameter`, `E
-/// portal`, `DS name`, `DP portal`, `CS name`, `CP portal`, `H`, `S`. A name of `-` is the unnamed one.
+/// Returns the messages of an extended query from a short notation, in which `|` separates the messages:
+/// `P name sql`, `B portal name parameter`, `E portal`, `DS name`, `DP portal`, `CS name`, `CP portal`, `H`
+/// and `S`. The name `-` stands for the unnamed statement or portal.
 pub fn extended_messages(script: &str) -> Vec<u8> {
     let mut out = Vec::new();
     for part in script.split('|').map(str::trim) {
@@ -76,7 +77,7 @@
     out
 }
 
-/// The body of a Bind message with one text parameter, `7f` where none is given.
+/// Returns the body of a Bind message with one text parameter, by default `7f`.
 fn bind_body(portal: &str, statement_and_value: &str) -> Vec<u8> {
     let (statement, value) = statement_and_value.split_once(' ').unwrap_or((statement_and_value, "7f"));
     let statement = unnamed_if_dash(statement);
