--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -1,4 +1,5 @@
-//! The real program as a process, between stand-ins for its clients, members and discovery.
+//! Tests that run the program as a process, with mock clients, members and discovery on the loopback
+//! interface.
 
 #![allow(missing_docs)]
 
--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback for members, discovery and clients, around the real program as a process.
+//! Runs the program as a process, with mock members, discovery and clients on the loopback interface.
 
 mod client;
 mod discovery;
@@ -26,8 +26,8 @@
 
 use std::time::Duration;
 
-/// Longer than anything here takes; reached only by a test that fails.
+/// The timeout of a blocking read or wait in a test. Only a test that fails reaches it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The reply to a simple query that was served, as [`Client::read_reply`] describes it.
+/// The reply to a simple query that was served, in the notation of [`Client::read_reply`].
 pub const SERVED: &str = "T D(value) C Z";
