--- a/benches/fleet_cost.rs
+++ b/benches/fleet_cost.rs
@@ -20,9 +20,10 @@
 const DURATION: Duration = Duration::from_secs(30);
 
 fn main() -> ExitCode {
-    let play = |members, proxies| Fleet { members, proxies, requests: REQUESTS, duration: DURATION }.play();
-    let usual = play(USUAL_MEMBERS, USUAL_PROXIES);
-    let large = play(LARGE_MEMBERS, LARGE_PROXIES);
+    let measure =
+        |members, proxies| Fleet { members, proxies, requests: REQUESTS, duration: DURATION }.measure_cost();
+    let usual = measure(USUAL_MEMBERS, USUAL_PROXIES);
+    let large = measure(LARGE_MEMBERS, LARGE_PROXIES);
     println!("{REQUESTS} requests in {} s; one in twelve members is replaced", DURATION.as_secs());
     println!("{:34} {USUAL_MEMBERS:>9} {LARGE_MEMBERS:>9} {:>9}", "members", "limit");
     let mut all_hold = true;
--- a/tests/proxy/platform/endpoint_list.rs
+++ b/tests/proxy/platform/endpoint_list.rs
@@ -152,9 +152,10 @@
 /// Guards against a proxy that needs more for each member there is, not for those that it sends to.
 #[test]
 fn proxy_in_a_fleet_of_sixteen_times_the_members_needs_little_more() {
-    let play =
-        |members, proxies| Fleet { members, proxies, requests: 100, duration: Duration::from_secs(1) }.play();
-    let (usual, large) = (play(200, 56), play(3200, 900));
+    let measure = |members, proxies| {
+        Fleet { members, proxies, requests: 100, duration: Duration::from_secs(1) }.measure_cost()
+    };
+    let (usual, large) = (measure(200, 56), measure(3200, 900));
     for limit in COST_LIMITS.iter().filter(|limit| limit.is_machine_independent) {
         assert!(limit.holds(&usual, &large, 3200), "{}: {usual:?} and {large:?}", limit.name);
     }
--- a/tests/proxy/support/fleet.rs
+++ b/tests/proxy/support/fleet.rs
@@ -44,7 +44,7 @@
 impl Fleet {
     /// Starts a proxy and sends it the traffic while one in twelve members is replaced. Returns the resources
     /// that the proxy used.
-    pub fn play(&self) -> FleetCost {
+    pub fn measure_cost(&self) -> FleetCost {
         let (primary, replica) = (MockMember::start(true), MockMember::start(false));
         let member = |uid: usize| if uid.is_multiple_of(GROUP_SIZE) { &primary } else { &replica };
         let entry = |uid| endpoint_entry_in_group(uid, uid / GROUP_SIZE, member(uid), "SERVING");
