--- a/tests/proxy/races/clients.rs
+++ b/tests/proxy/races/clients.rs
@@ -1,14 +1,16 @@
-//! Races between clients, their cancel requests and the proxy that closes idle connections.
+//! Tests of races between commands, disconnects and cancel requests of clients, and the eviction of idle
+//! connections.
 
 use crate::support::*;
 use std::io::{ErrorKind, Read};
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// Guards against a client that sends many commands at once and disconnects: its close stands behind bytes
-/// that are not read yet.
+/// A client sends more commands than the proxy reads ahead and disconnects, so that its close follows unread
+/// bytes. If the proxy noticed the close only when it had read them, the attempt in progress would not be
+/// cancelled.
 #[test]
-fn disconnect_behind_unread_commands_is_detected_at_once() {
+fn disconnect_behind_unread_commands_cancels_the_attempt_in_progress() {
     let primary = MockMember::start(true);
     let proxy = Proxy::start(&[&primary]);
     primary.plan(&[MemberBehavior::HangOn(b'Q')]);
@@ -21,12 +23,13 @@
     primary.wait_for(MemberEvent::ConnectionClosed);
     assert!(disconnected.elapsed() < Duration::from_secs(2), "{:?}", disconnected.elapsed());
     assert_eq!(proxy.connect().query(&write_query(200, 900)), SERVED);
-    assert_eq!(primary.executed_count(), 2, "no other command was sent");
+    assert_eq!(primary.executed_count(), 2, "none of the other commands is executed");
 }
 
-/// Guards against a reset that discards the last reply: the connection is closed over bytes not read.
+/// Closing a socket with unread bytes resets the connection, and the client loses the reply that it has not
+/// received yet. So the proxy closes its sending side, and reads on until the client closes the connection.
 #[test]
-fn error_before_a_close_over_unread_bytes_arrives_without_a_reset() {
+fn protocol_error_arrives_without_a_reset_though_bytes_of_the_client_are_unread() {
     let primary = MockMember::start(true);
     let proxy = Proxy::start(&[&primary]);
     for address in [proxy.address, proxy.extended_address.unwrap()] {
@@ -34,7 +37,7 @@
         let more = vec![b'x'; 100_000];
         client.send(&[b"Q\0\0\0\x02".to_vec(), more.clone()].concat());
         assert_eq!(client.read_reply_until(|tag| tag == b'E'), "E(08P01)");
-        // The proxy has closed its side, and ours still stands: nothing is reset.
+        // The proxy has closed its sending side. The client can still send, without a reset.
         assert_eq!(client.stream.read(&mut [0; 16]).unwrap(), 0);
         client.send(&more);
         client.send(&more[..1000]);
@@ -42,14 +45,16 @@
     }
 }
 
-/// Guards against rejecting a client because the connection that was idle longest has just begun its next
-/// command: another idle one is closed instead.
+/// When clients use the whole capacity, the proxy closes the connection that has been idle longest to admit a
+/// new client. If the next command of that connection has begun to arrive, the proxy must keep it and close
+/// another idle connection; otherwise it would reject the new client.
 #[test]
-fn connection_with_a_partial_command_is_kept_and_another_idle_one_is_closed() {
+fn connection_with_a_partial_command_stays_open_and_another_idle_one_is_closed() {
     let primary = MockMember::start(true);
     let proxy = Proxy::start_with_limits(&[&primary], "exec \"$0\" serve", "", "\"sockets\":64");
     let mut clients: Vec<_> = Vec::new();
-    // As many as there is capacity for: the next one is rejected, as none has been idle for long.
+    // Clients connect until the capacity is used up. The next one is rejected, because no connection has been
+    // idle long enough to be closed.
     loop {
         let mut client = Client::connect_without_startup(proxy.address);
         client.send(&[startup_message(), simple_query(&read_query(clients.len() as u32))].concat());
@@ -60,7 +65,8 @@
         clients.push(client);
     }
     let last = clients.len() - 1;
-    // The first begins a command. Once the last has been answered twice, that has been read.
+    // The first client sends the beginning of a command. The proxy has read it once it has answered the last
+    // client twice.
     let (first, text) = (0, simple_query(&read_query(500)));
     clients[first].send(&text[..20]);
     let start = Instant::now();
@@ -75,8 +81,8 @@
     assert_eq!(clients[first].read_reply(), SERVED, "the partial command is completed and served");
 }
 
-/// Guards against a cancel request that races with the reply to its request: the next request is not
-/// cancelled, and each has one reply.
+/// A cancel request may arrive after the reply to the request that it is meant for. It must not cancel the
+/// next request of the connection, and each request must get one reply.
 #[test]
 fn cancel_request_after_the_reply_has_no_effect() {
     let primary = MockMember::start(true);
@@ -90,7 +96,8 @@
     assert_eq!(primary.executed_count(), 2);
 }
 
-/// Guards against a cancel request that is not read because clients hold all the capacity there is.
+/// A cancel request arrives on a connection of its own. When clients use the whole capacity, the proxy
+/// rejects that connection, but must still read the cancel request.
 #[test]
 fn cancel_request_is_honored_when_clients_hold_all_connections() {
     let primary = MockMember::start(true);
@@ -99,7 +106,8 @@
     let mut hung = proxy.connect();
     hung.send(&simple_query(&write_query(1, 15_000)));
     primary.wait_for(MemberEvent::Hanging);
-    // As many as there is capacity for, each just served: none can be closed for another.
+    // Clients connect until the capacity is used up. Each was served a moment ago, so that none can be closed
+    // for another one.
     let (mut clients, mut full) = (Vec::new(), false);
     while !full {
         let mut client = Client::connect_without_startup(proxy.address);
@@ -114,10 +122,10 @@
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
 }
 
-/// Guards against losing a cancel request whose connection is closed behind it at once, as a client that
-/// does not wait does.
+/// A client may close the connection of its cancel request without waiting for the proxy to close it. The
+/// proxy must then still read the cancel request.
 #[test]
-fn cancel_request_is_honored_though_its_connection_is_closed_at_once() {
+fn cancel_request_is_honored_though_the_client_closes_its_connection_immediately() {
     let primary = MockMember::start(true);
     let proxy = Proxy::start(&[&primary]);
     for id in 0..20 {
@@ -133,8 +141,9 @@
     }
 }
 
-/// Guards against an attempt, the first one or a retry, that waits for its connection to open when its client
-/// closes, closes its sending side, or cancels, and is sent once the connection is open. Both listeners.
+/// An attempt, the first one or a retry, waits for a member connection to open. Meanwhile its client closes
+/// the connection, closes its sending side, or cancels the request. If the proxy did not check for that, it
+/// would send the attempt as soon as the member connection is open. Covers both listeners.
 #[test]
 fn waiting_attempt_or_retry_is_not_sent_after_its_client_has_closed_or_cancelled() {
     for ending in [Ending::Closed, Ending::SendingSideClosed, Ending::Cancelled] {
@@ -146,7 +155,7 @@
     }
 }
 
-/// How a client ends its request.
+/// How a client ends its request before the reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Ending {
     Closed,
@@ -159,9 +168,9 @@
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
     let proxy = Proxy::start_with_shell(&[&primary, &replica], &shell_without_probes(""), "");
     primary.plan(&[MemberBehavior::ServeThenClose]);
-    assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED, "the primary is known");
+    assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED, "the proxy knows the primary");
     primary.wait_for(MemberEvent::ConnectionClosed);
-    // The first attempt goes to the replica, a retry to the primary.
+    // The first attempt goes to the replica, and a retry to the primary.
     let execution = if extended { b'E' } else { b'Q' };
     let waits_for = if retry { &primary } else { &replica };
     replica.plan(&[MemberBehavior::ResetOn(execution)]);
@@ -185,10 +194,10 @@
     wait_for_counter(&proxy, "pending=0\n");
     replica.replace_plan(&[]);
     waits_for.release_greetings();
-    // The connection that was opened for it serves another request.
+    // The connection that was opened for the attempt serves another request.
     let text = if retry { write_query(3, 9000) } else { read_query(3).replace("d=900", "d=9000") };
     assert_eq!(proxy.connect().query(&text), SERVED, "{case}");
     let received = waits_for.received();
     assert!(received.iter().all(|message| !message.contains("id=2,")), "{case}: {received:?}");
-    assert_eq!(replica.executed_count(), 1, "{case}: the first attempt, or the other request");
+    assert_eq!(replica.executed_count(), 1, "{case}: only the first attempt or the other request");
 }
