--- a/tests/proxy/races/clock_steps.rs
+++ b/tests/proxy/races/clock_steps.rs
@@ -1,17 +1,20 @@
-//! The machine's wall clock is stepped, before the program starts or while it runs; its monotonic clock runs on.
+//! Tests with a stepped wall clock, before the program starts or while it runs. Steps do not affect the
+//! monotonic clock.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// How far the wall clock is stepped, in seconds.
+/// The steps of the wall clock, in seconds.
 const STEPS: [i64; 2] = [3600, -3600];
-/// How far a replica may lag for a bounded read, and how far one lags that must not serve it.
+/// The staleness bound of reads in the class `any`.
 const STALENESS_BOUND_MS: u64 = 1000;
+/// The lag of a replica that must not serve these reads.
 const LAG_MS: u64 = 5000;
-/// How long reads may take to reach the replica that is fresh.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// The time within which the fresh replica must have served the expected reads.
+const FRESH_READS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Members that serve stale data, bounded reads in the class `any`, reads of own commits in the class `own`.
+/// Returns a shell command for members that serve stale data. Reads in the class `any` have a staleness
+/// bound, and reads in the class `own` must see the commits of their session.
 fn shell() -> String {
     shell_without_probes(&format!(
         "s/\"hold\"/\"silent\"/;s/\"loose\"/\"recent\"/;s/\"probes\":false/\"probes\":true/;\
@@ -20,11 +23,11 @@
     ))
 }
 
-fn step(seconds: i64) -> String {
+fn clock_step_script(seconds: i64) -> String {
     format!("clock_gettime offset_s={seconds}")
 }
 
-/// A primary, a replica that is fresh and one that lags, behind a proxy whose wall clock may be stepped.
+/// A primary, a fresh replica and a lagging one, and a proxy whose wall clock may be stepped.
 struct Group {
     primary: MockMember,
     fresh: MockMember,
@@ -48,8 +51,9 @@
         self.last_request
     }
 
-    /// Reads that have to see the commit of a write just before, and bounded reads, until the fresh replica has
-    /// served so many of each; none may reach the replica that lags.
+    /// Sends writes, reads that must see the commits up to [`STALENESS_BOUND_MS`] before the write, and reads
+    /// with a staleness bound, until the fresh replica has served `reads` reads of each kind. Asserts that
+    /// none of them reaches the lagging replica.
     fn assert_fresh_replica_serves(&mut self, reads: usize) {
         self.fresh.reset_record();
         let mut client = self.proxy.connect();
@@ -58,7 +62,11 @@
             member.executed().iter().filter(|statement| statement.contains(class)).count()
         };
         while served(&self.fresh, "c=any") < reads || served(&self.fresh, "c=own") < reads {
-            assert!(start.elapsed() < PATIENCE, "the fresh replica served {:?}", self.fresh.executed());
+            assert!(
+                start.elapsed() < FRESH_READS_TIMEOUT,
+                "the fresh replica served {:?}",
+                self.fresh.executed()
+            );
             let write = write_query(self.next_request(), 900);
             assert_eq!(client.query(&write), SERVED);
             let commit = self.primary.position_ms() - STALENESS_BOUND_MS;
@@ -71,40 +79,41 @@
     }
 }
 
-/// Guards against positions that were compared with the proxy's clock: ahead of it they were dropped, behind it
-/// all replicas were too stale.
+/// If the proxy compared the positions of members with its own wall clock, it would drop positions ahead of
+/// that clock, and with positions behind it all replicas would look too stale.
 #[test]
 fn fresh_replica_serves_reads_though_the_wall_clock_was_stepped_before_the_start() {
     for seconds in STEPS {
-        let mut group = Group::start(Faults::scripted(&step(seconds)));
+        let mut group = Group::start(Faults::scripted(&clock_step_script(seconds)));
         group.assert_fresh_replica_serves(3);
     }
 }
 
 #[test]
-fn step_of_the_wall_clock_while_the_proxy_runs_changes_nothing() {
+fn fresh_replica_serves_reads_though_the_wall_clock_is_stepped_while_the_proxy_runs() {
     for seconds in STEPS {
         let mut group = Group::start(Faults::none());
         group.assert_fresh_replica_serves(3);
-        group.faults.set(&step(seconds));
+        group.faults.set(&clock_step_script(seconds));
         group.assert_fresh_replica_serves(3);
     }
 }
 
-/// How many of many reads each of two replicas serves, of which the second started just now.
-fn reads_with_a_cold_replica(seconds: i64) -> (usize, usize) {
-    let faults = Faults::scripted(&step(seconds));
-    let (primary, warm, cold) = (MockMember::start(true), MockMember::start(false), MockMember::start(false));
+/// Adds a replica that has just started to a group with a warm one, and sends reads for 2 s. Returns how many
+/// of them the new replica and the warm one serve.
+fn reads_with_a_new_replica(seconds: i64) -> (usize, usize) {
+    let faults = Faults::scripted(&clock_step_script(seconds));
+    let (primary, warm, new) = (MockMember::start(true), MockMember::start(false), MockMember::start(false));
     let shell = shell_without_probes("s/\"cold_us\":1000000/\"cold_us\":60000000/");
     let proxy = Proxy::start_with_faults(&[&primary, &warm], &shell, &faults);
     let mut client = proxy.connect();
-    // The proxy has served for a while, so that it knows what a member that is warm serves.
+    // From these requests, the proxy learns how much work a warm member serves.
     for id in 1..100 {
         let query = if id % 10 == 0 { write_query(id, 900) } else { read_query(id) };
         assert_eq!(client.query(&query), SERVED);
     }
     let start = Instant::now();
-    let entry = endpoint_entry(7, &cold, "SERVING");
+    let entry = endpoint_entry(7, &new, "SERVING");
     let entry = entry.replace("\"boot_ms\":0", &format!("\"boot_ms\":{}", primary.position_ms()));
     proxy.discovery.push(&endpoint_update(2, &entry));
     warm.reset_record();
@@ -113,17 +122,18 @@
         id += 1;
         assert_eq!(client.query(&read_query(id)), SERVED);
     }
-    (cold.executed_count(), warm.executed_count())
+    (new.executed_count(), warm.executed_count())
 }
 
-/// Guards against a member that started just now and looked warm, as the proxy's clock was an hour ahead.
+/// The endpoint list has the time at which a member started. If the proxy compared it with its own clock and
+/// that is an hour ahead, a member that has just started would look warm and get as many reads as a warm one.
 #[test]
-fn cold_member_is_not_taken_for_a_warm_one_though_the_wall_clock_was_stepped() {
+fn new_replica_is_in_slow_start_though_the_wall_clock_was_stepped() {
     for seconds in STEPS {
-        let (cold, warm) = reads_with_a_cold_replica(seconds);
+        let (new, warm) = reads_with_a_new_replica(seconds);
         assert!(
-            cold < warm / 3,
-            "stepped by {seconds} s: {cold} reads at the cold member, {warm} at the warm one"
+            new < warm / 3,
+            "stepped by {seconds} s: {new} reads at the new replica, {warm} at the warm one"
         );
     }
 }
