--- a/tests/proxy/races/deadlines.rs
+++ b/tests/proxy/races/deadlines.rs
@@ -1,14 +1,16 @@
-//! The time that members are told, and requests whose time runs out before they are sent.
+//! Tests of the timeout in the statement that a member receives: it must be the time that the client has left
+//! when the statement is sent. With a longer timeout, the member would work for a client that has stopped
+//! waiting.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// How long a member takes to greet a connection, or to confirm the messages before an Execute.
+/// How long a member delays its greeting, or its confirmation of the messages before an Execute.
 const MEMBER_DELAY: Duration = Duration::from_millis(400);
-/// A member may be told this much more than the client has left.
+/// The timeout sent to a member may exceed the time that the client has left by this much.
 const SLACK_MS: u64 = 150;
 
-/// A request on either listener, whose client waits for so many milliseconds.
+/// Returns a request with this timeout for one of the listeners.
 fn request(extended: bool, writes: bool, id: u32, timeout_ms: u32) -> Vec<u8> {
     let (sql, class) = match writes {
         true => ("INSERT INTO entries VALUES ($1, 'x')", "write"),
@@ -21,25 +23,26 @@
     }
 }
 
-/// The `d` of the statement that a member executed last.
-fn told_ms(member: &MockMember) -> u64 {
+/// Returns the timeout, the field `d`, of the statement that a member executed last.
+fn sent_timeout_ms(member: &MockMember) -> u64 {
     let executed = member.executed();
     let digits = executed.last().unwrap().split(",d=").nth(1).unwrap();
     digits.split(',').next().unwrap().parse().unwrap()
 }
 
-/// Asserts that a member was told at most what a client had left that has waited for so long.
-fn assert_told_at_most(member: &MockMember, timeout_ms: u64, waited: Duration, case: &str) {
+/// Asserts that the timeout sent to a member is the time left, within the tolerance, of a client that has
+/// waited this long.
+fn assert_sent_time_left(member: &MockMember, timeout_ms: u64, waited: Duration, case: &str) {
     let left = timeout_ms - waited.as_millis() as u64;
-    let told = told_ms(member);
-    assert!(told <= left + SLACK_MS, "{case}: told {told} ms of {left} ms");
-    assert!(told * 10 > left * 8, "{case}: told {told} ms of {left} ms");
+    let sent = sent_timeout_ms(member);
+    assert!(sent <= left + SLACK_MS, "{case}: sent {sent} ms, the client has {left} ms left");
+    assert!(sent * 10 > left * 8, "{case}: sent {sent} ms, the client has {left} ms left");
 }
 
-/// Guards against a time that was read before the connection came up: the member would work for a client
-/// that has gone.
+/// If the proxy determined the timeout before it opens the member connection, the timeout would include the
+/// time that opening takes, and the member would work for a client that has stopped waiting.
 #[test]
-fn member_is_told_what_the_client_has_left_once_its_connection_is_open() {
+fn timeout_sent_to_a_member_is_the_time_left_once_its_connection_is_open() {
     for extended in [false, true] {
         for writes in [false, true] {
             let primary = MockMember::start(true);
@@ -53,20 +56,20 @@
             let waited = start.elapsed();
             primary.release_greetings();
             assert!(client.read_reply().contains("D(value)"));
-            assert_told_at_most(&primary, 900, waited, &format!("extended {extended}, writes {writes}"));
+            assert_sent_time_left(&primary, 900, waited, &format!("extended {extended}, writes {writes}"));
         }
     }
 }
 
-/// Guards against a retry that tells its member the time of the first attempt.
+/// A retry must not carry the timeout of the first attempt: the client has waited for that attempt meanwhile.
 #[test]
-fn retry_tells_its_member_what_the_client_has_left() {
+fn timeout_sent_with_a_retry_is_the_time_left() {
     for extended in [false, true] {
         let (primary, replica) = (MockMember::start(true), MockMember::start(false));
         let proxy = Proxy::start_with_shell(&[&primary, &replica], &shell_without_probes(""), "");
         let mut client = if extended { proxy.connect_extended() } else { proxy.connect() };
         primary.plan(&[MemberBehavior::ServeThenClose]);
-        assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED, "the primary is known");
+        assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED, "the proxy knows the primary");
         primary.wait_for(MemberEvent::ConnectionClosed);
         primary.hold_greetings();
         let execution = if extended { b'E' } else { b'Q' };
@@ -79,14 +82,15 @@
         primary.release_greetings();
         assert!(client.read_reply().contains("D(value)"));
         assert_eq!(replica.executed_count(), 1, "the first attempt");
-        assert_told_at_most(&primary, 900, waited, &format!("extended {extended}"));
+        assert_sent_time_left(&primary, 900, waited, &format!("extended {extended}"));
     }
 }
 
-/// Guards against an Execute of a statement that was prepared with the time that was left before the member
-/// confirmed it.
+/// The timeout is part of the prepared statement, and the proxy sends the Execute after the member has
+/// confirmed the statement. If the confirmation is late, the timeout in the prepared statement is too long,
+/// and the Execute must use a statement with the time left.
 #[test]
-fn execute_that_waited_for_its_confirmation_tells_the_member_what_the_client_has_left() {
+fn timeout_sent_with_an_execute_is_the_time_left_after_a_late_confirmation() {
     let primary = MockMember::start(true);
     let proxy = Proxy::start(&[&primary]);
     let mut client = proxy.connect_extended();
@@ -98,11 +102,12 @@
     let waited = start.elapsed();
     primary.release_replies(1);
     assert_eq!(client.read_reply(), "1 2 D(value) C Z");
-    assert_told_at_most(&primary, 900, waited, "confirmed late");
+    assert_sent_time_left(&primary, 900, waited, "confirmed late");
     assert_eq!(primary.executed_count(), 1);
 }
 
-/// Guards against preparing a statement anew for each of its executions.
+/// The timeout is part of the prepared statement. If it had to be exact, the proxy would prepare the
+/// statement again for each execution.
 #[test]
 fn prepared_statement_is_reused_while_the_time_left_is_about_the_same() {
     let primary = MockMember::start(true);
@@ -118,10 +123,10 @@
     assert!(prepared <= 3, "prepared {prepared} times");
 }
 
-/// Guards against a process that is paused between reading its clock and writing: here before each write to
-/// the member, that of the startup message among them.
+/// The process may be paused between reading its clock and writing to a member. Here, an injected fault
+/// delays each write to the member, including that of the startup message.
 #[test]
-fn member_is_told_what_the_client_has_left_though_each_write_is_held_up() {
+fn timeout_sent_to_a_member_is_the_time_left_though_each_write_is_delayed() {
     for (extended, writes, delayed_writes) in
         [(false, false, 2), (false, true, 2), (true, false, 2), (true, true, 3)]
     {
@@ -132,7 +137,10 @@
         let mut client = if extended { proxy.connect_extended() } else { proxy.connect() };
         client.send(&request(extended, writes, 1, 900));
         assert!(client.read_reply().contains("D(value)"));
-        let (left, told) = (900 - delayed_writes * SLACK_MS, told_ms(&primary));
-        assert!(told <= left + SLACK_MS, "extended {extended}, writes {writes}: told {told} ms of {left} ms");
+        let (left, sent) = (900 - delayed_writes * SLACK_MS, sent_timeout_ms(&primary));
+        assert!(
+            sent <= left + SLACK_MS,
+            "extended {extended}, writes {writes}: sent {sent} ms, the client has {left} ms left"
+        );
     }
 }
