--- a/tests/proxy/races/discovery.rs
+++ b/tests/proxy/races/discovery.rs
@@ -1,17 +1,17 @@
-//! Races between updates of the endpoint list, watches that fail and reloads.
+//! Tests of races between updates of the endpoint list, failing watches and reloads of the configuration.
 
 use crate::support::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Closes the connection with a reset.
+/// Resets the connection.
 fn reset(stream: TcpStream) {
     rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
 }
 
-/// Guards against missing a change that discovery had for six seconds: a silent watch and a request that
-/// hangs, one after the other, leave time for a connection that never opens and the backoff behind it (0.9
+/// A change must be applied within six seconds of when discovery has it. A silent watch followed by a request
+/// that hangs must leave enough of this time for a connection that never opens and the backoff after it (0.9
 /// s).
 #[test]
 fn silent_watch_and_hung_request_are_replaced_well_within_six_seconds() {
@@ -26,15 +26,16 @@
     assert!(start.elapsed() < Duration::from_millis(5100), "{:?}", start.elapsed());
     let mut client = proxy.connect();
     while new.executed_count() == 0 {
-        assert!(start.elapsed() < Duration::from_millis(5100), "the update was sent, and not applied");
+        assert!(start.elapsed() < Duration::from_millis(5100), "the update was sent but not applied");
         client.query(&write_query(1, 900));
     }
 }
 
-/// Guards against calls that are given up while a crowded discovery works through those ahead of them: each
-/// still takes its turn, the next one joins the end of the queue, and drains are never heard of.
+/// A shared discovery processes calls in turn. If a proxy closed a call that waits and opened another one,
+/// discovery would still process the closed call, the new one would wait at the end of the queue, and no
+/// drain would ever reach the proxy.
 #[test]
-fn call_that_waits_for_its_turn_at_a_shared_discovery_is_not_given_up_early() {
+fn call_that_waits_for_its_turn_at_a_shared_discovery_stays_open() {
     let member = MockMember::start(true);
     let edit = r#"s/"request_classes"/"discovery":"on_request",&/"#;
     let shell = format!("sed -i '{edit}' \"$GW_CONFIG\"; exec \"$0\" serve");
@@ -45,21 +46,22 @@
     let start = Instant::now();
     let (_repeated, _) = shared_discovery.accept_request();
     let waited = start.elapsed();
-    assert!(waited > Duration::from_millis(2500), "given up after {waited:?}");
-    assert!(waited < Duration::from_millis(3500), "repeated after {waited:?} only");
+    assert!(waited > Duration::from_millis(2500), "called again after only {waited:?}");
+    assert!(waited < Duration::from_millis(3500), "called again only after {waited:?}");
     waiting.set_nonblocking(true).unwrap();
     let is_open = waiting.peek(&mut [0]).is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
-    assert!(is_open, "the first call keeps its turn");
-    // A call beside one that hangs is given longer.
+    assert!(is_open, "the first call stays open");
+    // The time limit is longer for a call that was opened beside one that hangs.
     let start = Instant::now();
     let (_again, _) = shared_discovery.accept_request();
     let waited = start.elapsed();
-    assert!(waited > Duration::from_millis(3250), "given up after {waited:?}");
-    assert!(waited < Duration::from_millis(4500), "repeated after {waited:?} only");
+    assert!(waited > Duration::from_millis(3250), "called again after only {waited:?}");
+    assert!(waited < Duration::from_millis(4500), "called again only after {waited:?}");
 }
 
-/// Guards against missing a drain that the old address sends while the new one is silent, and against a new
-/// address that is given up too late: what it has counts 4 s after SIGHUP.
+/// SIGHUP replaces the discovery address. While the new address is silent, the proxy must still apply a drain
+/// that the old one sends. It must also repeat a call to the new address that hangs early enough: the list of
+/// the new address must be in effect 4 s after SIGHUP.
 #[test]
 fn drain_update_is_applied_while_sighup_replaces_the_watch() {
     let (primary, replica, next) =
@@ -80,14 +82,15 @@
     for id in 2..10 {
         assert_eq!(client.query(&read_query(id)), SERVED);
     }
-    assert_eq!(replica.executed_count(), before, "the replica drains");
+    assert_eq!(replica.executed_count(), before, "the draining replica gets no new requests");
     let _watch = new_discovery.answer_until_watch(&serving_list(3, &[(7, &next)]));
     assert!(start.elapsed() < Duration::from_millis(3100), "{:?}", start.elapsed());
     proxy.discovery.wait_for_closed_watch();
 }
 
-/// Guards against missing a drain while one configuration follows another: the address that last sent a list
-/// counts until another has sent its own, however many were named in between and are silent.
+/// Several reloads replace the discovery address in a row. Until one of the new addresses has sent a list,
+/// the proxy must apply updates, such as a drain, of the address that sent the last list, however many silent
+/// addresses were configured after it.
 #[test]
 fn drain_update_is_applied_while_several_reloads_follow_each_other() {
     let (primary, replica, next) =
@@ -109,16 +112,16 @@
     for id in 2..10 {
         assert_eq!(client.query(&read_query(id)), SERVED);
     }
-    assert_eq!(replica.executed_count(), before, "the replica drains");
+    assert_eq!(replica.executed_count(), before, "the draining replica gets no new requests");
     let last = silent.last().unwrap();
     let _watch = last.answer_until_watch(&serving_list(3, &[(7, &next)]));
     proxy.discovery.wait_for_closed_watch();
     assert_eq!(client.query(&write_query(20, 900)), SERVED);
-    assert_eq!(next.executed_count(), 1, "the last address counts");
+    assert_eq!(next.executed_count(), 1, "the list of the last address is in effect");
 }
 
-/// Guards against losing a watch over an entry that is broken into lines, and against taking the end of a
-/// connection for the end of the list that it sent.
+/// The proxy must not fail a watch because an entry of the list spans several lines. If a connection ends
+/// before the list is complete, it must request the list again.
 #[test]
 fn indented_list_is_parsed_and_truncated_list_is_requested_again() {
     let (old, new) = (MockMember::start(true), MockMember::start(true));
@@ -126,7 +129,7 @@
     let new_discovery = ScriptedDiscovery::start();
     proxy.reload(&configuration_at(new_discovery.address));
     let list = serving_list(2, &[(0, &old)]);
-    // Truncated, without a length, then a reset or an end of the stream: requested again.
+    // The list is truncated and has no Content-Length. The connection ends with a reset or regularly.
     for ends in [reset as fn(TcpStream), drop] {
         let (mut stream, _) = new_discovery.accept_request();
         write!(stream, "HTTP/1.1 200 OK\r\n\r\n{}", &list[..list.len() - 9]).unwrap();
@@ -135,19 +138,19 @@
     let mut watch = new_discovery.answer_until_watch(&list);
     let change = full_list(3, &[endpoint_entry(7, &new, "SERVING")]);
     let indented = change.replace('{', "{\n  ").replace(',', ",\n  ").replace('}', "\n}");
-    // A brace within a string does not count.
+    // Braces within a string are not part of the structure.
     watch.write_all(chunk(&indented.replace("\"az\":\"a\"", r#""az":"}\"{""#)).as_bytes()).unwrap();
     let mut client = proxy.connect();
     let start = Instant::now();
     while new.executed_count() == 0 {
-        assert!(start.elapsed() < Duration::from_secs(5), "the update was sent, and not applied");
+        assert!(start.elapsed() < Duration::from_secs(5), "the update was sent but not applied");
         client.query(&write_query(1, 900));
     }
 }
 
-/// Guards against idle clients that use up all descriptors while discovery is away: the watch must open
-/// again, and so must a connection to a new member. The limit is the system's, lower than the configured
-/// one.
+/// Idle clients must not use up the descriptors while discovery is unreachable: the proxy needs some to open
+/// a new watch and a connection to a new member. The system's limit applies here; it is lower than the
+/// configured one.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_members() {
     let (old, new) = (MockMember::start(true), MockMember::start(true));
@@ -162,23 +165,24 @@
             .unwrap();
         idle.push(client);
     }
-    // All its descriptors are in use; now discovery comes back at another address, with a new member.
+    // The clients use all descriptors that they may. Now discovery is reachable at another address, and lists
+    // a new member.
     assert_eq!(idle[0].stream.read(&mut [0; 1]).unwrap(), 1);
     proxy.reload(&configuration_at(new_discovery.address));
     let _watch = new_discovery.answer_until_watch(&serving_list(2, &[(7, &new)]));
     let start = Instant::now();
     while new.executed_count() == 0 {
-        assert!(start.elapsed() < Duration::from_secs(10), "the new member is reached");
+        assert!(start.elapsed() < Duration::from_secs(10), "the new member serves no request");
         let mut client = Client::connect_without_startup(proxy.address);
         let _ = client.stream.write_all(&[startup_message(), simple_query(&write_query(1000, 900))].concat());
         let _ = client.read_reply_until(|tag| tag == b'E' || tag == b'C');
     }
 }
 
-/// Guards against a reload that comes while the system has no thread for its watch: it was given up, and once
-/// the old address had closed its calls no list ever arrived again.
+/// A reload may come while the system can't start a thread for the new watch. If the proxy gave up the
+/// reload, no list would ever arrive again once the old address has closed its calls.
 #[test]
-fn reload_that_finds_no_thread_is_carried_out_later() {
+fn reload_that_gets_no_thread_for_its_watch_is_retried() {
     let (old, new) = (MockMember::start(true), MockMember::start(true));
     let faults = Faults::none();
     let proxy = Proxy::start_with_faults(&[&old], "exec \"$0\" serve", &faults);
@@ -188,5 +192,5 @@
     let _watch = new_discovery.answer_until_watch(&serving_list(2, &[(7, &new)]));
     proxy.discovery.wait_for_closed_watch();
     assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED);
-    assert_eq!(new.executed_count(), 1, "the new address counts");
+    assert_eq!(new.executed_count(), 1, "the list of the new address is in effect");
 }
