--- a/tests/proxy/races/discovery_outage.rs
+++ b/tests/proxy/races/discovery_outage.rs
@@ -1,86 +1,91 @@
-//! Discovery that is away and comes back with drains: what it has counts from its return on, so it must be
-//! noticed well within the grace, whatever the outage was like and whenever it ends.
+//! Tests of outages of discovery that end with a drain. The grace of the drain counts from the return of
+//! discovery, so the proxy must notice the return within the grace, however discovery failed and whenever it
+//! returns.
 
 use crate::support::*;
 use std::net::{Ipv4Addr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// A drain must bind this long after discovery is back: the grace of 500 ms less a process pause of 150 ms.
-const MAX_NOTICE: Duration = Duration::from_millis(350);
-/// Calls that fail before discovery returns: by then the pause between two is at its longest.
+/// A drain must take effect this long after the return of discovery: the grace of 500 ms less a process pause
+/// of 150 ms.
+const MAX_DRAIN_DELAY: Duration = Duration::from_millis(350);
+/// The number of calls that fail before discovery returns. After them, the delay between two calls is
+/// longest.
 const FAILED_CALLS: usize = 3;
 
-/// How discovery fails until it returns, and when that is.
+/// How discovery fails, and when it returns.
 #[derive(Clone, Copy, Debug)]
 enum Outage {
-    /// It accepts calls and sends nothing; it returns this long after the last of [`FAILED_CALLS`], and
-    /// answers the calls that are open.
+    /// Accepts calls and sends nothing. Returns this long after the last of [`FAILED_CALLS`], and then
+    /// answers the open calls.
     Silent(Duration),
-    /// The same, but calls made during the outage are never answered, only new ones.
-    SilentForGood(Duration),
-    /// Nothing listens for this long.
+    /// The same as [`Outage::Silent`], but never answers calls made during the outage, only later ones.
+    Unanswered(Duration),
+    /// Refuses connections for this long.
     Refused(Duration),
-    /// It resets each call; it returns right after the last one.
+    /// Resets each call. Returns directly after the last of [`FAILED_CALLS`].
     Reset,
-    /// It answers each call with 503; it returns right after the last one.
+    /// Answers each call with status 503. Returns directly after the last of [`FAILED_CALLS`].
     Busy,
 }
 
 impl Outage {
-    /// Discovery at a new address, in this outage.
+    /// Starts an agent at a new address, with this outage.
     fn begin(self) -> DiscoveryAgent {
         match self {
-            Outage::Refused(_) => DiscoveryAgent::reserve(listener_of_its_own()),
+            Outage::Refused(_) => DiscoveryAgent::reserve(bind_own_address()),
             Outage::Silent(_) => DiscoveryAgent::start(AgentMode::Silent),
-            Outage::SilentForGood(_) => DiscoveryAgent::start(AgentMode::NeverAnswering),
+            Outage::Unanswered(_) => DiscoveryAgent::start(AgentMode::NeverAnswering),
             Outage::Reset => DiscoveryAgent::start(AgentMode::Reset),
             Outage::Busy => DiscoveryAgent::start(AgentMode::Busy),
         }
     }
 
-    /// Waits until the outage ends.
+    /// Waits until the end of the outage.
     fn wait(self, agent: &DiscoveryAgent) {
         if let Outage::Refused(duration) = self {
             return std::thread::sleep(duration);
         }
         (0..FAILED_CALLS).for_each(|_| agent.wait_for_call());
-        if let Outage::Silent(after_call) | Outage::SilentForGood(after_call) = self {
+        if let Outage::Silent(after_call) | Outage::Unanswered(after_call) = self {
             std::thread::sleep(after_call);
         }
     }
 }
 
-/// A listener at an address of its own: while nothing listens there, nobody else takes its port.
-fn listener_of_its_own() -> TcpListener {
+/// Binds a listener to a loopback address that no other test uses: the port must remain free while the agent
+/// does not listen.
+fn bind_own_address() -> TcpListener {
     static COUNT: AtomicU8 = AtomicU8::new(1);
     let host = Ipv4Addr::new(127, 0, 77, COUNT.fetch_add(1, Ordering::SeqCst));
     TcpListener::bind((host, 0)).unwrap()
 }
 
-/// Guards against a pause between two calls in which nobody hears of discovery's return, and against calls
-/// that are given up and stay open: discovery writes the drain to them, and nobody reads it.
+/// Two faults would delay the drain: a long wait between two calls, during which the proxy does not notice
+/// the return of discovery, and a call that the proxy no longer reads but leaves open, to which discovery
+/// then writes the drain.
 #[test]
-fn drain_that_discovery_has_as_it_returns_binds_within_the_grace() {
+fn drain_that_discovery_sends_on_its_return_takes_effect_within_the_grace() {
     let outages = [
         Outage::Silent(Duration::from_millis(2150)),
         Outage::Silent(Duration::from_millis(500)),
-        Outage::SilentForGood(Duration::from_millis(100)),
+        Outage::Unanswered(Duration::from_millis(100)),
         Outage::Refused(Duration::from_millis(2400)),
         Outage::Refused(Duration::from_millis(3100)),
         Outage::Reset,
         Outage::Busy,
     ];
     let late: Vec<_> = std::thread::scope(|scope| {
-        let rows = outages.map(|outage| (outage, scope.spawn(move || reads_after_the_grace(outage))));
-        rows.into_iter().map(|(outage, row)| (outage, row.join().unwrap())).collect()
+        let handles = outages.map(|outage| (outage, scope.spawn(move || reads_after_the_grace(outage))));
+        handles.into_iter().map(|(outage, handle)| (outage, handle.join().unwrap())).collect()
     });
     let late: Vec<_> = late.into_iter().filter(|(_, reads)| *reads > 0).collect();
     assert!(late.is_empty(), "reads at a draining member by outage: {late:?}");
 }
 
-/// The reads that a replica gets later than the grace after the return of discovery, which lists it as
-/// draining.
+/// Returns the number of reads that a replica gets later than [`MAX_DRAIN_DELAY`] after the return of
+/// discovery, which lists the replica as draining.
 fn reads_after_the_grace(outage: Outage) -> usize {
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
     let proxy = Proxy::start(&[&primary, &replica]);
@@ -92,7 +97,7 @@
     let returned = Instant::now();
     let mut client = proxy.connect();
     let mut id = 0;
-    while returned.elapsed() < MAX_NOTICE {
+    while returned.elapsed() < MAX_DRAIN_DELAY {
         id += 1;
         client.query(&read_query(id));
     }
