--- a/tests/proxy/races/members.rs
+++ b/tests/proxy/races/members.rs
@@ -1,10 +1,11 @@
-//! Races between attempts and the members that they are meant for.
+//! Tests of races between attempts and events at their members.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// Guards against an attempt that waits for its connection when its client disconnects, and starts when the
-/// connection opens; also where attempts may not be cancelled. Both listeners.
+/// An attempt waits for its member connection to open when its client disconnects. The proxy must not send it
+/// once the connection is open, even where the settings forbid the cancellation of attempts. Covers both
+/// listeners.
 #[test]
 fn request_is_not_sent_if_its_client_disconnects_while_the_member_connection_opens() {
     for cancel in ["true", "false"] {
@@ -28,26 +29,26 @@
             let received = primary.received();
             assert!(
                 received.len() == 1 && received[0].contains("id=2,"),
-                "{cancel} {extended}: {received:?}"
+                "cancel {cancel}, extended {extended}: {received:?}"
             );
         }
     }
 }
 
-/// Guards against an attempt that waits for its connection while its member begins to drain: it would start
-/// after the time within which the drain must take effect.
+/// An attempt waits for its member connection to open when the member begins to drain. If it were not moved
+/// to another member, it could start after the time within which the drain must take effect.
 #[test]
 fn unsent_attempt_moves_to_another_member_when_its_member_drains() {
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
     replica.hold_greetings();
     let mut proxy = Proxy::start_with_shell(&[&primary, &replica], &shell_without_probes(""), "");
     let mut client = proxy.connect();
-    assert_eq!(client.query(&write_query(1, 900)), SERVED, "the primary is known");
+    assert_eq!(client.query(&write_query(1, 900)), SERVED, "the proxy knows the primary");
     client.send(&simple_query(&read_query(2)));
     replica.wait_for(MemberEvent::GreetingHeld);
     let entry = endpoint_entry(1, &replica, "DRAINING");
     proxy.discovery.push(&endpoint_update(2, &entry));
-    assert_eq!(client.read_reply(), SERVED, "by the primary");
+    assert_eq!(client.read_reply(), SERVED, "the primary serves the read");
     replica.release_greetings();
     drop(client);
     proxy.signal("-TERM");
@@ -56,8 +57,9 @@
     assert_eq!((primary.executed_count(), replica.received().len()), (2, 0));
 }
 
-/// Guards against data that was fresh enough when a replica was selected, and is not when the connection
-/// opens at last: where members do not check, only the proxy prevents a stale read. Both listeners.
+/// The data of a replica is fresh enough when the replica is selected for a read, but too old when the member
+/// connection has opened. Where members do not check the freshness of their data, only the proxy can prevent
+/// the stale read. Covers both listeners.
 #[test]
 fn bounded_read_whose_start_is_delayed_is_not_sent_to_the_stale_replica() {
     for extended in [false, true] {
@@ -69,9 +71,9 @@
         let batch = "P - SELECT payload FROM entries WHERE ref = $1 /* c=any,d=9000 */ | B - - r | E - | S";
         let text = read_query(1).replace("d=900", "d=9000");
         let request = if extended { extended_messages(batch) } else { simple_query(&text) };
-        assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED, "the primary is known");
-        // Served by the replica, which then closes: its position is known, and the next read needs a new
-        // connection.
+        assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED, "the proxy knows the primary");
+        // The replica serves a read and closes the connection. With that the proxy knows its position, and
+        // the next read needs a new connection.
         let start = Instant::now();
         while replica.executed_count() == 0 {
             assert!(start.elapsed() < Duration::from_secs(10));
@@ -94,12 +96,16 @@
         let mut proxy = proxy;
         proxy.signal("-TERM");
         assert!(proxy.child.wait().unwrap().success());
-        assert_eq!(replica.executed_count(), executed_before, "nor does it start later");
+        assert_eq!(
+            replica.executed_count(),
+            executed_before,
+            "the read does not start after the connection has opened either"
+        );
     }
 }
 
-/// Guards against taking bytes that a member sends while idle for a reply, and against losing a request to
-/// a connection that its member closed.
+/// A member sends the beginning of a message on an idle connection. The proxy must not take these bytes for
+/// the beginning of the next reply, and must not lose the next request on that connection.
 #[test]
 fn partial_message_on_an_idle_member_connection_costs_no_request() {
     let primary = MockMember::start(true);
@@ -113,8 +119,9 @@
     assert_eq!(primary.executed_count(), 10);
 }
 
-/// Guards against a write that is lost, or executes twice, as its primary changes: one that waits goes to
-/// the new one, one that was in flight fails as one that may have executed.
+/// When the primary of a group changes, no write may be lost or execute twice. A write that waits for a
+/// connection to the old primary goes to the new one. A write in flight fails with the error for a write that
+/// may have executed.
 #[test]
 fn change_of_primary_sends_no_write_twice() {
     let (old, new) = (MockMember::start(true), MockMember::start(true));
