--- a/tests/proxy/races/process_pauses.rs
+++ b/tests/proxy/races/process_pauses.rs
@@ -1,12 +1,12 @@
-//! A process that is paused as a whole, while its members, clients and deadlines go on.
+//! Tests with a pause of the whole proxy process, while clients and members continue and deadlines pass.
 
 use crate::support::*;
 use std::time::Duration;
 
-/// Repeats of each case: which thread of the process runs first afterwards is left to chance.
+/// The number of runs of each case. Which thread of the process runs first after the pause is random.
 const ROUNDS: u32 = 5;
 
-/// A write with this number on either listener, whose client waits for so many milliseconds.
+/// Returns a write with this id and timeout for one of the listeners.
 fn write(extended: bool, id: u32, timeout_ms: u32) -> Vec<u8> {
     match extended {
         false => simple_query(&write_query(id, timeout_ms)),
@@ -16,8 +16,8 @@
     }
 }
 
-/// Starts a write that waits for a member's greeting, and pauses the process for so long; during the pause,
-/// the greeting arrives and `event` happens. Returns the client, if `event` has left it.
+/// Sends a write that waits for the member's greeting, and pauses the process for `duration`. During the
+/// pause the greeting arrives and `event` happens. Returns the client, unless `event` drops it.
 fn pause_process(
     proxy: &Proxy,
     primary: &MockMember,
@@ -38,7 +38,7 @@
     client
 }
 
-/// Serves a last write, and asserts that it is the only one that the member has received.
+/// Sends a last write, and asserts that it is the only one that the member has received.
 fn assert_only_last_is_received(proxy: &Proxy, primary: &MockMember, case: &str) {
     assert_eq!(proxy.connect().query(&write_query(0xfff, 9000)), SERVED);
     let received = primary.received();
@@ -59,8 +59,9 @@
     }
 }
 
-/// Guards against a member connection that comes up while the process is paused, and whose worker runs before
-/// the threads that read from clients.
+/// The member connection opens and the client disconnects while the process is paused. After the pause, the
+/// worker of the member connection may run before the threads that read from clients, and must not send the
+/// request.
 #[test]
 fn request_is_not_sent_if_its_client_disconnects_while_the_process_is_paused() {
     for (extended, round) in [false, true].into_iter().flat_map(|e| (0..ROUNDS).map(move |round| (e, round)))
@@ -95,6 +96,7 @@
         assert_only_last_is_received(&proxy, &primary, &format!("extended {extended}, round {round}"));
     }
 }
+
 #[test]
 fn request_is_not_sent_if_it_is_cancelled_while_the_process_is_paused() {
     for (extended, round) in [false, true].into_iter().flat_map(|e| (0..ROUNDS).map(move |round| (e, round)))
