--- a/tests/proxy/races/short_deadlines.rs
+++ b/tests/proxy/races/short_deadlines.rs
@@ -1,4 +1,5 @@
-//! The shutdown of processes whose classes all have short deadlines: SIGKILL comes soon after SIGTERM.
+//! Tests of the shutdown when all request classes have short deadlines, so that SIGKILL comes soon after
+//! SIGTERM.
 
 use crate::support::*;
 use std::net::SocketAddr;
@@ -6,28 +7,28 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// SIGKILL comes this long after the longest deadline, counted from SIGTERM, at the earliest.
+/// SIGKILL comes no earlier than the longest deadline plus this margin after SIGTERM.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// For this long after SIGTERM, new connections go on coming.
+/// Clients open new connections for this long after SIGTERM.
 const CONNECTING_TIME: Duration = Duration::from_millis(400);
-/// More requests than a test sends.
-const MANY: usize = 20_000;
+/// An upper bound of the requests that a test sends to a member.
+const MAX_REQUESTS: usize = 20_000;
 
-/// How a client goes on after SIGTERM.
+/// The requests that a client sends until its connection is closed.
 #[derive(Clone, Copy)]
 enum Traffic {
-    /// A simple query at a time, each a read.
+    /// One simple query at a time, each a read.
     Reads,
-    /// A simple query at a time, each a write.
+    /// One simple query at a time, each a write.
     Writes,
-    /// Several simple queries at once.
+    /// Several reads at a time, each a simple query.
     Pipelined,
-    /// A batch of extended messages at a time.
+    /// One batch of extended messages at a time.
     Extended,
 }
 
 impl Traffic {
-    /// The next messages of a client, and how many replies they get.
+    /// Returns the next messages of a client, and the number of replies to them.
     fn messages(self, id: u32, timeout_ms: u32) -> (Vec<u8>, u32) {
         let read = |id| simple_query(&read_query(id).replace(",d=900,", &format!(",d={timeout_ms},")));
         match self {
@@ -42,8 +43,8 @@
     }
 }
 
-/// Sends for as long as the connection stays open. Returns the ids of the commands that got no reply; a reply that
-/// has begun must be complete.
+/// Sends requests until the connection is closed, and asserts that each reply that begins is complete.
+/// Returns the ids of the commands without a reply.
 fn send_until_closed(mut client: Client, traffic: Traffic, first_id: u32, timeout_ms: u32) -> Vec<u32> {
     let mut id = first_id;
     loop {
@@ -62,8 +63,8 @@
     }
 }
 
-/// Connects again and again while new connections come, each with a query right behind the startup message.
-/// Returns the ids of the queries that got no reply.
+/// Opens one connection after another for [`CONNECTING_TIME`], and sends a query directly after each startup
+/// message. Returns the ids of the queries without a reply.
 fn connect_repeatedly(address: SocketAddr, first_id: u32, timeout_ms: u32) -> Vec<u32> {
     let start = Instant::now();
     let ids = (first_id..).take_while(|_| start.elapsed() < CONNECTING_TIME);
@@ -78,7 +79,7 @@
     ids.filter(is_unanswered).collect()
 }
 
-/// A proxy in front of these members, whose classes have this deadline, and that knows its primary.
+/// Starts a proxy whose request classes all have this deadline, and waits until it knows the primary.
 fn start_with_deadline(members: &[&MockMember], deadline_ms: u32) -> Proxy {
     let edit = format!("s/\"deadline_us\":[0-9]*/\"deadline_us\":{deadline_ms}000/g");
     let shell = format!("sed -i '{edit}' \"$GW_CONFIG\"; exec \"$0\" serve --postgres \"$1\"");
@@ -108,7 +109,9 @@
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
     let mut proxy = start_with_deadline(&[&primary, &replica], deadline_ms);
     if members_hang {
-        [&primary, &replica].iter().for_each(|member| member.plan(&[MemberBehavior::HangOn(b'Q'); MANY]));
+        [&primary, &replica]
+            .iter()
+            .for_each(|member| member.plan(&[MemberBehavior::HangOn(b'Q'); MAX_REQUESTS]));
     }
     let mut idle = proxy.connect();
     let mut partial = proxy.connect();
@@ -131,12 +134,15 @@
     let received: Vec<String> = [primary.received(), replica.received()].concat();
     for id in unanswered {
         let id = format!("id={id:x},");
-        assert!(!received.iter().any(|text| text.contains(&id)), "{id} was read and has no answer");
+        assert!(
+            !received.iter().any(|text| text.contains(&id)),
+            "{id} was sent to a member and has no reply"
+        );
     }
 }
 
-/// Guards against an arithmetic underflow, and against requests that are read up to the end of the process and never
-/// answered, where deadlines are so short that SIGKILL comes within a second.
+/// With deadlines so short that SIGKILL comes within about a second, the times of the shutdown could
+/// underflow, and the proxy could read requests until it exits and leave the last ones without a reply.
 #[test]
 fn shutdown_answers_every_command_that_was_read_whatever_the_deadlines() {
     for deadline_ms in [50, 150, 400] {
@@ -144,7 +150,7 @@
     }
 }
 
-/// The same while no member answers.
+/// The same as the test before, while no member answers.
 #[test]
 fn shutdown_answers_every_command_that_was_read_while_all_members_hang() {
     for deadline_ms in [50, 150, 400] {
