--- a/tests/proxy/races/mod.rs
+++ b/tests/proxy/races/mod.rs
@@ -1,5 +1,5 @@
-//! Races between events. Stand-ins hold back, release, hang or reset on command, so that each order of events
-//! is forced and not left to chance; `docs/race-conditions.md` lists them.
+//! Tests of race conditions. Mock members and discovery delay, release or drop messages when the test says
+//! so, which determines the order of events. `docs/race-conditions.md` lists the races.
 
 mod clients;
 mod clock_steps;
