--- a/tests/proxy/platform/endpoint_list.rs
+++ b/tests/proxy/platform/endpoint_list.rs
@@ -1,10 +1,11 @@
-//! The endpoint list: where it comes from, drains, freshness of members, and its size.
+//! Tests of the endpoint list: its source, drains, the freshness of members, and the size of the list.
 
 use crate::support::*;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Guards against SIGHUP ending the program, and against an old discovery that is still believed.
+/// SIGHUP must not end the program, whatever the configuration file contains. After a reload with another
+/// discovery address, updates from the former address must have no effect.
 #[test]
 fn sighup_moves_the_watch_to_the_configured_discovery_address() {
     let (old, new) = (MockMember::start(true), MockMember::start(true));
@@ -12,12 +13,12 @@
     let mut client = proxy.connect();
     proxy.reload("{ no configuration");
     proxy.reload("");
-    assert_eq!(client.query(&write_query(1, 900)), SERVED, "the old configuration stays in force");
+    assert_eq!(client.query(&write_query(1, 900)), SERVED, "the old configuration stays in effect");
     let other = MockDiscovery::start(full_list(1, &[endpoint_entry(7, &new, "SERVING")]));
     proxy.reload(&configuration(&other));
     other.wait_for_watch();
     proxy.discovery.wait_for_closed_watch();
-    // The whole list came before the watch: the old member is gone.
+    // The proxy requests the complete list before it opens the watch, so the old member is no longer listed.
     assert_eq!(client.query(&write_query(2, 900)), SERVED);
     assert_eq!((old.executed_count(), new.executed_count()), (1, 1));
     let former_update = endpoint_entry(7, &new, "DRAINING");
@@ -29,34 +30,35 @@
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// Guards against a fleet that sends requests to a failing shared discovery five times a second, in step, and
-/// against a busy loop of calls to an agent, whose return must be noticed within the grace.
+/// While discovery fails, a proxy must call it at limited intervals. Otherwise a fleet would call a shared
+/// discovery five times a second, all proxies at the same time, or a proxy would call its agent in a busy
+/// loop. Calls to an agent must still be frequent enough to notice its return within the grace.
 #[test]
 fn endpoint_list_requests_back_off_while_discovery_does_not_answer() {
     for (kind, five_calls) in [("on_request", 1800), ("pushed", 350)] {
         let edit = format!(r#"s/"request_classes"/"discovery":"{kind}",&/"#);
         let shell = format!("sed -i '{edit}' \"$GW_CONFIG\"; exec \"$0\" serve");
         let proxy = Proxy::start_with_shell(&[&MockMember::start(true)], &shell, "");
-        let dead = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (from, to) = (proxy.discovery.address.to_string(), dead.local_addr().unwrap().to_string());
+        let failing = TcpListener::bind("127.0.0.1:0").unwrap();
+        let (from, to) = (proxy.discovery.address.to_string(), failing.local_addr().unwrap().to_string());
         proxy.reload(&configuration(&proxy.discovery).replace(&from, &to));
-        drop(dead.accept().unwrap());
+        drop(failing.accept().unwrap());
         let first = Instant::now();
-        (0..5).for_each(|_| drop(dead.accept().unwrap()));
+        (0..5).for_each(|_| drop(failing.accept().unwrap()));
         let elapsed = first.elapsed();
         assert!(elapsed > Duration::from_millis(five_calls), "{kind}: {elapsed:?} for five calls");
-        assert_eq!(proxy.connect().query(&read_query(1)), SERVED, "it serves from the list that it has");
+        assert_eq!(proxy.connect().query(&read_query(1)), SERVED, "the proxy serves from the known list");
     }
 }
 
-/// Guards against a pause of the process ending the watch, and the proxy working from an old list.
+/// If a process pause ended the watch, the proxy would work from an old list until the next watch is open.
 #[test]
 fn stopped_and_continued_process_keeps_its_watch() {
     let (old, new) = (MockMember::start(true), MockMember::start(true));
     let proxy = Proxy::start(&[&old]);
     proxy.signal("-STOP");
     proxy.signal("-CONT");
-    // Only the watch that was open before gets this.
+    // This list is sent only on the watch that was open before the pause.
     proxy.discovery.push(&full_list(2, &[endpoint_entry(7, &new, "SERVING")]));
     let mut client = proxy.connect();
     let start = Instant::now();
@@ -87,8 +89,9 @@
     assert_eq!(one.executed_count(), before);
 }
 
-/// Guards against reads that all go to the primary where members answer from what they have, however old:
-/// each of many proxies sends too few requests to know how fresh a replica is. Both listeners.
+/// Where members serve stale data, the proxy sends a read only to a replica that it knows to be fresh. Each
+/// of many proxies sends too few requests to know that, so without probes all reads would go to the primary.
+/// Covers both listeners.
 #[test]
 fn replica_is_probed_for_freshness_where_members_do_not_check_it() {
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
@@ -99,7 +102,7 @@
     let (mut platform, mut extended) = (proxy.connect(), proxy.connect_extended());
     assert_eq!(platform.query(&write_query(0, 900)), SERVED, "the primary is known");
     for id in 1..=24 {
-        // The last known position of the replica is older than a read may be.
+        // After this, the last known position of the replica is older than the staleness bound.
         std::thread::sleep(Duration::from_millis(30));
         if id % 2 == 0 {
             assert_eq!(platform.query(&read_query(id)), SERVED);
@@ -110,27 +113,28 @@
             assert_eq!(extended.read_reply(), "1 2 D(value) C Z");
         }
     }
-    // A slow machine may let some go to the primary; of 24, one or two met a scheduled probe.
+    // On a slow machine, some reads may go to the primary. Of the 24 reads, one or two coincided with a
+    // scheduled probe.
     assert!(replica.executed_count() >= 12, "{} of 24 reads went to the replica", replica.executed_count());
 }
 
-/// No list is too long: a thousand members and as many processes of the proxy, within a small limit of
+/// With a list of 1024 members, and settings for 1024 proxies, the proxy must stay within small limits of
 /// memory and descriptors.
 #[test]
-fn list_of_1024_members_is_served() {
+fn requests_are_served_with_a_list_of_1024_members() {
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
     let limits = "\"sockets\":256,\"memory_mb\":32";
-    let many = "sed -i 's/\"request_classes\"/\"instances\":1024,&/' \"$GW_CONFIG\"";
-    let shell = &format!("{many}; export GW_OPS=127.0.0.1:0; exec \"$0\" serve");
+    let many_proxies = "sed -i 's/\"request_classes\"/\"instances\":1024,&/' \"$GW_CONFIG\"";
+    let shell = &format!("{many_proxies}; export GW_OPS=127.0.0.1:0; exec \"$0\" serve");
     let proxy = Proxy::start_with_limits(&[&primary, &replica], shell, "", limits);
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let far = |n: usize| {
-        let target =
-            endpoint_entry(n, &replica, "SERVING").replace(&replica.address.to_string(), &gone.to_string());
+    let unreachable = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let unreachable_member = |n: usize| {
+        let target = endpoint_entry(n, &replica, "SERVING")
+            .replace(&replica.address.to_string(), &unreachable.to_string());
         target.replace("\"pod_group\":2", &format!("\"pod_group\":{}", 3 + n / 6))
     };
     let mut targets = vec![endpoint_entry(0, &primary, "SERVING"), endpoint_entry(1, &replica, "SERVING")];
-    targets.extend((2..1024).map(far));
+    targets.extend((2..1024).map(unreachable_member));
     proxy.discovery.push(&full_list(2, &targets));
     proxy.discovery.push(&full_list(3, &targets));
     let mut client = proxy.connect();
@@ -138,10 +142,10 @@
         assert_eq!(client.query(&read_query(id)), SERVED);
         assert_eq!(client.query(&write_query(1000 + id, 3000)), SERVED);
     }
-    let counted = || proxy.admin_request("GET", "counters").1;
+    let counters = || proxy.admin_request("GET", "counters").1;
     let start = Instant::now();
-    while !counted().contains("members=1024\n") {
-        assert!(start.elapsed().as_secs() < 20, "{}", counted());
+    while !counters().contains("members=1024\n") {
+        assert!(start.elapsed().as_secs() < 20, "{}", counters());
     }
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
@@ -149,9 +153,10 @@
     assert!(peak < 32 * 1024, "{peak} kB of 32 MB");
 }
 
-/// Guards against a proxy that needs more for each member there is, not for those that it sends to.
+/// The cost of a proxy must depend on the members that it sends to. If it grew with each listed member, a
+/// proxy could not run in a large fleet.
 #[test]
-fn proxy_in_a_fleet_of_sixteen_times_the_members_needs_little_more() {
+fn proxy_in_a_fleet_of_sixteen_times_the_members_costs_little_more() {
     let measure = |members, proxies| {
         Fleet { members, proxies, requests: 100, duration: Duration::from_secs(1) }.measure_cost()
     };
@@ -165,43 +170,50 @@
     std::fs::read_dir(format!("/proc/{}/fd", proxy.child.id())).unwrap().count()
 }
 
-/// Guards against watches that are left behind, or a watch on an address that no longer counts, where configurations
-/// come one after another, some of them invalid.
+/// Several reloads follow each other, some with an invalid configuration. They must leave no watch open but
+/// the one at the last valid address.
 #[test]
 fn reloads_in_quick_succession_end_up_with_the_last_valid_configuration() {
     let (primary, stale, latest) =
         (MockMember::start(true), MockMember::start(true), MockMember::start(true));
     let proxy = Proxy::start(&[&primary]);
     let list = |member| serving_list(5, &[(7, member)]);
-    let passing = [list(&stale), String::new()].map(MockDiscovery::start);
+    let former = [list(&stale), String::new()].map(MockDiscovery::start);
     let last = MockDiscovery::start(list(&latest));
     let before = descriptor_count(&proxy);
     for round in 0..12 {
         match round % 3 {
             0 => proxy.reload("{\"name\":"),
-            n => proxy.reload(&configuration_at(passing[n - 1].address)),
+            n => proxy.reload(&configuration_at(former[n - 1].address)),
         }
     }
     proxy.reload(&configuration_at(last.address));
-    // Until it is read: a file that is replaced before that never counts.
+    // Waits until the configuration has been read: a file that is replaced before that has no effect.
     last.wait_for_watch();
     proxy.reload("{}");
     let mut client = proxy.connect();
     let start = Instant::now();
     while latest.executed_count() == 0 {
         client.query(&write_query(1, 900));
-        assert!(start.elapsed() < Duration::from_secs(10), "the last discovery is never used");
+        assert!(
+            start.elapsed() < Duration::from_secs(10),
+            "the list of the last discovery is not in effect within 10 s"
+        );
     }
-    // The others no longer count, and their watches end.
-    passing[0].push(&endpoint_update(9, &endpoint_entry(7, &latest, "DRAINING")));
+    // Updates from the former addresses have no effect, and the watches there are closed.
+    former[0].push(&endpoint_update(9, &endpoint_entry(7, &latest, "DRAINING")));
     while descriptor_count(&proxy) > before + 2 {
-        assert!(start.elapsed() < Duration::from_secs(10), "{} of {before}", descriptor_count(&proxy));
+        assert!(
+            start.elapsed() < Duration::from_secs(10),
+            "{} descriptors, {before} before the reloads",
+            descriptor_count(&proxy)
+        );
     }
     assert_eq!(client.query(&write_query(2, 900)), SERVED);
     assert_eq!(statement_count(&latest, "id=2,"), 1);
 }
 
-/// How often a member executed a statement with this text.
+/// Returns how many executed statements of a member contain this text.
 fn statement_count(member: &MockMember, text: &str) -> usize {
     member.executed().iter().filter(|statement| statement.contains(text)).count()
 }
