--- a/tests/proxy/platform/faults.rs
+++ b/tests/proxy/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of members and of the connections to them.
+//! Tests of faults of members and of the connections to them.
 
 use crate::support::*;
 use insta::assert_snapshot;
@@ -13,7 +13,7 @@
     let sent = Instant::now();
     client.send(&[simple_query(&write_query(1, 400)), simple_query("")].concat());
     assert_snapshot!(client.read_reply(), @"E(08007) Z");
-    // The rules allow 470 ms; the rest is for a busy machine.
+    // The requirement is 470 ms; the rest is a margin for a busy machine.
     assert!(sent.elapsed() < Duration::from_millis(600));
     assert_snapshot!(client.read_reply(), @"I Z");
     assert_eq!(primary.executed_count() + replica.executed_count(), 1);
@@ -44,8 +44,8 @@
     assert_eq!(primary.executed_count(), 2);
 }
 
-/// Guards against connections that are dropped by the network while idle: after the first such loss, the
-/// others are checked before they carry a request.
+/// The network may drop idle connections without closing them. After the first request that is lost that way,
+/// the proxy must check the other idle connections before it sends a request on them.
 #[test]
 fn silently_dropped_member_connections_cost_exactly_one_write() {
     let primary = MockMember::start(true);
@@ -70,13 +70,15 @@
     assert_eq!(primary.executed_count(), 0);
 }
 
+/// The messages of the reply to a simple query, each named by its tag: RowDescription, DataRow,
+/// CommandComplete and ReadyForQuery.
 const T: &[u8] = b"T\0\0\0\x1a\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 const D: &[u8] = b"D\0\0\0\x0f\0\x01\0\0\0\x05other";
 const C: &[u8] = b"C\0\0\0\x09DONE\0";
 const Z: &[u8] = b"Z\0\0\0\x05I";
 
-/// Guards against forwarding what no member made for the request: only a complete sequence of messages
-/// counts, and a request with a malformed reply may have executed.
+/// The proxy must forward a reply only if it is a complete and valid sequence of messages. A request with a
+/// malformed reply may have executed: a write must not be retried, and a read is retried on another member.
 #[test]
 fn malformed_reply_is_a_failed_attempt_that_may_have_executed() {
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
@@ -104,18 +106,18 @@
         assert_eq!(
             primary.executed_count() + replica.executed_count(),
             runs + 1,
-            "{n}: the write has executed once"
+            "{n}: the write is executed once"
         );
         replica.plan(&[MemberBehavior::SendRaw(bytes)]);
         assert_eq!(client.query(&read_query(n as u32)), SERVED, "{n}: another member serves it");
         assert_eq!(replica.executed_count() + primary.executed_count(), runs + 3, "{n}");
-        // Enough good replies that the replica is not ejected.
+        // These successful replies keep the replica from being ejected.
         (0..4).for_each(|_| assert_eq!(client.query(&read_query(99)), SERVED));
     }
 }
 
-/// Guards against bytes behind a reply, which would pass for the reply to the next request on the
-/// connection.
+/// If a member sends further bytes after a reply and the proxy reused the connection, it would take them for
+/// the reply to the next request.
 #[test]
 fn bytes_behind_a_reply_never_reach_the_next_request() {
     let primary = MockMember::start(true);
@@ -130,7 +132,8 @@
     assert_eq!(primary.executed_count(), 6);
 }
 
-/// Guards against blaming a member, and retrying on others, for a fault of the statement itself.
+/// An error of the statement itself is no fault of the member. If the proxy treated it as one, it would retry
+/// the statement on other members, and eject members that work.
 #[test]
 fn statement_error_is_returned_without_a_retry() {
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
