--- a/tests/proxy/platform/messages.rs
+++ b/tests/proxy/platform/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of clients: framing, validation, and what is forwarded.
+//! Tests of client messages: framing, validation, and the statements that are forwarded.
 
 use crate::support::*;
 use insta::assert_snapshot;
@@ -57,8 +57,8 @@
     assert_snapshot!(other.read_reply(), @"E(0A000) end");
 }
 
-/// Guards against clients that send what no member could parse: each gets an error, and members never see
-/// it.
+/// Clients may send statements that no member could parse. The proxy must answer each with an error and not
+/// forward it.
 #[test]
 fn unparsable_statements_get_an_error_and_never_reach_a_member() {
     let primary = MockMember::start(true);
@@ -93,7 +93,8 @@
     assert_eq!(client.query(&good), SERVED);
 }
 
-/// Guards against a reply that would be taken for that of another client's request.
+/// If two pending requests had the same id, the reply to one of them could be sent to the client of the
+/// other.
 #[test]
 fn id_of_a_pending_request_is_rejected() {
     let primary = MockMember::start(true);
@@ -105,6 +106,6 @@
     let mut other = proxy.connect();
     assert_eq!(other.query(&write_query(7, 900)), "E(08P01) Z");
     assert_eq!(client.read_reply(), "E(08007) Z");
-    assert_eq!(other.query(&write_query(7, 900)), SERVED, "the id is free again");
+    assert_eq!(other.query(&write_query(7, 900)), SERVED, "the id may be used again");
     assert_eq!(primary.executed_count(), 2);
 }
