--- a/tests/proxy/platform/partial_messages.rs
+++ b/tests/proxy/platform/partial_messages.rs
@@ -1,17 +1,18 @@
-//! Clients that stop in the middle of a request and stay: they get an error or the end of the stream in time.
+//! Tests of clients that stop in the middle of a request and stay connected. The proxy must close their
+//! connections with an error, or they would use them for an unlimited time.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// What clients that misbehave are owed: their error or the close within this time.
+/// The time within which such a client must get the error and the end of the stream.
 const TIME_LIMIT: Duration = Duration::from_secs(3);
 
-/// All parts of these bytes that end before the last one, and are not empty.
-fn cuts(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
+/// Returns all proper prefixes of these bytes, without the empty one.
+fn prefixes(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     (1..bytes.len()).map(|end| &bytes[..end])
 }
 
-/// Asserts that each connection ends in time, after an error that ends it or with no reply begun.
+/// Asserts that each client gets a protocol error and then the end of the stream in time.
 fn assert_ended_in_time(clients: Vec<Client>, start: Instant) {
     for mut client in clients {
         let reply = client.read_reply_until(|_| false);
@@ -33,24 +34,24 @@
     };
     let platform = || Client::connect_without_startup(proxy.address);
     let postgres = || Client::connect_without_startup(proxy.extended_address.unwrap());
-    for part in cuts(&startup_message()) {
+    for part in prefixes(&startup_message()) {
         add(platform(), part);
         add(postgres(), part);
     }
-    for part in cuts(&simple_query("SELECT 1")) {
+    for part in prefixes(&simple_query("SELECT 1")) {
         add(platform(), &[&startup_message(), part].concat());
     }
-    // Each cut between the first byte and the Flush, which is answered, and from there to the Sync.
+    // All prefixes that end before the Flush, which is answered, and two prefixes of the Sync.
     let batch = extended_messages(extended);
     let sync = batch.len() - 5;
-    for part in cuts(&batch[..sync - 5]).chain([&batch[sync..sync + 1], &batch[sync..sync + 4]]) {
+    for part in prefixes(&batch[..sync - 5]).chain([&batch[sync..sync + 1], &batch[sync..sync + 4]]) {
         add(postgres(), &[&startup_message(), part].concat());
     }
     assert_ended_in_time(clients, start);
     assert_eq!(primary.executed_count(), 0, "no partial request is executed");
 }
 
-/// A client sends complete commands whose replies take long, and then part of another one.
+/// A client sends complete commands whose replies take long, and then a part of another command.
 #[test]
 fn client_that_stops_behind_commands_in_progress_gets_its_error_in_time() {
     let primary = MockMember::start(true);
@@ -61,7 +62,8 @@
     let partial_query = simple_query(&read_query(1))[..30].to_vec();
     let start = Instant::now();
     let mut clients = Vec::new();
-    // 8 commands are what a connection may have in progress: it is still read from up to a complete one.
+    // A connection may have 8 commands in progress. The proxy still reads from it until the next one is
+    // complete.
     for commands in [1, 7, 8] {
         let mut client = proxy.connect();
         client.send(&simple_query(&write(commands * 100)));
