--- a/tests/proxy/platform/slow_readers.rs
+++ b/tests/proxy/platform/slow_readers.rs
@@ -1,13 +1,13 @@
-//! Clients that do not read their replies for a while.
+//! Tests of clients that do not read their replies for a while.
 
 use crate::support::*;
 use std::io::Write;
 
-/// Commands whose replies exceed what the sockets and the proxy hold together.
+/// The number of commands. Their replies exceed the buffers of the sockets and of the proxy together.
 const COMMANDS: u32 = 300;
 
-/// Guards against a client that sends many commands before it reads their replies, and is disconnected for that: its
-/// commands are read only as fast as it reads, and each gets its reply.
+/// A client sends many commands before it reads the first reply. The proxy must not disconnect it: it must
+/// read the commands only as fast as the client reads the replies, and answer each.
 #[test]
 fn client_that_reads_late_gets_all_replies() {
     let primary = MockMember::start(true);
@@ -21,16 +21,16 @@
     let commands: Vec<u8> = (1..=COMMANDS).flat_map(query).collect();
     let mut sending = client.stream.try_clone().unwrap();
     let sending = std::thread::spawn(move || sending.write_all(&commands));
-    // Until nothing is executed any more: what is left waits for the client to read.
+    // Waits until no further command is executed: the remaining ones wait for the client to read.
     let (mut executed, mut unchanged) = (0, 0);
     while executed < 20 || unchanged < 200 {
         wait_for_counter(&proxy, "pending=");
         unchanged = if primary.executed_count() == executed { unchanged + 1 } else { 0 };
         executed = primary.executed_count();
     }
-    assert!(executed < COMMANDS as usize, "not all replies fit");
+    assert!(executed < COMMANDS as usize, "the replies must exceed the buffers");
     let mut other = proxy.connect();
-    assert!(other.query(&write_query(0xfff, 900)).contains("D("), "others are served");
+    assert!(other.query(&write_query(0xfff, 900)).contains("D("), "other clients are served");
     for id in 1..=COMMANDS {
         let reply = client.read_reply();
         assert!(reply.ends_with(" C Z"), "{id}: {}", reply.get(..20).unwrap_or(&reply));
