--- a/tests/proxy/platform/configuration.rs
+++ b/tests/proxy/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations that cannot be used.
+//! Tests of unusable configurations.
 
 use crate::support::*;
 
--- a/tests/proxy/platform/mod.rs
+++ b/tests/proxy/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's listener: each test stands for a failure that was found or is guarded against.
+//! Tests of the platform's listener: client messages and connections, the endpoint list, and faults of
+//! members.
 
 mod configuration;
 mod connections;
