--- a/tests/proxy/platform/connections.rs
+++ b/tests/proxy/platform/connections.rs
@@ -58,8 +58,8 @@
     assert!(start.elapsed() < Duration::from_millis(3700));
 }
 
-/// Clients that connect, or begin a message, and then send nothing more would otherwise use connections for
-/// an unlimited time.
+/// Without a time limit, clients that connect, or begin a message, and then send nothing more would keep their
+/// connections open indefinitely.
 #[test]
 fn silent_clients_and_partial_messages_time_out_with_an_error() {
     let primary = MockMember::start(true);
--- a/tests/proxy/platform/endpoint_list.rs
+++ b/tests/proxy/platform/endpoint_list.rs
@@ -153,8 +153,8 @@
     assert!(peak < 32 * 1024, "{peak} kB of 32 MB");
 }
 
-/// The cost of a proxy must depend on the members that it sends to. If it grew with each listed member, a
-/// proxy could not run in a large fleet.
+/// The cost of a proxy must depend on the number of members that it sends to, not on the number of members in
+/// the list.
 #[test]
 fn proxy_in_a_fleet_of_sixteen_times_the_members_costs_little_more() {
     let measure = |members, proxies| {
