--- a/tests/proxy/platform/endpoint_list.rs
+++ b/tests/proxy/platform/endpoint_list.rs
@@ -100,7 +100,7 @@
     let shell = &format!("{silent}; exec \"$0\" serve --postgres \"$1\"");
     let proxy = Proxy::start_with_shell(&[&primary, &replica], shell, "");
     let (mut platform, mut extended) = (proxy.connect(), proxy.connect_extended());
-    assert_eq!(platform.query(&write_query(0, 900)), SERVED, "the primary is known");
+    assert_eq!(platform.query(&write_query(0, 900)), SERVED, "the proxy knows the primary");
     for id in 1..=24 {
         // After this, the last known position of the replica is older than the staleness bound.
         std::thread::sleep(Duration::from_millis(30));
--- a/tests/proxy/races/discovery.rs
+++ b/tests/proxy/races/discovery.rs
@@ -11,8 +11,8 @@
 }
 
 /// A change must be applied within six seconds of when discovery has it. A silent watch followed by a request
-/// that hangs must leave enough of this time for a connection that never opens and the backoff after it (0.9
-/// s).
+/// that hangs must leave enough of this time for a connection that never opens and the backoff after it
+/// (0.9 s).
 #[test]
 fn silent_watch_and_hung_request_are_replaced_well_within_six_seconds() {
     let (old, new) = (MockMember::start(true), MockMember::start(true));
@@ -47,7 +47,7 @@
     let (_repeated, _) = shared_discovery.accept_request();
     let waited = start.elapsed();
     assert!(waited > Duration::from_millis(2500), "called again after only {waited:?}");
-    assert!(waited < Duration::from_millis(3500), "called again only after {waited:?}");
+    assert!(waited < Duration::from_millis(3500), "not called again for {waited:?}");
     waiting.set_nonblocking(true).unwrap();
     let is_open = waiting.peek(&mut [0]).is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
     assert!(is_open, "the first call stays open");
@@ -56,12 +56,12 @@
     let (_again, _) = shared_discovery.accept_request();
     let waited = start.elapsed();
     assert!(waited > Duration::from_millis(3250), "called again after only {waited:?}");
-    assert!(waited < Duration::from_millis(4500), "called again only after {waited:?}");
+    assert!(waited < Duration::from_millis(4500), "not called again for {waited:?}");
 }
 
 /// SIGHUP replaces the discovery address. While the new address is silent, the proxy must still apply a drain
-/// that the old one sends. It must also repeat a call to the new address that hangs early enough: the list of
-/// the new address must be in effect 4 s after SIGHUP.
+/// that the old one sends. If a call to the new address hangs, the proxy must open another one early enough
+/// that the list of the new address is in effect 4 s after SIGHUP.
 #[test]
 fn drain_update_is_applied_while_sighup_replaces_the_watch() {
     let (primary, replica, next) =
