--- a/benches/fleet_cost.rs
+++ b/benches/fleet_cost.rs
@@ -22,7 +22,7 @@
 
 fn main() -> ExitCode {
     let measure =
-        |members, proxies| Fleet { members, proxies, requests: REQUESTS, duration: DURATION }.play();
+        |members, proxies| Fleet { members, proxies, requests: REQUESTS, duration: DURATION }.measure_cost();
     let usual = measure(USUAL_MEMBERS, USUAL_PROXIES);
     let large = measure(LARGE_MEMBERS, LARGE_PROXIES);
     println!("{REQUESTS} requests in {} s; one in twelve members is replaced", DURATION.as_secs());
