--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -91,8 +91,8 @@
     Draining,
     /// The connection was idle, and its capacity was needed for a new client.
     Evicted,
-    /// Idle connections used a large part of the process's descriptors, and this one had been idle for long
-    /// enough to be closed.
+    /// Connections that had made a request used a large part of the process's descriptors, and this one had
+    /// been idle for long enough to be closed.
     KeptIdle,
     /// The limit of client connections was reached, and none of them could be evicted.
     TooManyConnections,
--- a/src/core/connections.rs
+++ b/src/core/connections.rs
@@ -16,8 +16,8 @@
 /// cover an eviction interval and the delays of a slow proxy, so that the proxy closes the connection
 /// before the member does.
 const IDLE_EVICTION_PERCENT: Micros = 80;
-/// How long idle connections are verified before an attempt reuses them, counted from the last stale
-/// connection that was found.
+/// For this long after a stale connection was found, every idle connection is verified before an attempt
+/// reuses it.
 const REVALIDATION_PERIOD: Micros = 10_000_000;
 /// A connection that was idle for at least this long is verified before a request that must not be executed
 /// twice.
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Handles the end of a connection. A job that the connection has not reported counts as reset, because
-    /// its progress is unknown; without this, its request would stay in flight until a timeout.
+    /// Handles the end of a connection. A job whose result has not been reported counts as reset, because its
+    /// progress is unknown; without this, its request would stay in flight until a timeout.
     pub(super) fn connection_closed(&mut self, now: Micros, connection: ConnectionId) {
         if let Some((endpoint, reason)) = self.pool.remove(connection) {
             self.record(Record::ConnectionClosed { connection, endpoint, reason });
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -8,7 +8,7 @@
 pub struct AnswerCounts {
     /// Requests that were answered with a member's response.
     pub served: u64,
-    /// Requests that were rejected with the statement that a retry is harmless.
+    /// Requests that were rejected; a retry of them is harmless.
     pub rejected: u64,
     /// Requests that failed, some of which a member may have executed.
     pub failed: u64,
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -40,7 +40,7 @@
     /// Whether the job runs on a connection that was idle in the pool, not on a new one.
     reused: bool,
     started_at: Micros,
-    /// Set from the request to cancel the job until its result.
+    /// The reason given to [`Core::cancel_job`]; `None` if that has not been called for the job.
     cancel_reason: Option<CancelReason>,
 }
 
@@ -50,7 +50,7 @@
         matches!(self.purpose, JobPurpose::Attempt { request, .. } if request == id)
     }
 
-    /// Whether the job is an attempt whose cancellation has not been requested.
+    /// Whether the job is an attempt for which [`Core::cancel_job`] has not been called.
     fn is_live_attempt(&self) -> bool {
         matches!(self.purpose, JobPurpose::Attempt { .. }) && self.cancel_reason.is_none()
     }
@@ -73,7 +73,8 @@
         let pending = self.requests.get_mut(&request)?;
         let attempt = pending.attempts;
         pending.attempts += 1;
-        // Enforced here as well, so that a fault of the router can't cause a second execution.
+        // The router observes both conditions, too. The reducer checks them again, so that a fault of the
+        // router can't cause a second execution.
         let counted_attempts = attempt - pending.local_errors;
         let allowed = counted_attempts < self.settings.max_attempts && !pending.must_not_be_repeated();
         let timeout = order.timeout.min(pending.deadline.saturating_sub(now)).max(MIN_ATTEMPT_TIMEOUT);
@@ -161,8 +162,8 @@
             self.pool.mark_broken(job.connection);
         }
         let outcome = match reason {
-            // The member did not answer what precedes the job, such as a liveness check, by the timeout: it
-            // counts as unreachable.
+            // The job waited for the reply to a liveness check or to the messages before an Execute, and the
+            // member did not send it by the timeout: the member counts as unreachable.
             CancelReason::TimedOut if !maybe_sent && !reusable => Outcome::ConnectFailed,
             _ if !maybe_sent => Outcome::NeverSent,
             CancelReason::TimedOut => Outcome::TimedOut,
@@ -217,9 +218,9 @@
             self.serve_request(request, answer);
         }
         let elapsed = now.saturating_sub(job.started_at);
-        // An attempt that was withdrawn because its request has ended is not a failure.
-        let was_withdrawn = matches!(outcome, Outcome::NeverSent | Outcome::Cancelled);
-        let is_obsolete = was_withdrawn && !self.requests.contains_key(&request);
+        // An attempt that was cancelled because its request has ended is not a failure.
+        let was_cancelled = matches!(outcome, Outcome::NeverSent | Outcome::Cancelled);
+        let is_obsolete = was_cancelled && !self.requests.contains_key(&request);
         if outcome != Outcome::Ok && !is_obsolete {
             let (endpoint, list_revision) = (job.endpoint, self.list_revision);
             self.record(Record::AttemptFailed {
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -30,8 +30,8 @@
 
 impl<W> PendingRequest<W> {
     /// Records that an attempt started at this time may have been executed.
-    pub fn mark_maybe_executed(&mut self, sent_at: Micros) {
-        let earliest = self.first_maybe_executed_at.map_or(sent_at, |first| first.min(sent_at));
+    pub fn mark_maybe_executed(&mut self, started_at: Micros) {
+        let earliest = self.first_maybe_executed_at.map_or(started_at, |first| first.min(started_at));
         self.first_maybe_executed_at = Some(earliest);
     }
 
--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -41,7 +41,7 @@
 pub struct RetainedConnections {
     /// The number of these connections, idle or not.
     pub count: usize,
-    /// The one that has been idle longest.
+    /// The one of them that has been idle longest; `None` if none is idle.
     pub next_evictable: Option<EvictableConnection>,
 }
 
--- a/src/front/pipeline.rs
+++ b/src/front/pipeline.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// The number of replied writes that a connection remembers: a pipeline holds no more writes beside a read.
+/// The number of replied writes that a connection remembers. No more writes can be in a pipeline together
+/// with a read that must see them.
 const MAX_REPLIED_WRITES: usize = 8;
 
 /// A request that no longer waits for earlier commands.
@@ -218,8 +219,8 @@
 
     /// Records the id under which a taken request is forwarded to the core.
     pub fn mark_running(&mut self, index: usize, request: RequestId) {
-        if let Stage::Running(number, _) = &mut self.entries[index].stage {
-            *number = request;
+        if let Stage::Running(running_id, _) = &mut self.entries[index].stage {
+            *running_id = request;
         }
     }
 
--- a/src/front/postgres/dependencies.rs
+++ b/src/front/postgres/dependencies.rs
@@ -4,8 +4,8 @@
 use crate::pg;
 use crate::pg::message_tags::{describe_targets, frontend};
 
-/// The names of the statements that a batch prepares, closes, binds or describes. The unnamed statement is
-/// left out from the first Parse on that prepares it, as the batch then does not depend on an earlier one.
+/// The names of the statements that a batch prepares, closes, binds or describes. Once the batch itself has
+/// prepared the unnamed statement, uses of that are left out: they don't depend on an earlier batch.
 pub fn statement_names(batch: &ClientBatch) -> Vec<&[u8]> {
     let mut names = Vec::new();
     let mut prepares_unnamed = false;
--- a/src/pg/frame_reader.rs
+++ b/src/pg/frame_reader.rs
@@ -58,7 +58,7 @@
 
 impl FrameReader {
     /// Reads once from the stream; returns `false` at its end. Blocks if the stream is blocking. A read that
-    /// fails with a momentary error is repeated.
+    /// fails with a transient error is retried as [`TransientErrorRetries`] allows.
     pub fn fill(&mut self, mut stream: impl Read) -> std::io::Result<bool> {
         if self.start > 0 {
             self.discard_consumed();
--- a/src/pg/sqlstate.rs
+++ b/src/pg/sqlstate.rs
@@ -4,7 +4,8 @@
 pub const PROTOCOL_VIOLATION: &str = "08P01";
 /// An operator has taken the proxy out of service.
 pub const CANNOT_CONNECT_NOW: &str = "57P03";
-/// The request or the connection was rejected: nothing has been executed, and the client may retry.
+/// The request or the connection was rejected, and a retry is harmless: nothing has been executed, or the
+/// class of the request allows repeats.
 pub const TOO_MANY_CONNECTIONS: &str = "53300";
 /// The request failed, and may have been executed.
 pub const TRANSACTION_RESOLUTION_UNKNOWN: &str = "08007";
