--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! The input from clients in the form that the reading thread passes on: connection events, and commands
-//! whose routing fields are already parsed.
+//! The input from clients in the form that the reactor thread of the client connections passes on: connection
+//! events, and commands whose routing fields are already parsed.
 
 mod simple_query;
 
@@ -12,7 +12,7 @@
 /// The id of a client connection; ids are never reused.
 pub type ClientId = u64;
 
-/// An event on a client connection, as the reading thread reports it. `C` is the type of a command.
+/// An event on a client connection, as the reactor thread reports it. `C` is the type of a command.
 pub enum ClientEvent<C> {
     /// The client has connected.
     Connected {
--- a/src/config.rs
+++ b/src/config.rs
@@ -121,7 +121,7 @@
     pub known_endpoints: EndpointList,
     /// The settings of the policy.
     pub settings: Settings,
-    /// The settings as JSON, unparsed, which the proxy writes to the store.
+    /// The settings as a JSON value, as in the file. The proxy writes them to the store.
     #[serde(skip)]
     pub raw_settings: serde_json::Value,
 }
--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -146,7 +146,7 @@
         self.connections.remove(&id);
     }
 
-    /// Handles an event that a client's reader reports.
+    /// Handles an event on a client connection that the reactor thread has reported.
     pub fn handle_event(
         &mut self,
         registry: &mut RequestRegistry,
--- a/src/front/effect.rs
+++ b/src/front/effect.rs
@@ -16,7 +16,7 @@
     /// connection, it calls
     /// [`ConnectionManager::remove_connection`](super::ConnectionManager::remove_connection).
     CloseIfIdle(ClientId),
-    /// Count a client's oldest command as answered, which lets its reader pass on another command.
+    /// Count a client's oldest command as answered, so that another command of the client may be read.
     CommandAnswered(ClientId),
     /// Start a request in the core.
     StartRequest(NewRequest<MemberRequest>),
--- a/src/front/protocol.rs
+++ b/src/front/protocol.rs
@@ -30,7 +30,7 @@
 
 /// The protocol that a front speaks with its clients.
 pub trait Protocol {
-    /// A command, as the client's reader reports it.
+    /// A command, as the reactor thread of the client connections reports it.
     type Command;
     /// The state that a connection keeps from command to command.
     type Session: Default;
