--- a/src/front/connection_manager.rs
+++ b/src/front/connection_manager.rs
@@ -41,7 +41,7 @@
 pub struct RetainedConnections {
     /// The number of these connections, idle or not.
     pub count: usize,
-    /// The one that has been idle longest.
+    /// The one of them that has been idle longest; `None` if none is idle.
     pub next_evictable: Option<EvictableConnection>,
 }
 
@@ -146,7 +146,7 @@
         self.connections.remove(&id);
     }
 
-    /// Handles an event that a client's reader reports.
+    /// Handles an event on a client connection that the reactor thread has reported.
     pub fn handle_event(
         &mut self,
         registry: &mut RequestRegistry,
