--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -22,8 +22,8 @@
 pub const MAX_CONNECTIONS: usize = 16;
 /// The time limit for reading the head of a request, and for a write of a response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time limit for the event loop's answer. Clients wait 1 s for a response: without an answer, they are
-/// sent one that says so before they give up.
+/// The time limit for the event loop's answer. Clients wait 1 s for a response: with this limit, they receive
+/// the response `no answer in time` before their own timeout.
 const LOOP_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a connection remains open after the response has been written, for the client to read it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,5 +1,6 @@
 //! Client connections. One reactor thread accepts connections and reads from all of them; the event loop
-//! writes through one handle per connection. Neither decides how requests are handled.
+//! writes through one handle per connection. Neither the reactor nor the handles decide how requests are
+//! handled; the event loop does.
 //!
 //! The sockets are non-blocking, and `epoll` reports which of them are ready. Blocking sockets would need one
 //! or two threads per client. With 170 clients, such threads took two thirds of the proxy's share of a CPU
--- a/src/net/client/presence.rs
+++ b/src/net/client/presence.rs
@@ -30,8 +30,8 @@
         let Some(connection) = self.0.upgrade() else { return true };
         let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let mut descriptors = [PollFd::new(&connection.stream, PollFlags::RDHUP)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        let polled = poll(&mut descriptors, Some(&at_once));
+        let zero_timeout = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let polled = poll(&mut descriptors, Some(&zero_timeout));
         polled.is_ok() && descriptors[0].revents().intersects(closed)
     }
 }
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -159,9 +159,9 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Requests the `epoll` events that this state needs. With `writable_now`, also requests that the socket
-    /// is reported as writable, which wakes the reactor for this connection soon. A close by the client is
-    /// always reported, even if unread bytes precede it.
+    /// Requests the `epoll` events that this state needs. With `writable_now`, also requests the event that
+    /// the socket is writable: this wakes the reactor, which then handles this connection again. A close by
+    /// the client is always reported, even if unread bytes precede it.
     ///
     /// If the call fails because of an error of this machine, the reactor retries it later. Otherwise the
     /// connection would never be read again, or its answer never be written.
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! The discovery watch: keeps calls to discovery open, and passes each update of the endpoint list on.
 //!
 //! Whatever discovery holds counts as known to the proxy, so the watch must not stop listening: a call that
-//! does not respond stays open, and is still read, while another one is opened beside it. The others are
-//! closed when one of them delivers something.
+//! does not respond stays open, and is still read, while another one is opened beside it. When one of the
+//! open calls delivers something, the others are closed.
 
 mod backoff;
 mod call;
@@ -21,8 +21,8 @@
 use std::time::Duration;
 use watcher::Watcher;
 
-/// A watch call that has received neither an update nor a heartbeat for this long counts as unresponsive.
-/// Discovery sends an empty line as a heartbeat every 2 s.
+/// A watch call that has received neither an update nor a heartbeat for this long counts as silent, and
+/// another call is opened beside it. Discovery sends an empty line as a heartbeat every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2400);
 
 /// The number of a watch; a newer watch has a higher one.
@@ -43,7 +43,7 @@
     /// A call ended.
     CallEnded(CallEnd),
     /// Discovery does not answer: no open call has delivered anything in time, or a call failed or ended.
-    /// Reported once, until an [`WatchReport::Answered`] follows.
+    /// Reported once, and not again until [`WatchReport::Answered`] has followed.
     Unanswered,
     /// Discovery answers again, this long after [`WatchReport::Unanswered`].
     Answered(Duration),
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -74,9 +74,9 @@
     assert!(matches!(body_of(&endless, 1000).unwrap_err(), DiscoveryError::ChunkSize));
 }
 
-/// Fails if the delays to the next call follow from the load on discovery instead of the drain grace. The
-/// update must arrive within the grace and the 50 ms that sockets allow, though the process may be paused for
-/// 150 ms of that time.
+/// Fails if the delays to the next call are chosen for the load on discovery and not for the drain grace. An
+/// update must arrive within the grace plus 50 ms, an allowance for the sockets, even if the process is paused
+/// for 150 ms of that time.
 #[test]
 fn an_agent_is_called_again_within_any_drain_grace() {
     for grace in [200, 250, 500, 1000, 2000] {
--- a/src/net/member/extended_query.rs
+++ b/src/net/member/extended_query.rs
@@ -163,8 +163,8 @@
         let error = execution.error.as_deref();
         if error == Some(INVALID_SQL_STATEMENT_NAME) {
             // The member has lost a prepared statement that the cache of this connection contains. The batch
-            // had no effect, so it counts as rejected; the connection is closed, as the next one starts with
-            // an empty cache.
+            // had no effect, so it counts as rejected. The connection is closed, so that the next one starts
+            // with an empty cache.
             return JobReply::failed(Outcome::RejectedByMember);
         }
         JobReply::answered(outcome_of_reply(error), status, execution.response, self.connection)
--- a/src/net/member/job.rs
+++ b/src/net/member/job.rs
@@ -62,7 +62,8 @@
         bytes: Vec<u8>,
         connection: &OpenConnection,
     ) -> JobReply {
-        // Bytes after a complete reply would count as part of the next job's reply.
+        // With bytes left after a complete reply, the connection is not reused: they would count as part of
+        // the next job's reply.
         let reusable = connection.frames.buffered().is_empty();
         JobReply { job_result: status.into_job_result(outcome, bytes), reusable }
     }
@@ -121,7 +122,7 @@
         Some(self.read_simple_query_reply(is_health_check))
     }
 
-    /// Writes all bytes, and repeats a write that met a momentary error.
+    /// Writes all bytes. A write that fails with a transient error is retried.
     pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), WriteError> {
         let mut written = 0;
         let mut retries = TransientErrorRetries::default();
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -109,7 +109,7 @@
         })
     }
 
-    /// Closes the socket of the connection, if it is open, in both directions. A job that runs on it fails.
+    /// Shuts down the socket of the connection in both directions, if it is open. A job that runs on it fails.
     pub fn abort(&self) {
         self.connection.abort();
     }
--- a/src/net/member/start_conditions.rs
+++ b/src/net/member/start_conditions.rs
@@ -8,8 +8,8 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// An attempt with less time left than this is not started: the timeout that a member is told is in whole
-/// milliseconds.
+/// An attempt with less time left than this is not started: the timeout that is sent to the member is in
+/// whole milliseconds.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 /// When the events of clients were last handled longer ago than this, those that have arrived are handled
@@ -51,8 +51,8 @@
     }
 
     /// Returns how long the proxy will wait for the result; `None` if the job must not start. Call this
-    /// immediately before the job is written: the member is told this time, and nothing may be sent for a
-    /// client that has left.
+    /// immediately before the job is written: the time is sent to the member as the timeout, and nothing may
+    /// be sent for a client that has disconnected.
     pub(super) fn time_left(&self) -> Option<Duration> {
         if let Some(client) = &self.client {
             self.await_client_events(client)?;
--- a/src/server/clients.rs
+++ b/src/server/clients.rs
@@ -10,7 +10,8 @@
 use crate::stable_hash::stable_hash;
 
 /// Idle connections are closed once retained connections use one in this many of the process's descriptors.
-/// The limit is lower than a third of the descriptors, the share that is intended for clients.
+/// This is less than a third of the descriptors, the share of clients if two processes of this proxy run at
+/// the same time.
 const RETAINED_CONNECTIONS_DIVISOR: usize = 4;
 
 impl Server {
--- a/src/server/service.rs
+++ b/src/server/service.rs
@@ -9,8 +9,8 @@
 /// The proxy becomes ready this long after its start even if no endpoint update has arrived.
 const MAX_STARTUP_WAIT: Micros = 400_000;
 /// The same for a proxy that gets the list from a local agent, which answers immediately unless discovery is
-/// down. The agent's list matters from the first request of the process on, so that a slow answer is worth a
-/// longer wait.
+/// down. The list that the agent holds counts as known to the proxy from the start of the process, so the
+/// proxy waits longer for a slow answer instead of serving without the list.
 const MAX_STARTUP_WAIT_FOR_AGENT: Micros = 1_500_000;
 /// Idle connections are closed this long after an operator has taken the proxy out of service. The layer in
 /// front of the proxies checks their health ten times per second, and still sends clients to a proxy for
--- a/src/store/service.rs
+++ b/src/store/service.rs
@@ -280,8 +280,8 @@
         }
     }
 
-    /// Answers the puts whose entry was appended at `index`, which is now committed. They are committed if
-    /// the entry there has their term.
+    /// Answers the puts whose entry was appended at `index`, where an entry of this term is now committed. A
+    /// put is committed only if its entry has the same term.
     fn resolve_puts(&mut self, index: Index, term: Term) {
         let resolved: Vec<_> = self.pending_puts.extract_if(.., |put| put.index == index).collect();
         for put in resolved {
--- a/src/syslog/format.rs
+++ b/src/syslog/format.rs
@@ -17,8 +17,8 @@
 const MAX_NAME_CHARS: usize = 32;
 /// The highest sequence id. The next one after it is 1.
 const MAX_SEQUENCE_ID: u64 = 2_147_483_647;
-/// The identifier of this program's own structured data. The project has no enterprise number, so the id has
-/// 32473, which is reserved for examples.
+/// The identifier of this program's own structured data. It contains the enterprise number 32473, which is
+/// reserved for examples, because the project has none of its own.
 const DATA_ID: &str = "liftrelay@32473";
 const APPLICATION: &str = "liftrelay";
 /// The value of a header field that has none.
--- a/src/syslog/sink.rs
+++ b/src/syslog/sink.rs
@@ -41,11 +41,11 @@
     pub fn start(name: &str, mut write: impl FnMut(&str) + Send + 'static) -> Result<Sink, SyslogError> {
         let (queue, queued) = bounded::<Arc<str>>(QUEUE_CAPACITY);
         let unwritten = Unwritten::default();
-        let written_by_thread = unwritten.clone();
+        let unwritten_of_thread = unwritten.clone();
         let run = move || {
             while let Ok(message) = queued.recv() {
                 write(&message);
-                written_by_thread.remove_one();
+                unwritten_of_thread.remove_one();
             }
         };
         spawn(name, run).map_err(SyslogError::Thread)?;
