--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -16,7 +16,7 @@
 
 /// How long a client may take to complete a command that it has begun. A connection that the reactor closes
 /// is removed after the same time, unless the client is still reading its answer.
-pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
+pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2200);
 /// The most bytes that are read and discarded from a closing connection before it is removed.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 /// An incomplete command counts towards the limit over all connections only from this size on.
@@ -102,8 +102,8 @@
     command_received_since_deadline: bool,
     /// When the incomplete command must be complete; for a closing connection, when it is removed.
     pub(super) deadline: Option<Instant>,
-    /// The bytes that this connection contributes to `ClientReactor::incomplete_message_bytes`.
-    incomplete_message_bytes: usize,
+    /// The bytes that this connection contributes to `ClientReactor::incomplete_command_bytes`.
+    incomplete_command_bytes: usize,
     /// Whether the reactor is closing the connection and discards incoming bytes.
     pub(super) closing: bool,
     /// The bytes that have been discarded since the connection was closed.
@@ -124,7 +124,7 @@
             any_command_received: false,
             command_received_since_deadline: false,
             deadline: Some(deadline),
-            incomplete_message_bytes: 0,
+            incomplete_command_bytes: 0,
             closing: false,
             discarded_bytes: 0,
             unwritten_bytes_at_deadline: 0,
@@ -254,18 +254,18 @@
     /// Updates the bytes of the incomplete command, here and in the total over all connections; `false` if
     /// the total exceeds its limit and this connection contributes to it. Without the limit, many clients
     /// that each send part of a long message could exhaust the memory.
-    pub(super) fn update_incomplete_message_bytes(&mut self, total: &mut usize, max_total: usize) -> bool {
+    pub(super) fn update_incomplete_command_bytes(&mut self, total: &mut usize, max_total: usize) -> bool {
         let buffered = self.frames.buffered().len() + self.parse_state.buffered_bytes();
         let counted = if buffered >= MIN_COUNTED_INCOMPLETE_BYTES { buffered } else { 0 };
-        *total = *total + counted - self.incomplete_message_bytes;
-        self.incomplete_message_bytes = counted;
+        *total = *total + counted - self.incomplete_command_bytes;
+        self.incomplete_command_bytes = counted;
         *total <= max_total || counted == 0
     }
 
-    /// Discards the bytes of an incomplete message, and subtracts them from the total.
-    pub(super) fn drop_incomplete_message(&mut self, total: &mut usize) {
-        *total -= self.incomplete_message_bytes;
-        self.incomplete_message_bytes = 0;
+    /// Discards the bytes that are not parsed, and subtracts the bytes of the incomplete command from the total.
+    pub(super) fn drop_incomplete_command(&mut self, total: &mut usize) {
+        *total -= self.incomplete_command_bytes;
+        self.incomplete_command_bytes = 0;
         self.frames = FrameReader::default();
     }
 
@@ -279,7 +279,7 @@
         match self.deadline {
             Some(deadline) if !self.any_command_received => Some(deadline),
             Some(deadline) if self.command_begun && !command_received => Some(deadline),
-            _ => self.command_begun.then(|| Instant::now() + MESSAGE_TIMEOUT),
+            _ => self.command_begun.then(|| Instant::now() + COMMAND_TIMEOUT),
         }
     }
 
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -53,8 +53,8 @@
     pub max_unwritten_bytes: usize,
     /// The most bytes of commands that are not answered yet.
     pub max_unanswered_command_bytes: usize,
-    /// The most bytes of messages that have not arrived completely.
-    pub max_incomplete_message_bytes: usize,
+    /// The most bytes of commands that have not arrived completely. Small incomplete commands don't count.
+    pub max_incomplete_command_bytes: usize,
 }
 
 #[cfg(test)]
--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -58,7 +58,7 @@
     last_id: ClientId,
     pub(super) read_buffer: Vec<u8>,
     /// The bytes of incomplete commands, over all connections; small ones are not counted.
-    pub(super) incomplete_message_bytes: usize,
+    pub(super) incomplete_command_bytes: usize,
     /// Connections that the event loop has closed and that may still linger, in the order of their close.
     lingering: VecDeque<ClientId>,
     /// Connections whose events could not be requested.
@@ -102,7 +102,7 @@
             deadlines: Deadlines::default(),
             last_id: CLIENT_ID_BASE,
             read_buffer: vec![0; READ_BUFFER_BYTES],
-            incomplete_message_bytes: 0,
+            incomplete_command_bytes: 0,
             lingering: VecDeque::new(),
             interest_failed: Vec::new(),
             interest_retry_at: None,
--- a/src/net/client/readiness.rs
+++ b/src/net/client/readiness.rs
@@ -1,6 +1,6 @@
 //! The reactor's handling of connections that are ready, whose deadline has passed, or that are to be closed.
 
-use super::connection::{ConnectionEvent, MESSAGE_TIMEOUT, ParseProgress};
+use super::connection::{COMMAND_TIMEOUT, ConnectionEvent, ParseProgress};
 use super::reactor::{ClientReactor, LINGER_TIMEOUT};
 use crate::client::ClientId;
 use crate::pg::ProtocolError;
@@ -47,13 +47,13 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let progress = connection.parse(&self.settings, &self.events);
         if progress == ParseProgress::Finished {
-            return self.start_closing(id, MESSAGE_TIMEOUT);
+            return self.start_closing(id, COMMAND_TIMEOUT);
         }
-        let total = &mut self.incomplete_message_bytes;
-        let max_total = self.shared.limits.max_incomplete_message_bytes;
-        if !connection.update_incomplete_message_bytes(total, max_total) {
+        let total = &mut self.incomplete_command_bytes;
+        let max_total = self.shared.limits.max_incomplete_command_bytes;
+        if !connection.update_incomplete_command_bytes(total, max_total) {
             connection.report(ConnectionEvent::Malformed(ProtocolError::TooMuchBuffered), &self.events);
-            return self.start_closing(id, MESSAGE_TIMEOUT);
+            return self.start_closing(id, COMMAND_TIMEOUT);
         }
         connection.end_command_if_complete();
         let deadline = connection.next_deadline(progress);
@@ -80,7 +80,7 @@
                 }
             } else if !self.reading_stopped {
                 connection.report(ConnectionEvent::Malformed(ProtocolError::CommandTimeout), &self.events);
-                self.start_closing(id, MESSAGE_TIMEOUT);
+                self.start_closing(id, COMMAND_TIMEOUT);
             }
         }
     }
@@ -94,7 +94,7 @@
             deadline = connection.deadline.unwrap_or(deadline).min(deadline);
         }
         self.deadlines.replace(id, connection.deadline, Some(deadline));
-        connection.drop_incomplete_message(&mut self.incomplete_message_bytes);
+        connection.drop_incomplete_command(&mut self.incomplete_command_bytes);
         connection.closing = true;
         connection.deadline = Some(deadline);
         connection.shared.set_reading_paused(false);
@@ -106,7 +106,7 @@
         let Some(mut connection) = self.connections.remove(&id) else { return };
         let _ = epoll::delete(&self.shared.epoll, &connection.shared.stream);
         self.deadlines.replace(id, connection.deadline, None);
-        connection.drop_incomplete_message(&mut self.incomplete_message_bytes);
+        connection.drop_incomplete_command(&mut self.incomplete_command_bytes);
         connection.shared.state().removed = true;
     }
 }
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -91,7 +91,7 @@
         max_connections,
         max_unwritten_bytes: buffer_bytes,
         max_unanswered_command_bytes: buffer_bytes,
-        max_incomplete_message_bytes: buffer_bytes,
+        max_incomplete_command_bytes: buffer_bytes,
     }
 }
 
