--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -262,7 +262,7 @@
         *total <= max_total || counted == 0
     }
 
-    /// Discards the bytes that are not parsed, and subtracts the bytes of the incomplete command from the total.
+    /// Discards the bytes that are not parsed, and subtracts those of the incomplete command from the total.
     pub(super) fn drop_incomplete_command(&mut self, total: &mut usize) {
         *total -= self.incomplete_command_bytes;
         self.incomplete_command_bytes = 0;
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -75,8 +75,8 @@
 }
 
 /// Fails if the delays to the next call are chosen for the load on discovery and not for the drain grace. An
-/// update must arrive within the grace plus 50 ms, an allowance for the sockets, even if the process is paused
-/// for 150 ms of that time.
+/// update must arrive within the grace plus 50 ms, an allowance for the sockets, even if the process is
+/// paused for 150 ms of that time.
 #[test]
 fn an_agent_is_called_again_within_any_drain_grace() {
     for grace in [200, 250, 500, 1000, 2000] {
--- a/src/net/member/mod.rs
+++ b/src/net/member/mod.rs
@@ -109,7 +109,8 @@
         })
     }
 
-    /// Shuts down the socket of the connection in both directions, if it is open. A job that runs on it fails.
+    /// Shuts down the socket of the connection in both directions, if it is open. A job that runs on the
+    /// connection fails.
     pub fn abort(&self) {
         self.connection.abort();
     }
