--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -26,9 +26,10 @@
 const LOG_TARGET: &str = "liftrelay::net::client";
 /// How long a client may take from connecting to the end of its first command.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2200);
-/// How long a connection that the event loop has closed is read from while its client has not closed it.
+/// How long the reactor reads from a connection that the event loop has closed, until the client closes it as
+/// well. When the time ends while the client is still reading its answer, it starts again.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The same when the process is about to exit.
+/// The same limit when the process is about to exit.
 const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The most bytes in one read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
--- a/src/server/descriptor_budget.rs
+++ b/src/server/descriptor_budget.rs
@@ -4,7 +4,7 @@
 
 /// The number of descriptors that are reserved for listeners, discovery, logs and other uses.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// The number of descriptors that are reserved even if the process may have only few.
+/// The number of descriptors that are reserved even if the process's limit on descriptors is low.
 const MIN_RESERVED_DESCRIPTORS: usize = 14;
 /// The most client connections that are open but not served: they are still to be rejected, or linger.
 const MAX_UNSERVED_CONNECTIONS: usize = 8;
