--- a/src/net/client/reactor.rs
+++ b/src/net/client/reactor.rs
@@ -26,9 +26,10 @@
 const LOG_TARGET: &str = "liftrelay::net::client";
 /// How long a client may take from connecting to the end of its first command.
 const FIRST_COMMAND_TIMEOUT: Duration = Duration::from_millis(2200);
-/// How long a connection that the event loop has closed is read from while its client has not closed it.
+/// How long the reactor reads from a connection that the event loop has closed, until the client closes it as
+/// well. When the time ends while the client is still reading its answer, it starts again.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The same when the process is about to exit.
+/// The same limit when the process is about to exit.
 const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The most bytes in one read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
@@ -58,7 +59,7 @@
     last_id: ClientId,
     pub(super) read_buffer: Vec<u8>,
     /// The bytes of incomplete commands, over all connections; small ones are not counted.
-    pub(super) incomplete_message_bytes: usize,
+    pub(super) incomplete_command_bytes: usize,
     /// Connections that the event loop has closed and that may still linger, in the order of their close.
     lingering: VecDeque<ClientId>,
     /// Connections whose events could not be requested.
@@ -102,7 +103,7 @@
             deadlines: Deadlines::default(),
             last_id: CLIENT_ID_BASE,
             read_buffer: vec![0; READ_BUFFER_BYTES],
-            incomplete_message_bytes: 0,
+            incomplete_command_bytes: 0,
             lingering: VecDeque::new(),
             interest_failed: Vec::new(),
             interest_retry_at: None,
