--- a/src/estimators/mod.rs
+++ b/src/estimators/mod.rs
@@ -1,5 +1,5 @@
-//! Estimators that the routing policy reads: moving rates, averages and baselines. They measure only; the
-//! decisions are made in `policy`.
+//! Estimators that the routing policy reads: decaying rates, moving averages and baselines. They measure
+//! only; the decisions are made in `policy`.
 
 mod failure_rate;
 mod group_clock;
--- a/src/estimators/replication.rs
+++ b/src/estimators/replication.rs
@@ -10,7 +10,7 @@
 /// applied all commits.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ReplicationEstimate {
-    /// The highest reported position.
+    /// The highest reported position; 0 if there is none, or if the last one turned out to be impossible.
     position: Micros,
     /// When evidence was last recorded, on the host's clock.
     observed_at: Micros,
--- a/src/model/settings_document.rs
+++ b/src/model/settings_document.rs
@@ -30,7 +30,7 @@
     WhenBehind(String),
 }
 
-/// The settings as they are written. [`Settings`] documents the meaning of the fields.
+/// The settings in the form of the JSON document. [`Settings`] documents the meaning of the fields.
 #[derive(Deserialize)]
 pub(super) struct SettingsDocument {
     #[serde(default = "single_instance")]
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -16,7 +16,7 @@
 const CONCURRENCY_MIN: f64 = 1.0;
 /// The highest concurrency limit, which bounds the growth at an endpoint where nothing queues.
 const CONCURRENCY_MAX: f64 = 64.0;
-/// The growth of the limit, in attempts, over as many answered attempts as the limit allows at a time.
+/// The growth of the limit, in attempts, after as many answers as the limit allows outstanding attempts.
 const CONCURRENCY_GAIN: f64 = 0.5;
 /// The share by which the limit is reduced for each attempt that queued, while the endpoint's average
 /// queueing delay is above [`DELAY_TARGET`].
@@ -29,7 +29,7 @@
 /// The excess of the queueing delay over [`SHED_START`], as a share of the latency objective, at which the
 /// shed share reaches its maximum.
 const SHED_SPAN: f64 = 0.6;
-/// The weight of an endpoint's concurrency against shedding: the shed share is divided by one plus this
+/// How much concurrency at the endpoints reduces shedding: the shed share is divided by one plus this
 /// constant times the average number of this router's attempts in service at a warm endpoint. A router
 /// with several attempts at each endpoint can rely on the concurrency limits; one with fewer than one can
 /// only shed.
@@ -83,7 +83,7 @@
         self.topology[index].pending_count(&self.settings.classes)
     }
 
-    /// Returns the time that a request of this class takes at an idle endpoint, in microseconds.
+    /// Returns the latency of a request of this class at an idle endpoint, in microseconds.
     pub(super) fn unloaded_latency(&self, class: usize) -> f64 {
         self.traffic.baselines.unloaded_latency(class)
     }
--- a/src/policy/endpoint_capacity.rs
+++ b/src/policy/endpoint_capacity.rs
@@ -5,8 +5,8 @@
 use crate::model::Micros;
 use crate::state::EndpointIndex;
 
-/// The work per second, in microseconds of unloaded time, of an endpoint that serves one request at a time.
-/// Every warm endpoint can serve at least this much.
+/// The work per second, in microseconds of unloaded latency, of an endpoint that serves one request at a
+/// time. Every warm endpoint can serve at least this much.
 const SERIAL_WORK: f64 = 1e6;
 /// The shortest time between two periodic counts of the serving capacity, which changes slowly while
 /// endpoints warm up.
@@ -33,12 +33,12 @@
         self.serving_capacity.record_served(self.traffic.served_work(self.now), self.now);
     }
 
-    /// Returns the work, in microseconds of unloaded time per second, that a warm endpoint serves for this
+    /// Returns the work, in microseconds of unloaded latency per second, that a warm endpoint serves for this
     /// router.
     ///
     /// For a group without a warm member, the result is at least the work when a warm endpoint last
     /// answered, and at least this router's part of [`SERIAL_WORK`]. Without these minimums, the slow
-    /// start budgets would fade while a whole group is down and serves nothing.
+    /// start budgets would decay while a whole group is down and serves nothing.
     pub(super) fn work_per_endpoint(&self, index: EndpointIndex) -> f64 {
         let is_warm = |member: &EndpointIndex| self.is_healthy(*member) && !self.is_warming_up(*member);
         let has_warm_member = self.topology.members(self.topology[index].group).iter().any(is_warm);
@@ -67,7 +67,7 @@
         if self.has_history() && self.are_most_warm() { offered.min(served) } else { offered }
     }
 
-    /// Returns whether this router has run for longer than the time constant of its moving rates, before
+    /// Returns whether this router has run for longer than the time constant of its decaying rates, before
     /// which they are too low.
     fn has_history(&self) -> bool {
         self.now > self.created_at + DecayingRate::TIME_CONSTANT_US as Micros
--- a/src/policy/endpoint_updates.rs
+++ b/src/policy/endpoint_updates.rs
@@ -57,9 +57,9 @@
         former_group.into_iter().for_each(|group| self.update_leadership(group));
         let next_probe_at = self.now + self.random.below(self.first_probe_spread(endpoint_count));
         let last_send_number = self.random.below(FIRST_SEND_NUMBER);
-        // An endpoint that is not in the first list is ejected until a trial succeeds, unless the list
-        // reports its start and trials of all endpoints would take longer than a second. In that case it is
-        // used immediately, as slow start limits its load.
+        // An endpoint that is not in the first list is ejected until a trial succeeds: where trials reach all
+        // endpoints within a second, this costs hardly any time. Where they take longer, an endpoint whose
+        // start the list reports is used immediately, as slow start limits its load.
         let trials_per_second = self.traffic.arrivals.per_second_at(self.now) * health::TRIAL_SHARE;
         let trials_are_quick = trials_per_second > self.topology.endpoint_count() as f64;
         let ejected = !is_first_list && (entry.started_at == 0 || trials_are_quick);
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -20,12 +20,13 @@
 /// they share from ejecting them.
 pub(super) const EJECTION_THRESHOLD: f64 = 0.35;
 /// The shortest wait before the next trial of an ejected endpoint. The wait after a failure is drawn at
-/// random up to twice this, so that the routers do not try the endpoint at the same time.
+/// random between this and twice this, so that the routers do not try the endpoint at the same time.
 pub(super) const TRIAL_INTERVAL: Micros = 800_000;
-/// The largest share of the requests that may be trials, as a trial is likely to fail.
+/// The largest share of the requests that may be trials. Trials are likely to fail, so a larger share would
+/// spend much of the traffic on faulty endpoints.
 pub(super) const TRIAL_SHARE: f64 = 0.1;
 /// How long an endpoint must have refused or broken connections before one more refusal marks it as down.
-/// Without this wait, a few refusals by a running process would pass for its end.
+/// Without this wait, a few refused connections would mark a running endpoint as down.
 const DOWN_AFTER: Micros = 50_000;
 
 impl Router {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! The policy is based on plain least-pending selection, C-JDBC's least pending requests first. Each router
 //! counts its own outstanding attempts at each endpoint and sends a read to the replica of the group with the
-//! fewest; equal replicas take turns. Writes and reads of the latest data go to the endpoint last seen as the
-//! primary. Where a rule replaces this policy, its comment names the fault that the plain policy has.
+//! fewest; equal replicas take turns. Writes and reads of the latest data go to the endpoint last observed
+//! to be the primary. Where a rule replaces this policy, its comment names the fault that the plain policy
+//! has.
 
 mod admission;
 mod clock_changes;
@@ -91,8 +92,8 @@
         (self.settings.resolution * TICK_BATCHES).max(TICK_INTERVAL_MIN)
     }
 
-    /// Runs the periodic work: counts the serving capacity, resumes held requests, sends probes, and drops
-    /// the commits of sessions that all members have.
+    /// Runs the periodic work: counts the serving capacity, resumes held requests, sends probes, and prunes
+    /// the commits of sessions that all members of their group have applied.
     fn on_tick(&mut self) {
         self.set_timer(TICK_TIMER, self.tick_interval());
         self.next_tick_at = self.now + self.tick_interval();
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -13,7 +13,7 @@
         let Some(attempt) = endpoint.take_outstanding(result.request, result.attempt) else { return };
         let group = endpoint.group;
         let primary_before = self.topology.primary(group);
-        // Read before this attempt's latency is recorded, which may change the unloaded time.
+        // Read before this attempt's latency is recorded, which may change the unloaded latency.
         let unloaded = self.unloaded_latency(attempt.class);
         self.topology[index].record_outcome(result.outcome, self.now);
         let is_usable = self.is_usable(index);
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -22,7 +22,8 @@
             return Selection::Hold;
         }
         let Some(primary) = self.topology.presumed_primary(group) else { return self.search_primary(id) };
-        // A primary that only the list names gets one attempt of a request in a round: the list may be wrong.
+        // In one round, a request is sent at most once to a primary that only the list names, as the list may
+        // be wrong.
         let is_known = self.topology.primary(group) == Some(primary);
         let has_choice = self.topology.members(group).len() > 1;
         let is_avoided = self.topology[primary].ejected && !self.is_trial_due(primary) && has_choice;
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -6,8 +6,8 @@
 use crate::model::{Class, GroupId, Idempotency, Micros, RequestId, Requirement, Role, process_pause_margin};
 use crate::state::{EndpointIndex, PendingRequest};
 
-/// The reads of a class are long if their unloaded time exceeds this multiple of the shortest unloaded time
-/// of any class.
+/// The reads of a class are long if their unloaded latency exceeds this multiple of the shortest unloaded
+/// latency of any class.
 const LONG_READ_MULTIPLE: f64 = 5.0;
 /// If this router has connections to at least this many replicas of a group, replicas without a connection
 /// lose ties to those with one. Without this rule, each of many routers would connect to each endpoint.
@@ -33,7 +33,8 @@
     /// A long read away from the group's replica for long reads, or another read at that replica.
     is_misplaced: bool,
     crosses_zones: bool,
-    /// Sending would open a connection while [`CONNECTED_REPLICAS`] have one.
+    /// This router has no open connection to the endpoint, but to at least [`CONNECTED_REPLICAS`] others. An
+    /// endpoint that is warming up is exempt.
     needs_connection: bool,
     last_send_number: u64,
     index: EndpointIndex,
@@ -67,7 +68,7 @@
     }
 
     /// Returns an ejected member whose trial is due, if this read may be used for one: it is idempotent
-    /// and has no attempt yet, and the group has a healthy member for its retry.
+    /// and has no attempt yet, the trial budget suffices, and the group has a healthy member for its retry.
     fn due_trial(&self, pending: &PendingRequest, available: &[EndpointIndex]) -> Option<EndpointIndex> {
         let idempotency = self.settings.classes[pending.request.class].idempotency;
         let is_first = pending.attempts == 0 && idempotency == Idempotency::Idempotent;
@@ -118,8 +119,8 @@
     /// Returns the position that an endpoint must have reached to serve a read; 0 if any position suffices.
     fn required_position(&self, pending: &PendingRequest) -> Micros {
         let class = &self.settings.classes[pending.request.class];
-        let present = self.topology.group_time(pending.request.group, self.now);
-        pending.required_position_at(present, class) + self.staleness_margin(class)
+        let group_time = self.topology.group_time(pending.request.group, self.now);
+        pending.required_position_at(group_time, class) + self.staleness_margin(class)
     }
 
     /// Returns the time by which the staleness bound of a class is tightened where endpoints serve stale
@@ -160,7 +161,8 @@
     /// Selects the endpoint with the fewest pending attempts among the available members that may serve a
     /// read. Ejected members are used only if the group has no healthy one.
     ///
-    /// If no member may serve the read, the read is held; if none of those that may has capacity, it is shed.
+    /// If no member may serve the read, the read is held. If none of those that may serve it accepts it, the
+    /// read is shed.
     fn least_pending(&self, pending: &PendingRequest, available: &[EndpointIndex]) -> Selection {
         let group = pending.request.group;
         let any_healthy = self.any_healthy(group);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -24,11 +24,11 @@
 /// The share of the deduplication window that one attempt of a request with an idempotency key may take, so
 /// that time for another attempt remains.
 const ATTEMPT_WINDOW_SHARE: f64 = 0.5;
-/// The timeout of an attempt of a request with an idempotency key, as a multiple of its unloaded time, if
+/// The timeout of an attempt of a request with an idempotency key, as a multiple of its unloaded latency, if
 /// that is longer than [`ATTEMPT_WINDOW_SHARE`] allows.
 const KEYED_TIMEOUT_MULTIPLE: f64 = 4.0;
 /// The timeout of an exploratory attempt (a trial, or part of a search for the primary), as a multiple of its
-/// unloaded time.
+/// unloaded latency.
 const EXPLORATORY_TIMEOUT_MULTIPLE: f64 = 3.0;
 /// How long an answer counts as evidence that its endpoint is still the primary. An attempt at the primary
 /// may wait for its connection for half of this time.
@@ -57,8 +57,8 @@
             }
         }
         let id = request.id;
-        let present = self.topology.group_time(request.group, self.now);
-        let required_position = self.commits.required_position(&request, &self.settings, present);
+        let group_time = self.topology.group_time(request.group, self.now);
+        let required_position = self.commits.required_position(&request, &self.settings, group_time);
         let pending = PendingRequest::new(request, class, self.now);
         self.requests.insert(id, PendingRequest { priority, required_position, shed_draw, ..pending });
         self.advance(id);
@@ -88,8 +88,9 @@
 
     /// Holds a request for at most half of [`SEARCH_INTERVAL`].
     ///
-    /// At the latest, the hold ends half the unloaded time of the class, and at least two ticks, before an
-    /// answer loses its value. A request that has reached that time is given up.
+    /// The hold ends early enough for an answer that still has a value: half the unloaded latency of the
+    /// class, or two ticks if that is longer, before [`PendingRequest::useful_until`]. A request that has
+    /// reached that time is given up.
     fn hold(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         let (class, useful_until) = (pending.request.class, pending.useful_until);
@@ -99,14 +100,14 @@
             return self.give_up(id, GiveUpReason::HoldEnded);
         }
         let until = (self.now + SEARCH_INTERVAL / 2).min(last_hold);
-        self.requests.get_mut(&id).expect("present above").held_until = Some(until);
+        self.requests.get_mut(&id).expect("found above").held_until = Some(until);
     }
 
     /// Takes the next step for a request whose attempt failed on this machine, for example because no port
     /// was free. The attempt does not count against the request.
     ///
-    /// A read is tried at the members that it was not sent to yet, as this machine may be unable to reach
-    /// only one of them. A read that was sent to all of them is held, as is a request for the primary.
+    /// A read is sent to a member that it was not sent to yet, as this machine may have failed to reach only
+    /// the selected one. A read that was sent to all members is held, as is a request for the primary.
     /// Without this rule, a fault of this machine would look like a group that is down.
     pub(super) fn retry_after_local_error(&mut self, id: RequestId, index: EndpointIndex) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
@@ -199,8 +200,8 @@
             (Requirement::BoundedStaleness(bound), Role::Replica) => {
                 let clock = self.topology.clock_of(index);
                 let position = self.topology[index].replication.known_position(clock, self.now);
-                let present = clock.group_time(self.now).unwrap_or(Micros::MAX);
-                (position + bound).saturating_sub(present.saturating_add(process_pause_margin(bound)))
+                let group_time = clock.group_time(self.now).unwrap_or(Micros::MAX);
+                (position + bound).saturating_sub(group_time.saturating_add(process_pause_margin(bound)))
             }
             (Requirement::ReadYourWrites | Requirement::Latest, Role::Replica) => Micros::MAX,
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,15 +1,16 @@
 //! Slow start: limits the work that is sent to an endpoint while it warms up.
 //!
-//! Each router keeps a budget of work for each such endpoint. The budget grows at a fixed share of what the
-//! endpoint can bear, and each request that is sent takes its unloaded time from it. Work is measured in
-//! microseconds of unloaded time.
+//! Each router keeps a budget of work for each such endpoint. The budget grows at this router's share of the
+//! load that the endpoint can bear, and each request that is sent deducts its work. The work of a request is
+//! the unloaded latency of its class, in microseconds.
 
 use crate::Router;
 use crate::model::{Micros, Role};
 use crate::state::{EndpointIndex, PerRole, SlowStartBudget};
 
 /// The share of an endpoint's overload threshold that all routers together send if they use up their budgets.
-/// The share is larger for work that only a primary can serve, as the replicas serve the reads there.
+/// The share is larger for work that only a primary can serve: the replicas serve the reads, so that the
+/// primary's capacity is free for that work.
 const LOAD_SHARE: PerRole<f64> = PerRole { replica: 0.4, primary: 0.8 };
 /// The longest time for which unused budget accumulates, as a part of the overload window. Without this
 /// limit, routers that all spend what they have saved in the same window would overload the endpoint.
@@ -56,9 +57,9 @@
     /// it. Instead, each router limits what it sends by a budget, so that all routers together stay below the
     /// endpoint's overload threshold.
     ///
-    /// If the saved budget covers only a part of the request's cost, the request is admitted with that part
-    /// as the probability, and the part is spent whether or not the request is admitted. Only the endpoint
-    /// that was selected for the request spends budget on it.
+    /// If the saved budget covers only a part of the request's cost, the request is admitted with the covered
+    /// share of the cost as the probability, and the covered part is spent whether or not the request is
+    /// admitted. Only the endpoint that was selected for the request spends budget on it.
     ///
     /// With `on_credit`, which is set for a new request to the primary, the covered part is at least
     /// [`Router::slow_start_credit`] less the debt of earlier requests.
@@ -97,7 +98,7 @@
             && !self.topology.members(endpoint.group).iter().any(is_up)
     }
 
-    /// Returns how much of a request's cost may be spent on credit: the cost times the ratio of the
+    /// Returns how much of a request's cost may be spent on credit: the cost multiplied by the ratio of the
     /// endpoint's slow start rate to the primary-only work that is offered to one group on average.
     fn slow_start_credit(&self, index: EndpointIndex, role: Role, cost: f64) -> f64 {
         let offered = self.traffic.offered_primary_work(&self.settings.classes, self.now);
@@ -122,7 +123,7 @@
     }
 
     /// Returns the budget that an endpoint has saved for requests of this class, in microseconds of unloaded
-    /// time; negative after requests that were sent on credit.
+    /// latency; negative after requests that were sent on credit.
     fn saved_budget(&self, index: EndpointIndex, class: usize) -> f64 {
         let role = self.settings.classes[class].role();
         let rate = self.slow_start_rate(index, role);
@@ -136,7 +137,7 @@
         (budget.saved + rate * elapsed as f64 / 1e6).min(max_saved)
     }
 
-    /// Returns the work, in microseconds of unloaded time per second, that this router may send to an
+    /// Returns the work, in microseconds of unloaded latency per second, that this router may send to an
     /// endpoint that is warming up.
     ///
     /// While most endpoints are warming up, the offered work overstates what one endpoint can serve, because
--- a/src/router.rs
+++ b/src/router.rs
@@ -42,11 +42,11 @@
     pub(crate) usable_endpoints: f64,
     /// The number of usable endpoints that were not warming up at the last update of the endpoint list.
     pub(crate) warm_endpoints: f64,
-    /// The work, in microseconds of unloaded time per second, that a warm endpoint served for this router
+    /// The work, in microseconds of unloaded latency per second, that a warm endpoint served for this router
     /// when a warm endpoint last answered.
     pub(crate) last_warm_work: f64,
     /// The number of retries that may be sent. Fractional: a retry costs less than one if the failed attempt
-    /// took less than its unloaded time.
+    /// took less than its unloaded latency.
     pub(crate) retry_budget: f64,
     /// The number of trials of ejected endpoints for which reads may be used. Fractional: each request adds a
     /// part of a trial.
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -17,11 +17,11 @@
 /// Why an attempt counts against its endpoint.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// It was answered with an error.
+    /// The attempt was answered with an error.
     Error,
-    /// It timed out, although an attempt sent well after it was answered without queueing.
+    /// The attempt timed out, although another one that was sent well after it was answered without queueing.
     Lost,
-    /// Its connection was refused or broke.
+    /// The connection for the attempt was refused or broke.
     NoConnection,
     /// The endpoint has answered nothing since the attempt was sent.
     NoAnswer,
@@ -169,7 +169,7 @@
     }
 
     /// Records that the endpoint is running. If it was down, it may have just been restarted, so its
-    /// slow-start budgets are reset.
+    /// slow start budgets are reset.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.confirmed = true;
         self.probe_unanswered = false;
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -32,9 +32,9 @@
 
     /// Assigns a slot to a new endpoint; the caller fills it.
     ///
-    /// Reuses the slot of an endpoint that was removed, has not answered for a while and has no outstanding
-    /// attempts, and also returns that former endpoint. Otherwise the table grows; without the reuse, it
-    /// would grow with every endpoint that is ever listed.
+    /// Reuses the slot of an endpoint that was removed, has not answered for [`SLOT_REUSE_DELAY`] and has no
+    /// outstanding attempts, and also returns that former endpoint. If there is none, the table grows.
+    /// Without the reuse, it would grow with every endpoint that is ever listed.
     pub(crate) fn allocate(&mut self, id: EndpointId, now: Micros) -> (EndpointIndex, Option<Endpoint>) {
         let is_reusable = |endpoint: &Endpoint| {
             endpoint.state == EndpointState::Removed
--- a/src/state/topology.rs
+++ b/src/state/topology.rs
@@ -79,7 +79,7 @@
 
     /// The endpoint last observed to be the primary of a group, or else the one that the list names.
     ///
-    /// Without the second rule, requests for a primary that the list names but that has no slow-start budget
+    /// Without the second rule, requests for a primary that the list names but that has no slow start budget
     /// left would be tried in vain at other members.
     pub(crate) fn presumed_primary(&self, id: GroupId) -> Option<EndpointIndex> {
         let is_hinted = |member: &EndpointIndex| self[*member].is_hinted_primary();
