--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -160,7 +160,7 @@
         let after = harness.handle(Event::AttemptEnded(AttemptResult { elapsed: 300 * MS, ..lost }));
         assert!(is_failed(&after, 10 * id), "{id}");
         // Five reads add one retry to the budget. The first read needs it at its full cost, as its attempt
-        // took longer than its unloaded time.
+        // took longer than its unloaded latency.
         for read in 1..=5 {
             let to = sent_to(&harness.request(10 * id + read, ANY)).unwrap();
             if read > 1 {
--- a/tests/policy/outage.rs
+++ b/tests/policy/outage.rs
@@ -141,7 +141,8 @@
     let served = (0..routers).map(|seed| Outage::start(&settings, seed.into(), 1).run(seconds * 1000 * MS));
     let served: usize = served.sum();
     // The number of requests that the members serve if they are warm and each serves one at a time. Slow
-    // start allows a sixth of it.
+    // start allows about a sixth of that rate when the members are back (0.4 of twice a capacity of 0.2), and
+    // still less than a third 2 s later, when their capacity has risen to 0.36.
     let warm_requests = MEMBERS * seconds * 1_000_000 / SERVICE_TIME;
     assert!(
         served as u64 <= u64::from(routers) + warm_requests / 3,
--- a/tests/policy/quiet.rs
+++ b/tests/policy/quiet.rs
@@ -1,4 +1,4 @@
-//! Changes and faults after a long time without requests, in which the moving rates have decayed.
+//! Changes and faults after a long time without requests, in which the rates of requests have decayed.
 
 use crate::harness::*;
 use liftrelay::*;
@@ -102,8 +102,8 @@
     }
 }
 
-/// An endpoint that starts to fail in the quiet time must be ejected as soon as one that fails at any other
-/// time.
+/// An endpoint that has started to fail in the quiet time must be ejected after as few attempts as one that
+/// starts to fail at any other time.
 #[test]
 fn an_endpoint_that_fails_after_a_quiet_time_is_ejected() {
     for (quiet, mut harness) in after_quiet_times() {
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Returns the number of attempts that 300 routers send to an endpoint for four reads each, after each router
-/// has applied `start`. All reads take the same unloaded time, so that the number measures the work.
+/// has applied `start`. All reads have the same unloaded latency, so that the number measures the work.
 fn reads_sent_by_many_routers(start: impl Fn(&mut RouterHarness), to: u64) -> usize {
     requests_sent_by_many_routers(start, to, ANY)
 }
@@ -58,8 +58,8 @@
 
 #[test]
 fn a_primary_warming_up_is_not_overloaded_by_the_writes_of_many_routers() {
-    // At first, all members together serve 250 requests, 83 each. The settings allow a member that is warming
-    // up twice its part of that.
+    // The 300 routers get 1,200 writes in 1.6 s. In that time, the capacity of the primary rises from 0.2 to
+    // 0.33 of that of a warm member, and the settings allow twice the load that it can serve.
     let writes = requests_sent_by_many_routers(|harness| restart_in_list(harness, 1, true), 1, AT_MOST_ONCE);
     assert!((50..250).contains(&writes), "{writes} writes in 1.6 s");
 }
