--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -12,7 +12,7 @@
         /// The entries of the list, or the changed ones.
         endpoints: Vec<EndpointEntry>,
     },
-    /// Polling the endpoint list failed; the previous list stays in use.
+    /// A subscription to the endpoint list failed; the previous list stays in use.
     EndpointListFailed,
     /// A request arrived. The router must give it exactly one final answer, unless the client disconnects.
     Request(Request),
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -316,7 +316,7 @@
     restarting: 1,
     overload_multiple: 1.3,
 };
-/// A rate of arrivals that is half as high again as usual.
+/// A burst with one and a half times the usual rate of arrivals.
 const BURST: Burst = Burst { begins_after: 4000 * MS, lasts: 4000 * MS, factor: 1.5 };
 
 /// Asserts that no window of the runs with these seeds exceeds what the settings allow by more than
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -76,7 +76,7 @@
 const DEFAULT_SEED: u64 = 5;
 /// The time at which a harness starts.
 const START: Micros = 1_000_000 * MS;
-/// The time at which a harness with an unknown clock starts. It is more than an hour, so that the members'
+/// The time at which a harness with an unknown clock starts: more than an hour after 0, so that the members'
 /// clocks can be an hour behind.
 const LATE_START: Micros = 10_000_000 * MS;
 
--- a/tests/policy/quiet.rs
+++ b/tests/policy/quiet.rs
@@ -4,7 +4,7 @@
 use liftrelay::*;
 
 const TEN_MINUTES: Micros = 600_000 * MS;
-/// After an hour without requests, the decayed rates are rounded to 0, as after a day.
+/// After an hour without requests, the decayed rates underflow to 0, as after a day.
 const HOUR: Micros = 6 * TEN_MINUTES;
 
 /// Returns two routers after a quiet time, and one without a quiet time for comparison, each with its quiet
