--- a/tests/proxy/races/deadlines.rs
+++ b/tests/proxy/races/deadlines.rs
@@ -32,7 +32,7 @@
 
 /// Asserts that the timeout sent to a member is the time left, within the tolerance, of a client that has
 /// waited this long.
-fn assert_sent_time_left(member: &MockMember, timeout_ms: u64, waited: Duration, case: &str) {
+fn assert_told_at_most(member: &MockMember, timeout_ms: u64, waited: Duration, case: &str) {
     let left = timeout_ms - waited.as_millis() as u64;
     let sent = sent_timeout_ms(member);
     assert!(sent <= left + SLACK_MS, "{case}: sent {sent} ms, the client has {left} ms left");
@@ -56,7 +56,7 @@
             let waited = start.elapsed();
             primary.release_greetings();
             assert!(client.read_reply().contains("D(value)"));
-            assert_sent_time_left(&primary, 900, waited, &format!("extended {extended}, writes {writes}"));
+            assert_told_at_most(&primary, 900, waited, &format!("extended {extended}, writes {writes}"));
         }
     }
 }
@@ -82,7 +82,7 @@
         primary.release_greetings();
         assert!(client.read_reply().contains("D(value)"));
         assert_eq!(replica.executed_count(), 1, "the first attempt");
-        assert_sent_time_left(&primary, 900, waited, &format!("extended {extended}"));
+        assert_told_at_most(&primary, 900, waited, &format!("extended {extended}"));
     }
 }
 
@@ -102,7 +102,7 @@
     let waited = start.elapsed();
     primary.release_replies(1);
     assert_eq!(client.read_reply(), "1 2 D(value) C Z");
-    assert_sent_time_left(&primary, 900, waited, "confirmed late");
+    assert_told_at_most(&primary, 900, waited, "confirmed late");
     assert_eq!(primary.executed_count(), 1);
 }
 
