--- a/tests/proxy/support/discovery.rs
+++ b/tests/proxy/support/discovery.rs
@@ -1,12 +1,12 @@
 //! Mock discovery servers, and the endpoint lists that they send.
 
 use super::{MockMember, TEST_TIMEOUT};
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex, Weak};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// Returns a text and a line feed as one chunk of a chunked HTTP body.
 pub fn chunk(text: &str) -> String {
@@ -155,25 +155,46 @@
         ScriptedDiscovery { address, connections }
     }
 
+    /// Waits for the next connection.
+    fn accept_connection(&self) -> TcpStream {
+        self.connections.recv_timeout(Duration::from_secs(15)).expect("the proxy sends a request")
+    }
+
     /// Waits for the next request. Returns its connection, and whether it requests a watch.
     pub fn accept_request(&self) -> (TcpStream, bool) {
-        let stream =
-            self.connections.recv_timeout(Duration::from_secs(15)).expect("the proxy sends a request");
+        let stream = self.accept_connection();
         let request_line = read_request_line(&stream).unwrap();
         (stream, request_line.contains("stream=1"))
     }
 
     /// Answers the next requests with this list, up to and including the first watch. Returns the connection
     /// of the watch, which stays open.
+    ///
+    /// Skips calls that the proxy has reset: while calls are unanswered, the proxy opens others beside them,
+    /// and resets one when as many as allowed are open. It also resets all others once one is answered.
     pub fn answer_until_watch(&self, list: &str) -> TcpStream {
+        let start = Instant::now();
         loop {
-            let (mut stream, is_watch) = self.accept_request();
-            if is_watch {
-                write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(list))
-                    .unwrap();
-                return stream;
+            let mut stream = self.accept_connection();
+            match answer_request(&mut stream, list) {
+                Ok(true) => return stream,
+                Ok(false) => {}
+                Err(error) if matches!(error.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe) => {
+                    assert!(start.elapsed() < TEST_TIMEOUT, "the proxy resets every call before its answer");
+                }
+                Err(error) => panic!("no answer to a call of the proxy: {error}"),
             }
-            write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()).unwrap();
         }
     }
 }
+
+/// Reads a request and answers it with this list. Returns whether it requests a watch.
+fn answer_request(stream: &mut TcpStream, list: &str) -> std::io::Result<bool> {
+    let is_watch = read_request_line(stream)?.contains("stream=1");
+    if is_watch {
+        write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(list))?;
+    } else {
+        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())?;
+    }
+    Ok(is_watch)
+}
