--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -216,7 +216,7 @@
         if let Some((from, _)) = spans.iter().find(|(from, until)| at > *from && attempt.at < *until) {
             let notified_at = from - scenario.drain_grace - SOCKET_SLACK;
             let text = format!(
-                "expected no attempt to a draining or removed member: {} got one {} ms after n{} learned it",
+                "expected no attempt to draining or removed members: {} got one {} ms after n{} was notified",
                 member_name(attempt.member),
                 (attempt.at - notified_at) / MS,
                 attempt.proxy
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -14,7 +14,7 @@
 /// Time without an event on a watch after which the agent sends an empty line.
 const HEARTBEAT: Micros = 2_000 * MS;
 /// Pause between two fragments of a message in [`AgentMode::Fragmented`].
-const PIECE_PAUSE: Duration = Duration::from_millis(6);
+const FRAGMENT_PAUSE: Duration = Duration::from_millis(6);
 
 /// How an agent answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -342,9 +342,9 @@
         if self.mode() != AgentMode::Fragmented {
             return stream.write_all(bytes);
         }
-        for piece in bytes.chunks(bytes.len() / 4 + 1) {
-            stream.write_all(piece)?;
-            std::thread::sleep(PIECE_PAUSE);
+        for fragment in bytes.chunks(bytes.len() / 4 + 1) {
+            stream.write_all(fragment)?;
+            std::thread::sleep(FRAGMENT_PAUSE);
         }
         Ok(())
     }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -17,7 +17,7 @@
     on_request: bool,
     /// By proxy: the last reload since the last start of its process.
     reloaded_at: HashMap<usize, Micros>,
-    /// By proxy: the time since which its agent is up.
+    /// By proxy: when its agent came up; absent while the agent is not up.
     up_since: HashMap<usize, Micros>,
     /// By proxy: the revision of its agent at the last update or start.
     notified_revisions: HashMap<usize, u64>,
--- a/soak/src/random.rs
+++ b/soak/src/random.rs
@@ -7,7 +7,8 @@
 pub struct Draws(Xoshiro256PlusPlus);
 
 impl Draws {
-    /// Creates a generator for a seed and a number that tells apart the users of random numbers in a run.
+    /// Creates a generator for a seed. `stream` gives the users of a seed different sequences, so that the
+    /// numbers of one do not depend on how many numbers the others draw.
     pub fn new(seed: u64, stream: u64) -> Draws {
         Draws(Xoshiro256PlusPlus::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stream))
     }
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -85,7 +85,7 @@
     Kill { proxy: usize, down: Micros },
     /// Pauses a process with SIGSTOP, and resumes it with SIGCONT after `pause`.
     PauseProcess { proxy: usize, pause: Micros },
-    /// Opens idle connections until the end of the run that exhaust a proxy's descriptors.
+    /// Opens idle connections that exhaust a proxy's descriptors, and holds them until the end of the run.
     FillDescriptors { proxy: usize },
     /// Planted: agents don't send changes that count as notified.
     PlantSwallowedChanges,
@@ -132,7 +132,7 @@
 }
 
 impl Scenario {
-    /// Draws a run. The draws depend on the order and the bounds of all calls of the generator.
+    /// Draws a run. A seed gives another run if the order or the bounds of the draws change.
     pub fn draw(seed: u64) -> Scenario {
         let mut draws = Draws::new(seed, 1);
         let mut scenario = Scenario {
@@ -168,7 +168,8 @@
         CLASSES[class].deadline * self.deadline_percent / 100
     }
 
-    /// Returns the time after SIGTERM at which a process that still runs is killed.
+    /// Returns the time after SIGTERM at which a process that still runs is killed: the least that the
+    /// protocol documentation grants it.
     pub fn kill_after(&self) -> Micros {
         let longest = (0..CLASSES.len()).map(|class| self.deadline(class)).max().unwrap_or_default();
         longest.min(3 * SECOND) + KILL_MARGIN
