--- a/tests/proxy/daemon.rs
+++ b/tests/proxy/daemon.rs
@@ -71,10 +71,10 @@
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
 }
 
-/// The deploy file and the data directory of a store with one replica on disk.
+/// The configuration file and the data directory of a store with one replica on disk.
 struct StoreFile {
     data: PathBuf,
-    /// The text of the deploy file.
+    /// The text of the configuration file.
     text: String,
 }
 
@@ -97,7 +97,7 @@
     }
 }
 
-/// Runs `liftrelay store` with the deploy file of a proxy's store.
+/// Runs `liftrelay store` with the configuration file of a proxy's store.
 fn run_store(proxy: &Proxy, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_liftrelay"));
     command.args(["store", "--file"]).arg(proxy.file()).args(arguments).output().unwrap()
@@ -132,7 +132,7 @@
             state["statements"][0]["sql"].as_str().is_some_and(|s| s.starts_with("SELECT payload"));
         listed && configured && prepared
     });
-    // The proxy is killed, and restarted while discovery is down. The members are in the store.
+    // Kills the proxy, and restarts it while discovery is down: it must get the members from the store.
     drop(proxy);
     let proxy = Proxy::start_with_shell(&[], shell, &store.text);
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
@@ -152,8 +152,8 @@
     assert!(start.elapsed() < TEST_TIMEOUT);
     wait_for_store_status(&proxy, |status| status["log_error"].is_string());
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
-    // The proxy is killed, and restarted on the same disk while discovery is down. The members are in the
-    // store.
+    // Kills the proxy, and restarts it on the same disk while discovery is down: it must get the members from
+    // the store.
     drop(proxy);
     let proxy = Proxy::start_with_shell(&[], &shell, &store.text);
     assert_eq!(proxy.connect().query(&read_query(1)), "T D(value) C Z");
--- a/tests/proxy/platform/endpoint_list.rs
+++ b/tests/proxy/platform/endpoint_list.rs
@@ -30,9 +30,9 @@
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// While discovery fails, a proxy must call it at limited intervals. Otherwise a fleet would call a shared
-/// discovery five times a second, all proxies at the same time, or a proxy would call its agent in a busy
-/// loop. Calls to an agent must still be frequent enough to notice its return within the grace.
+/// While discovery fails, a proxy must wait between two calls. Otherwise all proxies of a fleet would call a
+/// shared discovery five times a second, at the same times, and a proxy would call its agent in a busy loop.
+/// Calls to an agent must still be frequent enough to notice its return within the grace.
 #[test]
 fn endpoint_list_requests_back_off_while_discovery_does_not_answer() {
     for (kind, five_calls) in [("on_request", 1800), ("pushed", 350)] {
@@ -113,8 +113,8 @@
             assert_eq!(extended.read_reply(), "1 2 D(value) C Z");
         }
     }
-    // On a slow machine, some reads may go to the primary. Of the 24 reads, one or two coincided with a
-    // scheduled probe.
+    // On a slow machine, some reads may go to the primary. If the proxy sent only its scheduled probes, just
+    // one or two of the 24 reads would follow one closely enough to go to the replica.
     assert!(replica.executed_count() >= 12, "{} of 24 reads went to the replica", replica.executed_count());
 }
 
--- a/tests/proxy/platform/partial_messages.rs
+++ b/tests/proxy/platform/partial_messages.rs
@@ -1,5 +1,5 @@
 //! Tests of clients that stop in the middle of a request and stay connected. The proxy must close their
-//! connections with an error, or they would use them for an unlimited time.
+//! connections with an error: otherwise the connections would stay open for an unlimited time.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
--- a/tests/proxy/races/clock_steps.rs
+++ b/tests/proxy/races/clock_steps.rs
@@ -64,7 +64,7 @@
         while served(&self.fresh, "c=any") < reads || served(&self.fresh, "c=own") < reads {
             assert!(
                 start.elapsed() < FRESH_READS_TIMEOUT,
-                "the fresh replica served {:?}",
+                "the fresh replica has served only {:?}",
                 self.fresh.executed()
             );
             let write = write_query(self.next_request(), 900);
@@ -125,8 +125,8 @@
     (new.executed_count(), warm.executed_count())
 }
 
-/// The endpoint list has the time at which a member started. If the proxy compared it with its own clock and
-/// that is an hour ahead, a member that has just started would look warm and get as many reads as a warm one.
+/// The endpoint list has the time at which a member started. If the proxy compared it with a wall clock that
+/// is an hour ahead, a member that has just started would look warm and get as many reads as a warm one.
 #[test]
 fn new_replica_is_in_slow_start_though_the_wall_clock_was_stepped() {
     for seconds in STEPS {
--- a/tests/proxy/races/deadlines.rs
+++ b/tests/proxy/races/deadlines.rs
@@ -30,8 +30,8 @@
     digits.split(',').next().unwrap().parse().unwrap()
 }
 
-/// Asserts that the timeout sent to a member is the time left, within the tolerance, of a client that has
-/// waited this long.
+/// Asserts that the timeout sent to a member is the time left to a client that has waited this long: at most
+/// [`SLACK_MS`] longer, and more than 80% of it.
 fn assert_told_at_most(member: &MockMember, timeout_ms: u64, waited: Duration, case: &str) {
     let left = timeout_ms - waited.as_millis() as u64;
     let sent = sent_timeout_ms(member);
@@ -81,7 +81,7 @@
         let waited = start.elapsed();
         primary.release_greetings();
         assert!(client.read_reply().contains("D(value)"));
-        assert_eq!(replica.executed_count(), 1, "the first attempt");
+        assert_eq!(replica.executed_count(), 1, "the replica executed the first attempt");
         assert_told_at_most(&primary, 900, waited, &format!("extended {extended}"));
     }
 }
--- a/tests/proxy/races/discovery_outage.rs
+++ b/tests/proxy/races/discovery_outage.rs
@@ -7,11 +7,11 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// A drain must take effect this long after the return of discovery: the grace of 500 ms less a process pause
-/// of 150 ms.
+/// A drain must take effect within this time after the return of discovery: the grace of 500 ms less a
+/// process pause of 150 ms.
 const MAX_DRAIN_DELAY: Duration = Duration::from_millis(350);
-/// The number of calls that fail before discovery returns. After them, the delay between two calls is
-/// longest.
+/// The number of calls that fail before discovery returns. After so many, the delay between two calls has
+/// reached its maximum.
 const FAILED_CALLS: usize = 3;
 
 /// How discovery fails, and when it returns.
--- a/tests/proxy/races/members.rs
+++ b/tests/proxy/races/members.rs
@@ -72,8 +72,8 @@
         let text = read_query(1).replace("d=900", "d=9000");
         let request = if extended { extended_messages(batch) } else { simple_query(&text) };
         assert_eq!(proxy.connect().query(&write_query(1, 900)), SERVED, "the proxy knows the primary");
-        // The replica serves a read and closes the connection. With that the proxy knows its position, and
-        // the next read needs a new connection.
+        // The replica serves a read and closes the connection. The reply tells the proxy the replica's
+        // position, and the next read needs a new connection.
         let start = Instant::now();
         while replica.executed_count() == 0 {
             assert!(start.elapsed() < Duration::from_secs(10));
--- a/tests/proxy/races/short_deadlines.rs
+++ b/tests/proxy/races/short_deadlines.rs
@@ -141,8 +141,9 @@
     }
 }
 
-/// With deadlines so short that SIGKILL comes within about a second, the times of the shutdown could
-/// underflow, and the proxy could read requests until it exits and leave the last ones without a reply.
+/// The steps of the shutdown are scheduled at fixed times before SIGKILL. With deadlines so short that SIGKILL
+/// comes within about a second, the computation of these times could underflow, and the proxy could read
+/// requests until it exits and leave the last ones without a reply.
 #[test]
 fn shutdown_answers_every_command_that_was_read_whatever_the_deadlines() {
     for deadline_ms in [50, 150, 400] {
--- a/tests/proxy/races/shutdown.rs
+++ b/tests/proxy/races/shutdown.rs
@@ -31,8 +31,8 @@
     assert_eq!(primary.executed_count(), 2);
 }
 
-/// A request must be retried on another member while the shutdown closes idle connections. It must get its
-/// reply all the same.
+/// The shutdown closes idle client connections while a request waits for its member, which then drains. The
+/// proxy must still retry the request on another member and reply to its client.
 #[test]
 fn request_retried_during_shutdown_is_answered() {
     let (primary, replica) = (MockMember::start(true), MockMember::start(false));
--- a/tests/proxy/random_faults/mod.rs
+++ b/tests/proxy/random_faults/mod.rs
@@ -34,7 +34,8 @@
 /// More replies than members hold back.
 const MANY_REPLIES: usize = 100;
 
-/// Guards against wrong or missing answers under combinations of faults that no other test contains.
+/// Covers combinations of faults that no other test contains. Under each of them, a client could get a wrong
+/// answer, no answer or two, or a write could be executed twice.
 #[test]
 fn every_request_gets_exactly_one_correct_answer_whatever_system_calls_fail() {
     let seeds = match std::env::var(SEED_VARIABLE) {
--- a/tests/proxy/support/member.rs
+++ b/tests/proxy/support/member.rs
@@ -30,7 +30,7 @@
     ServeThenSend(&'static [u8]),
     /// Answers, and closes the connection when the next message arrives.
     ServeThenDrop,
-    /// Answers, and closes the connection while it is idle.
+    /// Answers, and closes the connection directly after the reply.
     ServeThenClose,
     /// Answers with this value.
     ServeValue(&'static str),
--- a/tests/proxy/support/proxy.rs
+++ b/tests/proxy/support/proxy.rs
@@ -97,7 +97,7 @@
 
 impl Proxy {
     /// Starts the program with these members, the primary among them. Waits until the program is ready and
-    /// has served a write, and with that knows the primary.
+    /// has served a write, whose reply tells it the primary. Then clears the records of the members.
     pub fn start(members: &[&MockMember]) -> Proxy {
         let proxy = Proxy::start_with_shell(members, "exec \"$0\" serve --postgres \"$1\"", "");
         assert_eq!(proxy.connect().query(&write_query(0, 900)), SERVED);
--- a/tests/proxy/system_calls.rs
+++ b/tests/proxy/system_calls.rs
@@ -1,4 +1,4 @@
-//! The proxy while its system calls fail temporarily, with errors that Linux documents for them.
+//! Tests of transient errors of the proxy's system calls, as Linux documents them for each call.
 
 use crate::support::*;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
     vec![MockMember::start(true), MockMember::start(false), MockMember::start(false)]
 }
 
-/// Starts the proxy in front of these members, without health checks.
+/// Starts the proxy in front of these members, without probes.
 fn start_proxy(members: &[MockMember], faults: &Faults) -> Proxy {
     Proxy::start_with_faults(&members.iter().collect::<Vec<_>>(), &shell_without_probes(""), faults)
 }
@@ -101,9 +101,8 @@
     assert_eq!(proxy.connect().query(&read_query(3)), SERVED, "no member is ejected");
 }
 
-/// Guards against an outage that lasts seconds longer than its cause, because members that refused
-/// connections are not tried again. Health checks are disabled, so only attempts show that a member accepts
-/// connections.
+/// If members that refused connections were not tried again soon, the outage would last seconds longer than
+/// its cause. Probes are disabled, so only attempts show that a member accepts connections again.
 #[test]
 fn members_that_refused_connections_are_soon_used_again() {
     let (members, faults) = (start_members(), Faults::none());
@@ -130,10 +129,10 @@
     assert!(start.elapsed() < Duration::from_millis(3500), "{:?}", start.elapsed());
 }
 
-/// A temporary error of a call on a client connection must not close the connection, and must not end reading
+/// A transient error of a call on a client connection must not close the connection, and must not end reading
 /// from it or writing to it: the client may already have sent its first request.
 #[test]
-fn clients_get_their_answers_despite_temporary_errors_on_their_connections() {
+fn clients_get_their_answers_despite_transient_errors_on_their_connections() {
     let (members, faults) = (start_members(), Faults::none());
     let proxy = start_proxy(&members, &faults);
     let (platform, extended) = (proxy.address, proxy.extended_address.unwrap());
@@ -170,7 +169,7 @@
     assert!(extended.read_reply().contains("D(value)"), "{rule}");
 }
 
-/// A temporary error of `accept4` or `epoll_ctl` on a listener must not leave clients waiting in its backlog.
+/// A transient error of `accept4` or `epoll_ctl` on a listener must not leave clients waiting in its backlog.
 #[test]
 fn errors_of_accept_neither_end_nor_stall_accepting() {
     let (members, faults) = (start_members(), Faults::none());
@@ -190,7 +189,7 @@
 /// A short transfer, or an error that leaves the connection usable, must not end a connection to a member or
 /// to discovery, and must not cause a second execution of a request.
 #[test]
-fn member_connection_survives_short_transfers_and_temporary_errors() {
+fn member_connection_survives_short_transfers_and_transient_errors() {
     let primary = MockMember::start(true);
     let faults = Faults::none();
     let proxy = start_proxy(std::slice::from_ref(&primary), &faults);
@@ -232,8 +231,8 @@
     }
 }
 
-/// Admin requests are answered although no thread can be created for them, or a call on their connection
-/// fails temporarily.
+/// The proxy must answer admin requests even if it can't create a thread for them, or a call on their
+/// connection fails with a transient error.
 #[test]
 fn admin_requests_are_answered_during_local_errors() {
     let (members, faults) = (start_members(), Faults::none());
