--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -31,7 +31,7 @@
     /// is up again.
     Silent,
     /// Like [`AgentMode::Silent`], but calls that were opened in this mode are never answered.
-    DropsCalls,
+    NeverAnswering,
     /// Accepts calls and resets them, open ones included.
     Resetting,
     /// Answers calls with status 503 and resets watches that have begun.
@@ -265,7 +265,7 @@
                     let _ = (&stream).write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
                     return;
                 }
-                mode if mode.is_up() && mode_at_open != AgentMode::DropsCalls => break,
+                mode if mode.is_up() && mode_at_open != AgentMode::NeverAnswering => break,
                 _ if self.has_ended() || is_closed(&stream) => return,
                 _ => std::thread::sleep(AGENT_STEP),
             }
@@ -302,7 +302,7 @@
         while !self.has_ended() && !is_closed(stream) {
             let mode = self.mode();
             if !mode.is_up() {
-                if matches!(mode, AgentMode::Silent | AgentMode::DropsCalls) {
+                if matches!(mode, AgentMode::Silent | AgentMode::NeverAnswering) {
                     std::thread::sleep(AGENT_STEP);
                     continue;
                 }
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -205,7 +205,7 @@
 
     /// Draws an outage of discovery for all proxies: one mode of the agents, or several in sequence.
     fn draw_outage(&mut self, draws: &mut Draws, from: Micros, to: Micros) {
-        use AgentMode::{Busy, DropsCalls, Fragmented, Gone, Resetting, Silent, Slow, Up};
+        use AgentMode::{Busy, Fragmented, Gone, NeverAnswering, Resetting, Silent, Slow, Up};
         let parts = draws.pick(&[1, 1, 2, 3]);
         let back = if self.on_request {
             draws.pick(&[Up, Fragmented, Slow])
@@ -216,7 +216,7 @@
         for proxy in 0..self.proxies {
             for part in 0..parts {
                 let at = from + (to - from) * part / parts;
-                let mode = draws.pick(&[Silent, Silent, Silent, DropsCalls, Resetting, Busy, Gone]);
+                let mode = draws.pick(&[Silent, Silent, Silent, NeverAnswering, Resetting, Busy, Gone]);
                 self.actions.push((at, Action::Agent { proxy, mode }));
             }
             self.actions.push((to, Action::Agent { proxy, mode: back }));
