--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -34,6 +34,8 @@
     pub started_at: AtomicU64,
     /// The number of starts. A connection belongs to one of them.
     pub generation: AtomicU64,
+    /// The latest generation that became ready, or did not within [`READY_LIMIT`].
+    checked_generation: AtomicU64,
     /// Whether the process was sent SIGTERM or SIGKILL, so that its exit is not a crash.
     pub may_exit: AtomicBool,
     /// Whether the process was sent SIGKILL.
@@ -68,6 +70,7 @@
             is_in_rotation: AtomicBool::new(false),
             started_at: AtomicU64::new(0),
             generation: AtomicU64::new(0),
+            checked_generation: AtomicU64::new(0),
             may_exit: AtomicBool::new(false),
             was_killed: AtomicBool::new(false),
             unwarned_kills: Mutex::default(),
@@ -122,17 +125,28 @@
                 return;
             }
             if self.clock.now() > started_at + READY_LIMIT {
-                return self.history.incident(
+                self.history.incident(
                     self.clock.now(),
                     self.index,
                     "start: expected to be ready within 10 s, is not",
                 );
+                self.checked_generation.fetch_max(generation, Ordering::SeqCst);
+                return;
             }
             std::thread::sleep(READY_STEP);
         }
         let ready_ms = (self.clock.now() - started_at) / 1000;
         self.history.note(self.clock.now(), format!("n{} ready after {ready_ms} ms", self.index));
         self.is_in_rotation.store(true, Ordering::SeqCst);
+        self.checked_generation.fetch_max(generation, Ordering::SeqCst);
+    }
+
+    /// Returns whether the process runs, was not told to exit, and may still become ready within
+    /// [`READY_LIMIT`].
+    pub fn is_starting(&self) -> bool {
+        let is_checked =
+            self.checked_generation.load(Ordering::SeqCst) == self.generation.load(Ordering::SeqCst);
+        !is_checked && !self.may_exit.load(Ordering::SeqCst) && self.check_running()
     }
 
     /// Returns whether the process answers an empty query.
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -289,29 +289,23 @@
         }
     }
 
-    /// Ends the processes with SIGTERM while the clients continue. A process must exit with 0; one that still
-    /// runs after [`Scenario::kill_after`] is killed, and its open requests are not excused. Then ends the
-    /// clients' threads and joins them.
+    /// Ends the processes with SIGTERM while the clients continue. Then ends the clients' threads and joins
+    /// them.
     fn finish(&mut self) {
-        let now = self.clock.now();
-        for proxy in 0..self.proxies.len() {
-            let process = &self.proxies[proxy];
-            if !process.may_exit.swap(true, Ordering::SeqCst) && process.check_running() {
+        for process in &self.proxies {
+            if !process.may_exit.load(Ordering::SeqCst) && process.check_running() {
                 process.signal(Signal::CONT);
-                process.signal(Signal::TERM);
             }
         }
-        let kill_at = now + self.scenario.kill_after();
-        let mut are_in_rotation = true;
-        while self.clock.now() < kill_at && self.proxies.iter().any(|proxy| proxy.check_running()) {
-            if are_in_rotation && self.clock.now() > now + ROTATION_DELAY {
-                are_in_rotation = false;
-                self.proxies.iter().for_each(|proxy| proxy.is_in_rotation.store(false, Ordering::SeqCst));
+        // By proxy: when its shutdown began.
+        let mut ends_since = vec![None; self.proxies.len()];
+        while ends_since.contains(&None) || self.proxies.iter().any(|proxy| proxy.check_running()) {
+            for (proxy, ends_since) in self.proxies.iter().zip(&mut ends_since) {
+                self.end_process(proxy, ends_since);
             }
             self.agents.iter().for_each(|agent| self.notices.update(self.clock.now(), agent));
             std::thread::sleep(STEP);
         }
-        self.proxies.iter().filter(|proxy| proxy.check_running()).for_each(|proxy| proxy.kill());
         self.is_over.store(true, Ordering::SeqCst);
         for thread in std::mem::take(&mut *self.threads.lock().unwrap()) {
             if thread.join().is_err() {
@@ -323,4 +317,29 @@
             }
         }
     }
+
+    /// Performs the steps that are due to end a process: SIGTERM, [`ROTATION_DELAY`] later the end of its
+    /// rotation, and SIGKILL if it still runs [`Scenario::kill_after`] after SIGTERM; its open requests are
+    /// not excused. A process must exit with 0 after SIGTERM. `ends_since` is the time of SIGTERM, or for a
+    /// process that does not run or was told to exit before, the time of the first call.
+    fn end_process(&self, process: &Proxy, ends_since: &mut Option<Micros>) {
+        let now = self.clock.now();
+        let Some(since) = *ends_since else {
+            // SIGTERM ends a process without a shutdown if it comes before the process has installed its
+            // handlers. So a process that is starting gets SIGTERM once it is ready or the limit has passed.
+            if !process.is_starting() {
+                *ends_since = Some(now);
+                if !process.may_exit.swap(true, Ordering::SeqCst) && process.check_running() {
+                    process.signal(Signal::TERM);
+                }
+            }
+            return;
+        };
+        if now > since + ROTATION_DELAY {
+            process.is_in_rotation.store(false, Ordering::SeqCst);
+        }
+        if now >= since + self.scenario.kill_after() && process.check_running() {
+            process.kill();
+        }
+    }
 }
