--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -59,7 +59,8 @@
 #[test]
 fn a_primary_warming_up_is_not_overloaded_by_the_writes_of_many_routers() {
     // The 300 routers get 1,200 writes in 1.6 s. In that time, the capacity of the primary rises from 0.2 to
-    // 0.33 of that of a warm member, and the settings allow twice the load that it can serve.
+    // 0.33 of that of a warm member, and the settings allow twice the load that it can serve. The upper bound
+    // of 250 writes is what all members together are taken to serve at first, 83 each.
     let writes = requests_sent_by_many_routers(|harness| restart_in_list(harness, 1, true), 1, AT_MOST_ONCE);
     assert!((50..250).contains(&writes), "{writes} writes in 1.6 s");
 }
@@ -173,8 +174,8 @@
     assert!(to_restarted >= 1 && to_restarted * 3 < counts[&2], "{counts:?}");
 }
 
-/// Guards against a budget that follows the offered work while most endpoints are warming up: clients retry
-/// what is not served, so that the offered work overstates what an endpoint can serve.
+/// Guards against an overload of the primary while most endpoints are warming up: clients retry what is not
+/// served, so a budget that follows the offered work instead of the served work exceeds the capacity.
 #[test]
 fn work_that_is_not_served_does_not_raise_the_budget_of_a_primary_warming_up() {
     let settings = settings();
