--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -61,8 +61,9 @@
     assert!((30..=75).contains(&used), "{used} connections from 30 routers");
 }
 
-/// Guards against many simultaneous reads at a new endpoint that has not answered yet. Where requests are
-/// many, a trial delays the use of the endpoint only a little.
+/// Guards against many simultaneous reads at a new endpoint that has not answered yet: without a trial, the
+/// router would send it reads before anything shows that it serves them. Where requests are many, a trial
+/// delays the use of the endpoint only a little.
 #[test]
 fn a_new_endpoint_gets_a_single_trial_first_where_requests_are_many() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
--- a/tests/policy/fleet.rs
+++ b/tests/policy/fleet.rs
@@ -347,8 +347,8 @@
     }
 }
 
-/// Guards against the same overload by requests of uneven work, of which a few heavy ones use up what the
-/// settings allow, and during a burst.
+/// Guards against the overload of a primary that is warming up by requests of uneven work, where a few heavy
+/// requests use up what the settings allow, with and without a burst of arrivals.
 #[test]
 fn a_primary_warming_up_is_not_overloaded_by_light_and_heavy_requests() {
     let mixed = FleetCase { traffic: MIXED_WORK, ..USUAL };
@@ -364,8 +364,8 @@
     }
 }
 
-/// Guards against the same overload with few and many routers, where the settings allow only 2 to 40 requests
-/// in the first windows.
+/// Guards against the overload of an endpoint of small capacity that is warming up: the settings allow only
+/// 2 to 40 requests in the first windows, whether the routers are few or many.
 #[test]
 fn an_endpoint_of_small_capacity_is_not_overloaded_however_many_routers_there_are() {
     for (routers, seeds) in [(1, 1..=4), (2, 1..=4), (5, 1..=4), (20, 1..=4), (300, 1..=1), (900, 1..=1)] {
--- a/tests/policy/freshness.rs
+++ b/tests/policy/freshness.rs
@@ -210,8 +210,8 @@
     );
 }
 
-/// Guards against an outdated load report that names a primary: it may be received after a later report by
-/// which the same member is a replica.
+/// Guards against reads of the latest data at a replica: a load report from the time when the member was the
+/// primary may be received after its later report that it is a replica.
 #[test]
 fn an_old_report_does_not_make_a_replica_the_primary() {
     let mut harness = RouterHarness::with_known_roles(settings_with_stale_reads(), 3);
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use liftrelay::*;
 
-/// Guards against an endpoint that looks idle because it fails fast: it has few pending attempts, so
+/// Guards against the failure of most reads because one endpoint fails fast: it has few pending attempts, so
 /// least-pending selection without ejection sends it most reads.
 #[test]
 fn an_endpoint_that_fails_fast_gets_few_reads() {
@@ -19,8 +19,8 @@
     assert!(at_faulty < 20, "{at_faulty} of 200");
 }
 
-/// Guards against an endpoint that looks idle because it hangs and its queue is full: it rejects every
-/// attempt immediately, so that none is pending there.
+/// Guards against the rejection of most reads because one endpoint hangs with a full queue: it rejects every
+/// attempt immediately, so none is pending there, and least-pending selection without ejection prefers it.
 #[test]
 fn an_endpoint_that_rejects_every_attempt_gets_few_reads() {
     let mut harness = RouterHarness::with_known_roles(settings(), 4);
--- a/tests/policy/primary.rs
+++ b/tests/policy/primary.rs
@@ -3,8 +3,8 @@
 use crate::harness::*;
 use liftrelay::*;
 
-/// Guards against a write that is sent to every member of a large group during a failover and has no attempt
-/// left when the new primary is known.
+/// Guards against the failure of a write during a failover: if the router sent it to every member of a large
+/// group in search of the primary, no attempt would be left when the new primary is known.
 #[test]
 fn a_write_outlasts_a_failover_of_a_large_group() {
     let mut harness = RouterHarness::new(Settings { max_attempts: 8, ..settings() }, 10);
@@ -25,8 +25,8 @@
     assert_eq!(last, Some(7), "sent to the new primary once it is known");
 }
 
-/// Guards against a write that uses up its attempts at a primary that refuses connections, before a new
-/// primary is known: each refusal takes almost no time.
+/// Guards against the failure of a write before a new primary is known: a primary that refuses connections
+/// does so in almost no time, and repeated attempts there would use up all attempts of the write.
 #[test]
 fn a_write_outlasts_a_primary_that_refuses_connections() {
     let mut harness = RouterHarness::with_known_roles(Settings { max_attempts: 8, ..settings() }, 2);
--- a/tests/policy/probing.rs
+++ b/tests/policy/probing.rs
@@ -33,7 +33,8 @@
     );
 }
 
-/// Guards against needless probes of a member whose answers to requests already report its position.
+/// Guards against needless probes: if the answers to requests did not count as observations of a member's
+/// position, the router would also probe for it at the usual interval.
 #[test]
 fn an_endpoint_whose_answers_report_its_position_is_probed_less() {
     let [with_position, without_position] = [true, false].map(|reports_position| {
